--- a/carrier/node.go
+++ b/carrier/node.go
@@ -21,8 +21,8 @@
 	// helloTimeout bounds the wait for the other end's opening message.
 	helloTimeout = time.Second
 	// firstRetry and lastRetry bound the pause between attempts to connect; the pause doubles.
-	firstRetry = 50 * time.Millisecond
-	lastRetry  = 500 * time.Millisecond
+	minRetryDelay = 50 * time.Millisecond
+	maxRetryDelay = 500 * time.Millisecond
 )
 
 type (
@@ -42,8 +42,8 @@
 		// Traffic counts what the sessions send.
 		Traffic Traffic
 
-		running  sync.WaitGroup
-		sessions atomic.Uint64
+		goroutines  sync.WaitGroup
+		lastSession atomic.Uint64
 	}
 )
 
@@ -54,18 +54,18 @@
 		return "", trace.ConnectionProblem(err, "cannot listen on %q: %v", address, err)
 	}
 	context.AfterFunc(ctx, func() { _ = listener.Close() }) // Accept returns whether or not the close succeeds
-	n.running.Go(func() {
+	n.goroutines.Go(func() {
 		for {
 			conn, err := listener.Accept()
 			if ctx.Err() != nil {
 				return
 			}
 			if err != nil {
-				n.fail(address, err)
-				time.Sleep(firstRetry)
+				n.connectFailed(address, err)
+				time.Sleep(minRetryDelay)
 				continue
 			}
-			n.running.Go(func() { _ = n.serve(ctx, newSession(conn, false, &n.Traffic)) }) // OnDown reports the cause
+			n.goroutines.Go(func() { _ = n.serve(ctx, newSession(conn, false, &n.Traffic)) }) // OnDown reports the cause
 		}
 	})
 	return listener.Addr().String(), nil
@@ -73,30 +73,30 @@
 
 // Connect keeps a session to an address open until ctx ends.
 func (n *Node) Connect(ctx context.Context, address string) {
-	n.running.Go(func() {
-		pause := firstRetry
+	n.goroutines.Go(func() {
+		pause := minRetryDelay
 		dialer := net.Dialer{Timeout: dialTimeout}
 		for ctx.Err() == nil {
 			conn, err := dialer.DialContext(ctx, "tcp", address)
 			if err == nil && n.serve(ctx, newSession(conn, true, &n.Traffic)) {
-				pause = firstRetry
+				pause = minRetryDelay
 			}
 			if err != nil {
-				n.fail(address, err)
+				n.connectFailed(address, err)
 			}
 			select {
 			case <-ctx.Done():
 			case <-time.After(pause):
 			}
-			pause = min(2*pause, lastRetry)
+			pause = min(2*pause, maxRetryDelay)
 		}
 	})
 }
 
 // Wait blocks until all goroutines of the Node have ended. The contexts given to Listen and Connect must end first.
-func (n *Node) Wait() { n.running.Wait() }
+func (n *Node) Wait() { n.goroutines.Wait() }
 
-func (n *Node) fail(address string, err error) {
+func (n *Node) connectFailed(address string, err error) {
 	if n.OnFail != nil {
 		n.OnFail(address, err)
 	}
@@ -106,31 +106,31 @@
 func (n *Node) serve(ctx context.Context, s *Session) bool {
 	defer context.AfterFunc(ctx, func() { s.Close(ctx.Err()) })()
 	hello := n.Hello()
-	hello.Session = n.sessions.Add(1)
+	hello.Session = n.lastSession.Add(1)
 	s.Send(&hello)
-	n.running.Go(s.write)
-	r := bufio.NewReaderSize(s.conn, readBuffer)
+	n.goroutines.Go(s.write)
+	r := bufio.NewReaderSize(s.conn, readBufferSize)
 	var err error
-	n.catch(s, func() { err = s.greet(r) })
+	n.recoverPanic(s, func() { err = s.readHello(r) })
 	if err == nil && s.Remote.Name == "" {
 		return false // the opening message panicked
 	}
 	if err != nil {
 		s.Close(err)
-		n.fail(s.conn.RemoteAddr().String(), err)
+		n.connectFailed(s.conn.RemoteAddr().String(), err)
 		return false
 	}
-	n.catch(s, func() {
+	n.recoverPanic(s, func() {
 		n.OnUp(s)
 		err = s.read(r, func(batch []marshaler.Message) { n.OnMessage(s, batch) })
 	})
 	s.Close(err)
-	n.catch(s, func() { n.OnDown(s, s.cause) })
+	n.recoverPanic(s, func() { n.OnDown(s, s.closeCause) })
 	return true
 }
 
 // catch calls f, and ends the session when it panics.
-func (n *Node) catch(s *Session, f func()) {
+func (n *Node) recoverPanic(s *Session, f func()) {
 	err := catcher.Catch(f)
 	if err == nil {
 		return
@@ -142,7 +142,7 @@
 }
 
 // greet reads the other end's opening message.
-func (s *Session) greet(r *bufio.Reader) error {
+func (s *Session) readHello(r *bufio.Reader) error {
 	_ = s.conn.SetReadDeadline(time.Now().Add(helloTimeout)) // a failure shows in the read
 	m, err := readMessage(r)
 	if err != nil {
--- a/carrier/node_test.go
+++ b/carrier/node_test.go
@@ -12,14 +12,14 @@
 	"github.com/crocuslb/crocuslb/marshaler"
 )
 
-type end struct {
+type testNode struct {
 	Node
 	up, down, messages atomic.Int64
 	latest             atomic.Pointer[Session]
 }
 
-func newEnd(name string) *end {
-	e := &end{}
+func newTestNode(name string) *testNode {
+	e := &testNode{}
 	e.Hello = func() marshaler.Hello { return marshaler.Hello{Role: marshaler.RoleEntry, Name: name} }
 	e.OnUp = func(s *Session) { e.latest.Store(s); e.up.Add(1) }
 	e.OnMessage = func(_ *Session, batch []marshaler.Message) { e.messages.Add(int64(len(batch))) }
@@ -40,7 +40,7 @@
 func TestSession(t *testing.T) {
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
-	a, b := newEnd("a"), newEnd("b")
+	a, b := newTestNode("a"), newTestNode("b")
 	address, err := a.Listen(ctx, "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -66,8 +66,8 @@
 }
 
 // TestForeignWriters guards against connections of other programs that disturb the process.
-func TestForeignWriters(t *testing.T) {
-	huge := binary.BigEndian.AppendUint32(nil, maxFrame+1)
+func TestInvalidPeers(t *testing.T) {
+	huge := binary.BigEndian.AppendUint32(nil, maxFrameSize+1)
 	cases := []struct {
 		name  string
 		bytes []byte
@@ -77,7 +77,7 @@
 	}
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
-	a := newEnd("a")
+	a := newTestNode("a")
 	var failed atomic.Int64
 	a.OnFail = func(string, error) { failed.Add(1) }
 	address, err := a.Listen(ctx, "127.0.0.1:0")
@@ -101,7 +101,7 @@
 }
 
 // TestReaderStandsStill guards against a sender that blocks, or grows without limit, when the other end does not read.
-func TestReaderStandsStill(t *testing.T) {
+func TestStalledReader(t *testing.T) {
 	listener, err := (&net.ListenConfig{}).Listen(t.Context(), "tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -109,7 +109,7 @@
 	defer func() { _ = listener.Close() }()
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
-	b := newEnd("b")
+	b := newTestNode("b")
 	b.Connect(ctx, listener.Addr().String())
 	conn, err := listener.Accept()
 	if err != nil {
@@ -124,7 +124,7 @@
 	eventually(t, "session", func() bool { return b.up.Load() == 1 })
 	s := b.latest.Load()
 	body := make([]byte, 1<<20)
-	for range 2 * maxQueued / len(body) {
+	for range 2 * maxQueuedBytes / len(body) {
 		s.Send(&marshaler.Configuration{Body: body})
 	}
 	eventually(t, "end of the session", func() bool { return b.down.Load() == 1 })
@@ -134,7 +134,7 @@
 func TestPanic(t *testing.T) {
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
-	a := newEnd("a")
+	a := newTestNode("a")
 	var panics atomic.Int64
 	a.OnPanic = func(*Session, error) { panics.Add(1) }
 	a.OnMessage = func(s *Session, batch []marshaler.Message) {
@@ -147,7 +147,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	good, bad := newEnd("good"), newEnd("bad")
+	good, bad := newTestNode("good"), newTestNode("bad")
 	good.Connect(ctx, address)
 	eventually(t, "session", func() bool { return good.up.Load() == 1 })
 	bad.OnUp = func(s *Session) { s.Send(&marshaler.Beat{}) }
--- a/carrier/session.go
+++ b/carrier/session.go
@@ -17,14 +17,14 @@
 
 const (
 	// maxFrame is the largest encoded message in bytes.
-	maxFrame = 4 << 20
+	maxFrameSize = 4 << 20
 	// maxQueued is the number of unsent bytes at which a session is ended: the other end does not read.
-	maxQueued = 8 << 20
+	maxQueuedBytes = 8 << 20
 	// writeTimeout ends a session whose other end accepts no bytes.
-	writeTimeout = 2 * time.Second
-	readBuffer   = 8 << 10
-	headerSize   = 4
-	maxBatch     = 256
+	writeTimeout     = 2 * time.Second
+	readBufferSize   = 8 << 10
+	headerSize       = 4
+	maxBatchMessages = 256
 )
 
 type (
@@ -35,14 +35,14 @@
 		// Dialed says that this process opened the connection.
 		Dialed bool
 
-		conn    net.Conn
-		traffic *Traffic // nil for none
-		mu      sync.Mutex
-		queued  []byte
-		wake    chan struct{}
-		done    chan struct{}
-		once    sync.Once
-		cause   error
+		conn       net.Conn
+		traffic    *Traffic // nil for none
+		mu         sync.Mutex
+		queued     []byte
+		wake       chan struct{}
+		done       chan struct{}
+		closeOnce  sync.Once
+		closeCause error
 	}
 )
 
@@ -60,10 +60,10 @@
 	if s.traffic != nil {
 		s.traffic.add(s.queued[start+headerSize:], len(s.queued)-start)
 	}
-	full := len(s.queued) > maxQueued
+	full := len(s.queued) > maxQueuedBytes
 	s.mu.Unlock()
 	if full {
-		s.Close(trace.LimitExceeded("the other end does not read: %d bytes are queued", maxQueued))
+		s.Close(trace.LimitExceeded("the other end does not read: %d bytes are queued", maxQueuedBytes))
 		return
 	}
 	select {
@@ -74,8 +74,8 @@
 
 // Close ends the session. Only the first cause is kept.
 func (s *Session) Close(cause error) {
-	s.once.Do(func() {
-		s.cause = cause
+	s.closeOnce.Do(func() {
+		s.closeCause = cause
 		close(s.done)
 		if c, ok := s.conn.(*net.TCPConn); ok {
 			// A reset drops what the system still holds: messages must not arrive after the session ended.
@@ -129,7 +129,7 @@
 		default:
 			batch = append(batch, m)
 		}
-		if len(batch) > 0 && (len(batch) >= maxBatch || !frameBuffered(r)) {
+		if len(batch) > 0 && (len(batch) >= maxBatchMessages || !frameBuffered(r)) {
 			deliver(batch)
 			batch = nil
 		}
@@ -151,8 +151,8 @@
 		return nil, trace.ConnectionProblem(err, "read: %v", err)
 	}
 	size := int(binary.BigEndian.Uint32(head))
-	if size == 0 || size > maxFrame {
-		return nil, trace.BadParameter("a frame has %d bytes, want 1 to %d", size, maxFrame)
+	if size == 0 || size > maxFrameSize {
+		return nil, trace.BadParameter("a frame has %d bytes, want 1 to %d", size, maxFrameSize)
 	}
 	_, _ = r.Discard(headerSize) // the bytes are buffered
 	if size <= r.Size() {
--- a/follower/follower.go
+++ b/follower/follower.go
@@ -13,8 +13,8 @@
 
 const (
 	// firstPause and lastPause bound the pause after a failed call. The store's return is noticed within lastPause.
-	firstPause = 100 * time.Millisecond
-	lastPause  = 600 * time.Millisecond
+	minRetryDelay = 100 * time.Millisecond
+	maxRetryDelay = 600 * time.Millisecond
 )
 
 type (
@@ -43,28 +43,28 @@
 		Lost     func(err error)
 		Regained func()
 
-		lost bool
+		unavailable bool
 	}
 )
 
 // Run follows the topic until ctx ends.
 func (f *Follower) Run(ctx context.Context) {
-	pause := firstPause
+	pause := minRetryDelay
 	var next uint64
 	known := false
 	for ctx.Err() == nil {
-		page, err := f.step(ctx, next, known)
+		page, err := f.readNext(ctx, next, known)
 		if trace.IsNotFound(err) && known {
 			known = false
 			continue
 		}
 		if err != nil {
-			f.fail(ctx, err, &pause)
+			f.backOff(ctx, err, &pause)
 			continue
 		}
-		pause = firstPause
-		if f.lost {
-			f.lost = false
+		pause = minRetryDelay
+		if f.unavailable {
+			f.unavailable = false
 			f.Regained()
 		}
 		if !known || len(page.Records) > 0 {
@@ -75,7 +75,7 @@
 }
 
 // step reads the next records. A panic on the store's answer is an error of the call.
-func (f *Follower) step(ctx context.Context, next uint64, known bool) (page Page, err error) {
+func (f *Follower) readNext(ctx context.Context, next uint64, known bool) (page Page, err error) {
 	panicked := catcher.Catch(func() {
 		if known {
 			page, err = f.Read(ctx, next)
@@ -89,17 +89,17 @@
 	return page, err
 }
 
-func (f *Follower) fail(ctx context.Context, err error, pause *time.Duration) {
+func (f *Follower) backOff(ctx context.Context, err error, pause *time.Duration) {
 	if ctx.Err() != nil {
 		return
 	}
-	if !f.lost {
-		f.lost = true
+	if !f.unavailable {
+		f.unavailable = true
 		f.Lost(err)
 	}
 	select {
 	case <-ctx.Done():
 	case <-time.After(*pause/2 + rand.N(*pause/2)):
 	}
-	*pause = min(2**pause, lastPause)
+	*pause = min(2**pause, maxRetryDelay)
 }
--- a/keeper/keeper.go
+++ b/keeper/keeper.go
@@ -20,17 +20,17 @@
 	BeatPeriod = 150 * timer.Millisecond
 	// resumeGrace is how long after a pause runs go on without a sign of life of their entry, whose messages wait to be read
 	// or whose session has to be opened again. The lease is not extended for them, so that its end bounds them as ever.
-	resumeGrace = 200 * timer.Millisecond
+	resumeGracePeriod = 200 * timer.Millisecond
 	// lateOrders is the longest time after which an order without an answer is carried out.
-	lateOrders = 15 * timer.Second
+	maxStartDelay = 15 * timer.Second
 	// outcomeMemory is how long ended runs are kept for an entry whose session broke before it got the outcome.
-	outcomeMemory = 2 * timer.Second
+	outcomeRetention = 2 * timer.Second
 	// startMemory is how long starts are kept for an entry that begins to place. Its reservations live as long.
-	startMemory = 300 * timer.Millisecond
+	startRetention = 300 * timer.Millisecond
 	// stopRetry is the pause before a stop is sent again while the run has not ended.
-	stopRetry = 40 * timer.Millisecond
+	stopRetryInterval = 40 * timer.Millisecond
 	// silenceLimit is the time without a listing after which no starts are taken. Single answers may get lost.
-	silenceLimit = 400 * timer.Millisecond
+	holdTimeout = 400 * timer.Millisecond
 	// NormalSpeed is the speed, in thousandths, of a backend server whose runs take as long as estimated.
 	NormalSpeed = 1000
 )
@@ -96,40 +96,40 @@
 		Look   func()
 		Report func(e Event)
 
-		backend   Backend
-		known     bool // the backend server has announced itself
-		clean     bool // a listing showed that nothing runs that this process did not start
-		silent    bool // the last hold failed
-		withdrawn bool
-		leaving   bool
-		offset    uint64
-
-		runs     map[task]*run
-		entries  map[string]*entry
-		free     marshaler.Room
-		holds    uint64 // number of the latest hold
-		lastSeen uint64 // number of the latest end that was processed
-		clock    int64  // the backend server's clock at clockAt
-		clockAt  timer.Millis
-		speed    float64
-		listedAt timer.Millis
-		doubtful []doubtfulStart
-		started  []startedJob // latest starts, for entries that begin to place
-		kept     kept
-		ticked   timer.Millis // time of the latest Tick
-		graceEnd timer.Millis // of the latest pause of this process
-		lookDue  bool         // a hold did not extend the lease, because an entry was silent
+		backend      Backend
+		announced    bool // the backend server has announced itself
+		reconciled   bool // a listing showed that nothing runs that this process did not start
+		unresponsive bool // the last hold failed
+		withdrawn    bool
+		stopping     bool
+		offset       uint64
+
+		runs           map[taskKey]*run
+		entries        map[string]*entry
+		free           marshaler.Room
+		lastHold       uint64 // number of the latest hold
+		lastEnd        uint64 // number of the latest end that was processed
+		backendClock   int64  // the backend server's clock at clockAt
+		backendClockAt timer.Millis
+		speed          float64
+		listedAt       timer.Millis
+		unconfirmed    []unconfirmedStart
+		recentStarts   []recentStart // latest starts, for entries that begin to place
+		durable        durableState
+		lastTick       timer.Millis // time of the latest Tick
+		graceEnd       timer.Millis // of the latest pause of this process
+		renewalDue     bool         // a hold did not extend the lease, because an entry was silent
 	}
 
 	// startedJob is a start that this process has handled.
-	startedJob struct {
+	recentStart struct {
 		job string
 		at  timer.Millis
 	}
 
 	// doubtfulStart is a start without an answer. A later life of the backend server under the same identifier might
 	// still carry it out, so it is told not to.
-	doubtfulStart struct {
+	unconfirmedStart struct {
 		key marshaler.RunKey
 		at  timer.Millis
 	}
@@ -143,49 +143,49 @@
 		Value  int64
 	}
 
-	task struct {
+	taskKey struct {
 		job   string
 		index uint64
 	}
 
 	// run is an attempt that may hold room on the backend server.
 	run struct {
-		key      marshaler.RunKey
-		entry    *entry
-		room     marshaler.Room
-		kept     bool // of a kept job
-		estimate timer.Millis
-		state    int
-		since    timer.Millis // of the order, then of the start
-		startsAt uint64       // a later hold lists the run if it runs
-		stopsAt  uint64       // a later hold does not list the run if the stop was effective; 0 while none was answered
-		stopSent timer.Millis
-		status   marshaler.Status // reported instead of StatusStopped after a stop
-		reason   string
-		listed   bool
-		percent  int
-		progress timer.Millis // time of the latest rise of percent
+		key        marshaler.RunKey
+		entry      *entry
+		room       marshaler.Room
+		durable    bool // of a kept job
+		estimate   timer.Millis
+		state      int
+		startedAt  timer.Millis // of the order, then of the start
+		startHold  uint64       // a later hold lists the run if it runs
+		stopHold   uint64       // a later hold does not list the run if the stop was effective; 0 while none was answered
+		stopSentAt timer.Millis
+		status     marshaler.Status // reported instead of StatusStopped after a stop
+		reason     string
+		listed     bool
+		percent    int
+		progressAt timer.Millis // time of the latest rise of percent
 	}
 
 	// entry is one life of an entry process.
 	entry struct {
-		name        string
-		incarnation uint64
-		link        *marshaler.Link // nil while there is no session
-		heard       timer.Millis
-		sent        timer.Millis
-		greeted     bool // Held was sent on this session
-		kept        bool // it says that kept jobs are in use, or does not know
-		beaten      bool // it sent a Beat on this session
-		subscribed  bool
-		seen        []string
-		settled     []marshaler.Settled
-		outcomes    []sentOutcome
+		name              string
+		incarnation       uint64
+		link              *marshaler.Link // nil while there is no session
+		lastReceived      timer.Millis
+		lastSent          timer.Millis
+		synced            bool // Held was sent on this session
+		durableInUse      bool // it says that kept jobs are in use, or does not know
+		heartbeatReceived bool // it sent a Beat on this session
+		subscribed        bool
+		pendingStarts     []string
+		pendingEnds       []marshaler.Settled
+		outcomes          []sentOutcome
 	}
 
 	sentOutcome struct {
-		at timer.Millis
-		m  marshaler.Outcome
+		at      timer.Millis
+		outcome marshaler.Outcome
 	}
 )
 
@@ -211,7 +211,7 @@
 
 // Leave makes the sidecar refuse all starts. What runs goes on.
 func (k *Keeper) Leave(now timer.Millis) {
-	k.leaving = true
+	k.stopping = true
 	k.sendLoads(now)
 }
 
@@ -222,7 +222,7 @@
 func (k *Keeper) Backend() Backend { return k.backend }
 
 // sound reports whether a description can be passed on to entries. Announcements may come from other writers.
-func (b *Backend) sound() bool {
+func (b *Backend) valid() bool {
 	long := func(text string) bool { return len(text) > marshaler.MaxName }
 	return b.ID != "" && !long(b.ID) && !long(b.Service) && !slices.ContainsFunc(b.Labels, long) && b.Total.Holds(marshaler.Room{})
 }
@@ -230,23 +230,23 @@
 // Announce takes an announcement of the backend server. It returns false for one that is unsound or older than what is
 // known.
 func (k *Keeper) Announce(now timer.Millis, b Backend) bool {
-	if !b.sound() {
+	if !b.valid() {
 		k.report(Event{Kind: "announcementRefused", Detail: "a name is missing or too long, or the room is negative"})
 		return false
 	}
-	if k.known {
+	if k.announced {
 		if b.Born < k.backend.Born || b.Born == k.backend.Born && b.ID == k.backend.ID && b.Sequence <= k.backend.Sequence {
 			return false
 		}
 	}
-	restarted := !k.known || b.ID != k.backend.ID || b.Born != k.backend.Born
+	restarted := !k.announced || b.ID != k.backend.ID || b.Born != k.backend.Born
 	changed := restarted || b.Draining != k.backend.Draining || b.Total != k.backend.Total || b.Service != k.backend.Service
-	k.backend, k.known = b, true
+	k.backend, k.announced = b, true
 	if restarted {
-		k.restart(now, b.Born)
+		k.resetBackend(now, b.Born)
 		k.Look() // a hold that is under way may still wait for the earlier life
 	}
-	k.account()
+	k.recomputeFree()
 	if changed {
 		k.report(Event{Kind: "backend", Detail: b.ID, Value: b.Total.CPU})
 		for _, e := range marshaler.InOrder(k.entries) {
@@ -259,7 +259,7 @@
 
 // Leaves takes the backend server's message that it ends.
 func (k *Keeper) Leaves(now timer.Millis, id string) {
-	if k.known && k.backend.ID == id {
+	if k.announced && k.backend.ID == id {
 		k.backend.Draining = true
 		k.report(Event{Kind: "deregistered", Detail: id})
 		k.sendLoads(now)
@@ -267,13 +267,13 @@
 }
 
 // restart forgets everything about an earlier life of the backend server, whose runs have ended with it.
-func (k *Keeper) restart(now timer.Millis, born uint64) {
+func (k *Keeper) resetBackend(now timer.Millis, born uint64) {
 	k.backend.Born = born
-	k.lastSeen, k.clean, k.clock, k.clockAt, k.speed = 0, false, 0, 0, NormalSpeed
-	k.endAll(now, "backend server restarted")
-	k.kept.forget()
-	k.doubtful = slices.DeleteFunc(k.doubtful, func(d doubtfulStart) bool { return now-d.at > lateOrders })
-	for _, d := range k.doubtful {
+	k.lastEnd, k.reconciled, k.backendClock, k.backendClockAt, k.speed = 0, false, 0, 0, NormalSpeed
+	k.endListedRuns(now, "backend server restarted")
+	k.durable.reset()
+	k.unconfirmed = slices.DeleteFunc(k.unconfirmed, func(d unconfirmedStart) bool { return now-d.at > maxStartDelay })
+	for _, d := range k.unconfirmed {
 		k.Stop(d.key)
 	}
 }
@@ -281,19 +281,19 @@
 // Accepting reports whether starts are taken, and why not.
 func (k *Keeper) Accepting() (bool, string) {
 	switch {
-	case !k.known:
+	case !k.announced:
 		return false, "backend server not announced"
-	case !k.clean:
+	case !k.reconciled:
 		return false, "backend server not listed"
-	case k.silent:
+	case k.unresponsive:
 		return false, "backend server does not answer"
-	case k.leaving:
+	case k.stopping:
 		return false, "sidecar is stopping"
 	case k.backend.Draining:
 		return false, "backend server is draining"
 	case k.withdrawn:
 		return false, "failure domain is withdrawn"
-	case k.kept.lapsing:
+	case k.durable.leaseExpiring:
 		return false, "lease is left to lapse"
 	}
 	return true, ""
@@ -301,49 +301,49 @@
 
 // Tick sends heartbeats, repeats stops, and ends the runs of lost entries. It is called several times in each BeatPeriod.
 func (k *Keeper) Tick(now timer.Millis) {
-	for _, r := range k.sorted() {
-		if r.state == stateStopping && now-r.stopSent >= stopRetry {
+	for _, r := range k.sortedRuns() {
+		if r.state == stateStopping && now-r.stopSentAt >= stopRetryInterval {
 			k.sendStop(now, r)
 		}
 	}
-	for len(k.started) > 0 && now-k.started[0].at > startMemory {
-		k.started = k.started[1:]
+	for len(k.recentStarts) > 0 && now-k.recentStarts[0].at > startRetention {
+		k.recentStarts = k.recentStarts[1:]
 	}
-	for len(k.doubtful) > 0 && now-k.doubtful[0].at > lateOrders {
-		k.doubtful = k.doubtful[1:]
+	for len(k.unconfirmed) > 0 && now-k.unconfirmed[0].at > maxStartDelay {
+		k.unconfirmed = k.unconfirmed[1:]
 	}
-	k.tickKept(now)
-	k.noticePause(now)
+	k.tickDurable(now)
+	k.detectPause(now)
 	for name, e := range marshaler.InOrder(k.entries) {
-		if now-e.heard >= k.silenceLimit(e) {
+		if now-e.lastReceived >= k.entryTimeout(e) {
 			if now >= k.graceEnd {
-				k.loseEntry(now, name, e)
+				k.removeEntry(now, name, e)
 			}
 			continue
 		}
-		e.outcomes = slices.DeleteFunc(e.outcomes, func(o sentOutcome) bool { return now-o.at > outcomeMemory })
-		if e.link != nil && now-e.sent >= k.beatPeriod(e) {
+		e.outcomes = slices.DeleteFunc(e.outcomes, func(o sentOutcome) bool { return now-o.at > outcomeRetention })
+		if e.link != nil && now-e.lastSent >= k.heartbeatInterval(e) {
 			k.sendLoad(now, e)
 		}
 	}
 }
 
 // noticePause grants all entries a grace time when this process stood still, because its silence is not theirs.
-func (k *Keeper) noticePause(now timer.Millis) {
-	if pause := now - k.ticked; k.ticked != 0 && pause >= marshaler.PauseLimit {
-		k.graceEnd = now + resumeGrace
+func (k *Keeper) detectPause(now timer.Millis) {
+	if pause := now - k.lastTick; k.lastTick != 0 && pause >= marshaler.PauseLimit {
+		k.graceEnd = now + resumeGracePeriod
 		k.report(Event{Kind: "paused", Value: int64(pause)})
 	}
-	k.ticked = now
+	k.lastTick = now
 }
 
 // active reports whether an entry has runs here, places on this sidecar, or says that kept jobs may be in use, or owns some. Other
 // sessions are only kept open. The entry comes to the same conclusion.
 func (k *Keeper) active(e *entry) bool {
-	if e.subscribed || e.kept {
+	if e.subscribed || e.durableInUse {
 		return true
 	}
-	for _, c := range k.kept.claims {
+	for _, c := range k.durable.claims {
 		if c.entry == e.name {
 			return true
 		}
@@ -356,42 +356,42 @@
 	return false
 }
 
-func (k *Keeper) silenceLimit(e *entry) timer.Millis {
+func (k *Keeper) entryTimeout(e *entry) timer.Millis {
 	if k.active(e) {
 		return VouchLimit
 	}
 	return marshaler.IdleSilenceLimit
 }
 
-func (k *Keeper) beatPeriod(e *entry) timer.Millis {
-	if !e.greeted || k.active(e) { // the outcomes of its runs may still wait for the greeting
+func (k *Keeper) heartbeatInterval(e *entry) timer.Millis {
+	if !e.synced || k.active(e) { // the outcomes of its runs may still wait for the greeting
 		return BeatPeriod
 	}
 	return marshaler.IdleBeatPeriod
 }
 
 // vouched reports whether each entry that has a run here gave a sign of life within VouchLimit.
-func (k *Keeper) vouched(now timer.Millis) bool {
+func (k *Keeper) entriesAlive(now timer.Millis) bool {
 	for _, r := range k.runs {
-		if r.state != stateStopping && now-r.entry.heard >= VouchLimit {
+		if r.state != stateStopping && now-r.entry.lastReceived >= VouchLimit {
 			return false
 		}
 	}
 	return true
 }
 
-func (k *Keeper) loseEntry(now timer.Millis, name string, e *entry) {
+func (k *Keeper) removeEntry(now timer.Millis, name string, e *entry) {
 	delete(k.entries, name)
-	k.lostOwner(e)
+	k.onOwnerLost(e)
 	stopped := 0
-	for _, r := range k.sorted() {
+	for _, r := range k.sortedRuns() {
 		if r.entry == e {
-			k.stop(now, r, marshaler.StatusStopped, "entry is lost")
+			k.stopRun(now, r, marshaler.StatusStopped, "entry is lost")
 			stopped++
 		}
 	}
 	if e.link != nil {
-		e.link.Close(errSilent)
+		e.link.Close(errEntryTimeout)
 		e.link = nil
 	}
 	k.report(Event{Kind: "entryLost", Entry: name, Value: int64(stopped)})
--- a/keeper/kept_test.go
+++ b/keeper/kept_test.go
@@ -7,26 +7,26 @@
 	"github.com/crocuslb/crocuslb/marshaler"
 )
 
-const keptJob = "kept-job"
+const durableJob = "kept-job"
 
 // keptDesk is a desk whose entry owns the partition of a kept job, with the censuses that it sent.
-type keptDesk struct {
-	*desk
+type durableFixture struct {
+	*fixture
 	censuses []marshaler.Census
 	part     marshaler.Partition
 }
 
-func newKeptDesk() *keptDesk {
-	d := &keptDesk{desk: newDesk()}
+func newDurableFixture() *durableFixture {
+	d := &durableFixture{fixture: newFixture()}
 	d.k.Partitions = 4
-	d.part = marshaler.Partition{Number: marshaler.PartitionOf(keptJob, 4), Epoch: 5, Previous: 3}
-	d.watch()
+	d.part = marshaler.Partition{Number: marshaler.PartitionOf(durableJob, 4), Epoch: 5, Previous: 3}
+	d.recordCensuses()
 	d.claim(d.part)
 	return d
 }
 
 // watch keeps the censuses of the current session.
-func (d *keptDesk) watch() {
+func (d *durableFixture) recordCensuses() {
 	send := d.link.Send
 	d.link.Send = func(m marshaler.Message) {
 		if c, ok := m.(*marshaler.Census); ok {
@@ -36,25 +36,25 @@
 	}
 }
 
-func (d *keptDesk) claim(p marshaler.Partition) {
+func (d *durableFixture) claim(p marshaler.Partition) {
 	d.k.OnMessage(d.now, d.link, &marshaler.Claim{Partitions: []marshaler.Partition{p}})
 }
 
-func keptRun(index, attempt uint64) marshaler.RunKey {
-	return marshaler.RunKey{Job: keptJob, Index: index, Attempt: attempt}
+func durableRun(index, attempt uint64) marshaler.RunKey {
+	return marshaler.RunKey{Job: durableJob, Index: index, Attempt: attempt}
 }
 
 // start orders a run under an epoch and lets the backend server answer.
-func (d *keptDesk) start(r marshaler.RunKey, epoch uint64) {
+func (d *durableFixture) startDurable(r marshaler.RunKey, epoch uint64) {
 	d.k.OnMessage(d.now, d.link, &marshaler.Start{
 		Run: r, Room: marshaler.Room{CPU: 1000}, Estimate: 100, NotAfter: int64(d.now) + 400, Epoch: epoch,
 	})
-	if d.k.find(r) != nil {
+	if d.k.findRun(r) != nil {
 		d.k.OnStarted(d.now, Started{Run: r, Status: StartDone})
 	}
 }
 
-func (d *keptDesk) processed() uint64 {
+func (d *durableFixture) processed() uint64 {
 	h, _ := d.k.BeginHold(d.now)
 	return h.Processed
 }
@@ -71,21 +71,21 @@
 		{"stopped", marshaler.StatusStopped, 0, 7}, {"lapsed", marshaler.StatusLost, 0, 7},
 	}
 	for _, c := range cases {
-		d := newKeptDesk()
-		d.start(keptRun(0, 1), 5)
-		d.list([]Row{{Run: keptRun(0, 1)}})
-		d.list(nil, End{Number: 7, Run: keptRun(0, 1), Status: c.status})
+		d := newDurableFixture()
+		d.startDurable(durableRun(0, 1), 5)
+		d.list([]Row{{Run: durableRun(0, 1)}})
+		d.list(nil, End{Number: 7, Run: durableRun(0, 1), Status: c.status})
 		if got := d.outcomes[len(d.outcomes)-1]; got.Number != c.number || got.Status != c.status {
 			t.Errorf("%s: got outcome %+v, want number %d", c.name, got, c.number)
 		}
 		if got := d.processed(); got != c.before {
 			t.Errorf("%s: got %d processed before it was recorded, want %d", c.name, got, c.before)
 		}
-		d.k.OnMessage(d.now, d.link, &marshaler.Noted{Number: 7, Run: keptRun(0, 2)}) // of another run
+		d.k.OnMessage(d.now, d.link, &marshaler.Noted{Number: 7, Run: durableRun(0, 2)}) // of another run
 		if got := d.processed(); got != c.before {
 			t.Errorf("%s: got %d processed after another run was recorded, want %d", c.name, got, c.before)
 		}
-		d.k.OnMessage(d.now, d.link, &marshaler.Noted{Number: 7, Run: keptRun(0, 1)})
+		d.k.OnMessage(d.now, d.link, &marshaler.Noted{Number: 7, Run: durableRun(0, 1)})
 		if got := d.processed(); got != 7 {
 			t.Errorf("%s: got %d processed after it was recorded, want 7", c.name, got)
 		}
@@ -95,12 +95,12 @@
 // TestVoid guards against void ends that the backend server forgets while its lease goes on, and against a lease that is
 // extended meanwhile.
 func TestVoid(t *testing.T) {
-	d := newKeptDesk()
+	d := newDurableFixture()
 	d.now += 1500 // the lease of an earlier life of this process is over
 	d.list(nil)
-	d.start(keptRun(0, 1), 5)
-	d.list(nil, End{Number: 1, Run: keptRun(0, 1), Status: marshaler.StatusDone})
-	d.k.OnMessage(d.now, d.link, &marshaler.Noted{Number: 1, Run: keptRun(0, 1), Void: true})
+	d.startDurable(durableRun(0, 1), 5)
+	d.list(nil, End{Number: 1, Run: durableRun(0, 1), Status: marshaler.StatusDone})
+	d.k.OnMessage(d.now, d.link, &marshaler.Noted{Number: 1, Run: durableRun(0, 1), Void: true})
 	leaseEnd := d.now + LeaseTerm
 	for ; d.now <= leaseEnd; d.now += 100 {
 		if ok, reason := d.k.Accepting(); ok {
@@ -111,9 +111,9 @@
 		if h, _ := d.k.BeginHold(d.now); h.Until != 0 || h.Processed != 0 {
 			t.Errorf("%d ms before the lease ends: got a hold until %d, processed %d, want neither", leaseEnd-d.now, h.Until, h.Processed)
 		}
-		d.list(nil, End{Number: 1, Run: keptRun(0, 1), Status: marshaler.StatusDone})
+		d.list(nil, End{Number: 1, Run: durableRun(0, 1), Status: marshaler.StatusDone})
 	}
-	d.list(nil, End{Number: 1, Run: keptRun(0, 1), Status: marshaler.StatusDone})
+	d.list(nil, End{Number: 1, Run: durableRun(0, 1), Status: marshaler.StatusDone})
 	if ok, reason := d.k.Accepting(); !ok || d.processed() != 1 {
 		t.Errorf("after the lapse: got accepting %v (%s), %d processed, want true and 1", ok, reason, d.processed())
 	}
@@ -121,32 +121,32 @@
 
 // TestClaims guards against starts of former owners, and against runs and ends that a new owner does not learn.
 func TestClaims(t *testing.T) {
-	d := newKeptDesk()
-	d.start(keptRun(0, 1), 5)
-	d.start(keptRun(1, 1), 5)
-	d.list([]Row{{Run: keptRun(0, 1)}, {Run: keptRun(1, 1)}})
-	d.list([]Row{{Run: keptRun(0, 1)}}, End{Number: 1, Run: keptRun(1, 1), Status: marshaler.StatusDone})
+	d := newDurableFixture()
+	d.startDurable(durableRun(0, 1), 5)
+	d.startDurable(durableRun(1, 1), 5)
+	d.list([]Row{{Run: durableRun(0, 1)}, {Run: durableRun(1, 1)}})
+	d.list([]Row{{Run: durableRun(0, 1)}}, End{Number: 1, Run: durableRun(1, 1), Status: marshaler.StatusDone})
 	former := d.link
 	d.connect("entry-2", 1)
-	d.watch()
+	d.recordCensuses()
 	d.claim(marshaler.Partition{Number: d.part.Number, Epoch: 9, Previous: 5})
 	got := d.censuses[len(d.censuses)-1]
-	if !reflect.DeepEqual(got.Runs, []marshaler.RunKey{keptRun(0, 1)}) || len(got.Ends) != 1 || got.Ends[0].Run != keptRun(1, 1) || got.Ends[0].Stale {
+	if !reflect.DeepEqual(got.Runs, []marshaler.RunKey{durableRun(0, 1)}) || len(got.Ends) != 1 || got.Ends[0].Run != durableRun(1, 1) || got.Ends[0].Stale {
 		t.Errorf("new owner: got %+v, want the run and an end that is not stale", got)
 	}
 	d.link, former = former, d.link
-	d.start(keptRun(2, 1), 5)
-	if last := d.outcomes[len(d.outcomes)-1]; last.Status != marshaler.StatusRefused || d.k.find(keptRun(2, 1)) != nil {
+	d.startDurable(durableRun(2, 1), 5)
+	if last := d.outcomes[len(d.outcomes)-1]; last.Status != marshaler.StatusRefused || d.k.findRun(durableRun(2, 1)) != nil {
 		t.Errorf("start of the former owner: got %+v, want a refusal", last)
 	}
 	d.claim(d.part) // the former owner's message is late
 	d.link = former
-	d.start(keptRun(3, 1), 9)
-	if d.k.find(keptRun(3, 1)) == nil {
+	d.startDurable(durableRun(3, 1), 9)
+	if d.k.findRun(durableRun(3, 1)) == nil {
 		t.Error("start of the new owner: got a refusal, want a run")
 	}
-	d.k.OnMessage(d.now, d.link, &marshaler.Stop{Run: keptRun(0, 1)})
-	if r := d.k.find(keptRun(0, 1)); r == nil || r.state != stateStopping {
+	d.k.OnMessage(d.now, d.link, &marshaler.Stop{Run: durableRun(0, 1)})
+	if r := d.k.findRun(durableRun(0, 1)); r == nil || r.state != stateStopping {
 		t.Error("the new owner cannot stop the run of the former one")
 	}
 }
@@ -165,16 +165,16 @@
 		{"owner lost", marshaler.Partition{Epoch: 9, Previous: 5}, true, true},
 	}
 	for _, c := range cases {
-		d := newKeptDesk()
-		d.start(keptRun(0, 1), 5)
-		d.list([]Row{{Run: keptRun(0, 1)}})
-		d.list(nil, End{Number: 1, Run: keptRun(0, 1), Status: marshaler.StatusDone})
+		d := newDurableFixture()
+		d.startDurable(durableRun(0, 1), 5)
+		d.list([]Row{{Run: durableRun(0, 1)}})
+		d.list(nil, End{Number: 1, Run: durableRun(0, 1), Status: marshaler.StatusDone})
 		if c.quiet {
 			d.now += VouchLimit + 1
 			d.k.Tick(d.now)
 		}
 		d.connect("entry-2", 1)
-		d.watch()
+		d.recordCensuses()
 		c.next.Number = d.part.Number
 		d.claim(c.next)
 		got := d.censuses[len(d.censuses)-1]
@@ -187,21 +187,21 @@
 // TestRelease guards against runs of a released partition that go on without an owner, or end although one claims them.
 func TestRelease(t *testing.T) {
 	for _, claimed := range []bool{false, true} {
-		d := newKeptDesk()
-		d.start(keptRun(0, 1), 5)
-		d.list([]Row{{Run: keptRun(0, 1)}})
+		d := newDurableFixture()
+		d.startDurable(durableRun(0, 1), 5)
+		d.list([]Row{{Run: durableRun(0, 1)}})
 		d.k.OnMessage(d.now, d.link, &marshaler.Release{Partition: d.part})
 		if claimed {
 			d.connect("entry-2", 1)
-			d.watch()
+			d.recordCensuses()
 			d.claim(marshaler.Partition{Number: d.part.Number, Epoch: 9, Previous: 5})
 		}
 		d.now += VouchLimit + 1
 		for _, e := range d.k.entries {
-			e.heard = d.now
+			e.lastReceived = d.now
 		}
 		d.k.Tick(d.now)
-		if r := d.k.find(keptRun(0, 1)); (r.state == stateStopping) == claimed {
+		if r := d.k.findRun(durableRun(0, 1)); (r.state == stateStopping) == claimed {
 			t.Errorf("claimed %v: got state %d", claimed, r.state)
 		}
 	}
@@ -209,13 +209,13 @@
 
 // TestFound guards against ends of an earlier life of the sidecar that nobody learns, and against ends that are listed for
 // ever where there are no kept jobs.
-func TestFound(t *testing.T) {
+func TestEndsOfEarlierProcess(t *testing.T) {
 	for _, kept := range []bool{true, false} {
-		d := &keptDesk{desk: newDesk()}
+		d := &durableFixture{fixture: newFixture()}
 		d.k.Partitions = 4
-		d.watch()
+		d.recordCensuses()
 		d.k.OnMessage(d.now, d.link, &marshaler.Beat{Kept: kept})
-		d.list(nil, End{Number: 4, Run: keptRun(0, 1), Status: marshaler.StatusDone})
+		d.list(nil, End{Number: 4, Run: durableRun(0, 1), Status: marshaler.StatusDone})
 		d.k.Tick(d.now)
 		if got, want := d.processed(), map[bool]uint64{true: 3, false: 4}[kept]; got != want {
 			t.Errorf("kept jobs in use %v: got %d processed, want %d", kept, got, want)
@@ -223,7 +223,7 @@
 		if !kept {
 			continue
 		}
-		d.claim(marshaler.Partition{Number: marshaler.PartitionOf(keptJob, 4), Epoch: 5})
+		d.claim(marshaler.Partition{Number: marshaler.PartitionOf(durableJob, 4), Epoch: 5})
 		if got := d.censuses[len(d.censuses)-1]; len(got.Ends) != 1 || !got.Ends[0].Stale {
 			t.Errorf("got %+v, want the end as a stale one", got)
 		}
--- a/keeper/runs.go
+++ b/keeper/runs.go
@@ -9,15 +9,15 @@
 )
 
 // order handles a start.
-func (k *Keeper) order(now timer.Millis, e *entry, m *marshaler.Start) {
-	k.started = append(k.started, startedJob{m.Run.Job, now})
+func (k *Keeper) onStart(now timer.Millis, e *entry, m *marshaler.Start) {
+	k.recentStarts = append(k.recentStarts, recentStart{m.Run.Job, now})
 	for _, other := range marshaler.InOrder(k.entries) {
 		if other.subscribed {
-			other.seen = append(other.seen, m.Run.Job)
+			other.pendingStarts = append(other.pendingStarts, m.Run.Job)
 		}
 	}
 	ok, reason := k.Accepting()
-	at := task{m.Run.Job, m.Run.Index}
+	at := taskKey{m.Run.Job, m.Run.Index}
 	switch {
 	case !ok:
 	case !k.mayStart(e, m):
@@ -30,53 +30,53 @@
 		ok, reason = false, "start is late"
 	}
 	if !ok {
-		k.send(now, e, marshaler.Outcome{Run: m.Run, Status: marshaler.StatusRefused, Reason: reason})
+		k.sendOutcome(now, e, marshaler.Outcome{Run: m.Run, Status: marshaler.StatusRefused, Reason: reason})
 		k.report(Event{Kind: "refuse", Run: m.Run, Entry: e.name, Detail: reason, Value: k.free.CPU})
 		return
 	}
-	r := &run{key: m.Run, entry: e, room: m.Room, kept: m.Epoch > 0, estimate: m.Estimate, state: stateStarting, since: now, progress: now, startsAt: k.holds}
+	r := &run{key: m.Run, entry: e, room: m.Room, durable: m.Epoch > 0, estimate: m.Estimate, state: stateStarting, startedAt: now, progressAt: now, startHold: k.lastHold}
 	if k.runs == nil {
-		k.runs = map[task]*run{}
+		k.runs = map[taskKey]*run{}
 	}
 	k.runs[at] = r
 	k.free = k.free.Sub(r.room)
-	k.kept.extend(m.NotAfter)
+	k.durable.extendLease(m.NotAfter)
 	k.report(Event{Kind: "start", Run: m.Run, Entry: e.name, Value: k.free.CPU})
 	k.Start(*m)
 }
 
 // OnStarted takes the backend server's answer to a start.
 func (k *Keeper) OnStarted(now timer.Millis, s Started) {
-	r := k.find(s.Run)
+	r := k.findRun(s.Run)
 	if r == nil {
 		return
 	}
 	switch s.Status {
 	case StartDone:
-		r.startsAt = k.holds
+		r.startHold = k.lastHold
 		if r.state == stateStarting {
-			r.state, r.since, r.progress = stateRunning, now, now
+			r.state, r.startedAt, r.progressAt = stateRunning, now, now
 		}
 	case StartRefused:
-		k.end(now, r, marshaler.StatusRefused, s.Reason)
+		k.endRun(now, r, marshaler.StatusRefused, s.Reason)
 	case StartOld:
-		k.end(now, r, marshaler.StatusOld, s.Reason)
+		k.endRun(now, r, marshaler.StatusOld, s.Reason)
 	default:
 		if r.listed {
-			r.startsAt = k.holds
+			r.startHold = k.lastHold
 			if r.state == stateStarting {
 				r.state = stateRunning
 			}
 			return
 		}
 		// The order may still be carried out. A stop that the backend server answers makes sure that it never is.
-		k.doubtful = append(k.doubtful, doubtfulStart{s.Run, now})
-		k.stop(now, r, marshaler.StatusRefused, "no answer to the start: "+s.Reason)
+		k.unconfirmed = append(k.unconfirmed, unconfirmedStart{s.Run, now})
+		k.stopRun(now, r, marshaler.StatusRefused, "no answer to the start: "+s.Reason)
 	}
 }
 
 // stop asks the backend server to end a run. The run keeps its room until a listing shows that it is gone.
-func (k *Keeper) stop(now timer.Millis, r *run, status marshaler.Status, reason string) {
+func (k *Keeper) stopRun(now timer.Millis, r *run, status marshaler.Status, reason string) {
 	if r.state == stateStopping {
 		return
 	}
@@ -86,52 +86,52 @@
 }
 
 func (k *Keeper) sendStop(now timer.Millis, r *run) {
-	r.stopSent = now
+	r.stopSentAt = now
 	k.Stop(r.key)
 }
 
 // OnStopped takes the backend server's answer to a stop. ok is false when there was none; gone says that it has no
 // listener.
 func (k *Keeper) OnStopped(now timer.Millis, key marshaler.RunKey, ok, gone bool) {
-	if r := k.find(key); r != nil && gone {
-		k.end(now, r, marshaler.StatusLost, "backend server is gone")
+	if r := k.findRun(key); r != nil && gone {
+		k.endRun(now, r, marshaler.StatusLost, "backend server is gone")
 		return
 	}
-	if r := k.find(key); r != nil && ok && r.stopsAt == 0 {
-		r.stopsAt = k.holds
+	if r := k.findRun(key); r != nil && ok && r.stopHold == 0 {
+		r.stopHold = k.lastHold
 		k.Look()
 	}
 }
 
 // endAll ends the runs that the backend server listed, because it is gone. Other starts may reach its next life; those
 // runs end when a stop was answered.
-func (k *Keeper) endAll(now timer.Millis, reason string) {
-	for _, r := range k.sorted() {
+func (k *Keeper) endListedRuns(now timer.Millis, reason string) {
+	for _, r := range k.sortedRuns() {
 		switch {
 		case r.listed:
-			k.end(now, r, marshaler.StatusLost, reason)
+			k.endRun(now, r, marshaler.StatusLost, reason)
 		case r.state == stateStopping:
-			r.stopsAt = 0 // the answer was that of the earlier life
+			r.stopHold = 0 // the answer was that of the earlier life
 		case r.state == stateRunning: // perhaps it was the next life that answered the start
-			k.stop(now, r, marshaler.StatusLost, reason)
+			k.stopRun(now, r, marshaler.StatusLost, reason)
 		}
 	}
 }
 
-func (k *Keeper) find(key marshaler.RunKey) *run {
-	if r := k.runs[task{key.Job, key.Index}]; r != nil && r.key.Attempt == key.Attempt {
+func (k *Keeper) findRun(key marshaler.RunKey) *run {
+	if r := k.runs[taskKey{key.Job, key.Index}]; r != nil && r.key.Attempt == key.Attempt {
 		return r
 	}
 	return nil
 }
 
 // sorted returns the runs in an order that does not depend on the map, so that tests repeat.
-func (k *Keeper) sorted() []*run {
+func (k *Keeper) sortedRuns() []*run {
 	return slices.SortedFunc(maps.Values(k.runs), func(a, b *run) int { return a.key.Compare(b.key) })
 }
 
 // account computes the free room anew.
-func (k *Keeper) account() {
+func (k *Keeper) recomputeFree() {
 	k.free = k.backend.Total
 	for _, r := range k.runs {
 		k.free = k.free.Sub(r.room)
@@ -139,28 +139,28 @@
 }
 
 // end removes a run that has surely ended without a listed end, and reports it.
-func (k *Keeper) end(now timer.Millis, r *run, status marshaler.Status, reason string) {
-	k.finish(now, r, status, reason, 0)
+func (k *Keeper) endRun(now timer.Millis, r *run, status marshaler.Status, reason string) {
+	k.finishRun(now, r, status, reason, 0)
 }
 
 // finish removes a run that has surely ended and reports it. number is that of its listed end, 0 for none.
-func (k *Keeper) finish(now timer.Millis, r *run, status marshaler.Status, reason string, number uint64) {
-	delete(k.runs, task{r.key.Job, r.key.Index})
+func (k *Keeper) finishRun(now timer.Millis, r *run, status marshaler.Status, reason string, number uint64) {
+	delete(k.runs, taskKey{r.key.Job, r.key.Index})
 	k.free = k.free.Add(r.room)
-	ran := now - r.since
+	ran := now - r.startedAt
 	if status == marshaler.StatusRefused || status == marshaler.StatusOld {
 		ran = 0
 	}
 	outcome := marshaler.Outcome{Run: r.key, Status: status, Reason: reason, Ran: ran}
-	if r.kept && number > 0 && lasting(status) {
+	if r.durable && number > 0 && mustRecord(status) {
 		outcome.Number = number
-		k.kept.add(outcome)
+		k.durable.addEnd(outcome)
 	}
-	k.send(now, r.entry, outcome)
+	k.sendOutcome(now, r.entry, outcome)
 	settled := marshaler.Settled{Job: r.key.Job, Status: status, Ran: ran, Estimate: r.estimate, Room: r.room}
 	for _, e := range marshaler.InOrder(k.entries) {
 		if e.subscribed {
-			e.settled = append(e.settled, settled)
+			e.pendingEnds = append(e.pendingEnds, settled)
 		}
 	}
 	k.report(Event{Kind: "end", Run: r.key, Entry: r.entry.name, Detail: status.String() + " " + reason, Value: int64(ran)})
