--- a/carrier/node.go
+++ b/carrier/node.go
@@ -125,7 +125,7 @@
 		err = s.read(r, func(batch []marshaler.Message) { n.OnMessage(s, batch) })
 	})
 	s.Close(err)
-	n.recoverPanic(s, func() { n.OnDown(s, s.closeCause) })
+	n.recoverPanic(s, func() { n.OnDown(s, s.cause) })
 	return true
 }
 
--- a/carrier/session.go
+++ b/carrier/session.go
@@ -42,7 +42,7 @@
 		wake       chan struct{}
 		done       chan struct{}
 		closeOnce  sync.Once
-		closeCause error
+		cause error
 	}
 )
 
@@ -75,7 +75,7 @@
 // Close ends the session. Only the first cause is kept.
 func (s *Session) Close(cause error) {
 	s.closeOnce.Do(func() {
-		s.closeCause = cause
+		s.cause = cause
 		close(s.done)
 		if c, ok := s.conn.(*net.TCPConn); ok {
 			// A reset drops what the system still holds: messages must not arrive after the session ended.
--- a/keeper/kept.go
+++ b/keeper/durable.go
@@ -8,59 +8,62 @@
 	"github.com/crocuslb/crocuslb/timer"
 )
 
-// maxLease is the longest lease that a backend server gives. An earlier life of this process may have asked for it.
-const maxLeaseMs = 1000 // ms on the backend server's clock
+// maxLeaseMs is the longest lease that a backend server grants, on its own clock. A previous incarnation of this process
+// may have requested it.
+const maxLeaseMs = 1000
 
 type (
-	// kept is what a sidecar knows of kept jobs. Each of their partitions has one owner at a time, and an end with success
-	// or failure is listed by the backend server until the owner has recorded it. The zero value is ready to use.
+	// durableState is the sidecar's state of durable jobs. Each partition of these jobs has one owner at a time. The backend
+	// server lists a successful or failed end until the owner has recorded it. The zero value is ready to use.
 	durableState struct {
 		claims map[uint64]claim // by partition
-		// ends are those that no owner has recorded yet, by their number.
+		// unrecorded has the ends that no owner has recorded yet, by their number.
 		unrecorded      map[uint64]unrecordedEnd
-		orphanDeadlines map[uint64]timer.Millis // time after which the runs of a released partition are stopped
-		// leaseEnd is the latest end of the lease that was or may have been asked for, on the backend server's clock; 0
-		// before the first listing.
+		orphanDeadlines map[uint64]timer.Millis // by released partition; its runs are stopped at this time
+		// leaseEnd is the latest expiry that was or may have been requested for the lease, on the backend server's clock; 0
+		// before the first hold response.
 		leaseEnd int64
-		// lapsing says that the lease is left to lapse, because void ends must not count.
+		// leaseExpiring says that the lease is not renewed. Void ends must not count, so they are acknowledged to the backend
+		// server only after the lease has expired.
 		leaseExpiring bool
 	}
 
-	// claim is the owner of a partition.
+	// claim is the ownership of a partition by an entry.
 	claim struct {
 		epoch     uint64
 		entry     string
-		censusDue bool // its Census was not sent yet
+		censusDue bool // the Census was not sent yet
 	}
 
 	unrecordedEnd struct {
 		outcome marshaler.Outcome
-		void    bool
+		void    bool // must not count, because the task was started again
 	}
 )
 
-// lasting reports whether an end of a run of a kept job has to be recorded before the backend server forgets it.
+// mustRecord reports whether a durable job's run that ended with status s has to be recorded before the backend server
+// forgets its end.
 func mustRecord(s marshaler.Status) bool {
 	return s == marshaler.StatusDone || s == marshaler.StatusFailed
 }
 
-func (kp *durableState) addEnd(o marshaler.Outcome) {
-	if kp.unrecorded == nil {
-		kp.unrecorded = map[uint64]unrecordedEnd{}
+func (st *durableState) addEnd(o marshaler.Outcome) {
+	if st.unrecorded == nil {
+		st.unrecorded = map[uint64]unrecordedEnd{}
 	}
-	kp.unrecorded[o.Number] = unrecordedEnd{outcome: o}
+	st.unrecorded[o.Number] = unrecordedEnd{outcome: o}
 }
 
-// forget drops what an earlier life of the backend server listed. That life's ends cannot be listed any more.
-func (kp *durableState) reset() { kp.unrecorded, kp.leaseEnd, kp.leaseExpiring = nil, 0, false }
+// reset discards the ends that a previous incarnation of the backend server listed. They will not be listed again.
+func (st *durableState) reset() { st.unrecorded, st.leaseEnd, st.leaseExpiring = nil, 0, false }
 
-func (kp *durableState) extendLease(until int64) {
-	if kp.leaseEnd != 0 {
-		kp.leaseEnd = max(kp.leaseEnd, until)
+func (st *durableState) extendLease(until int64) {
+	if st.leaseEnd != 0 {
+		st.leaseEnd = max(st.leaseEnd, until)
 	}
 }
 
-// processed returns the number up to which ends need not be listed again.
+// processed returns the number up to which the backend server may forget ends: each unrecorded end has a higher number.
 func (k *Keeper) processed() uint64 {
 	number := k.lastEnd
 	for n := range k.durable.unrecorded {
@@ -71,7 +74,7 @@
 
 func (k *Keeper) partition(job string) uint64 { return marshaler.PartitionOf(job, k.Partitions) }
 
-// mayStart reports whether an entry owns the job of a start. Restartable jobs have no owner.
+// mayStart reports whether the entry owns the job of a start. Restartable jobs have no owner.
 func (k *Keeper) mayStart(e *entry, m *marshaler.Start) bool {
 	if m.Epoch == 0 {
 		return true
@@ -80,7 +83,8 @@
 	return c.epoch == m.Epoch && c.entry == e.name
 }
 
-// found takes an end of a run that this process does not know: one of an earlier life of it, or one that was given up.
+// onUnknownEnd handles the end of a run that this process does not track: it was started by a previous incarnation of this
+// process, or given up.
 func (k *Keeper) onUnknownEnd(e End) {
 	if mustRecord(e.Status) && k.durableInUse() {
 		k.durable.addEnd(marshaler.Outcome{Run: e.Run, Status: e.Status, Reason: "found after a restart", Number: e.Number, Stale: true})
@@ -88,7 +92,8 @@
 	}
 }
 
-// keptInUse reports whether kept jobs may be in use: a partition was claimed, or no entry knows that there are none.
+// durableInUse reports whether durable jobs may be in use: a partition was claimed, an entry reports them, or no connected
+// entry has reported yet.
 func (k *Keeper) durableInUse() bool {
 	if len(k.durable.claims) > 0 {
 		return true
@@ -105,7 +110,8 @@
 	return !known
 }
 
-// claim takes the partitions that an entry owns. What earlier owners started there is the new owner's from now on.
+// onClaim handles the list of partitions that an entry owns. Runs that previous owners started in them are reassigned to
+// the new owner.
 func (k *Keeper) onClaim(e *entry, partitions []marshaler.Partition) {
 	if k.durable.claims == nil {
 		k.durable.claims = map[uint64]claim{}
@@ -116,25 +122,26 @@
 			continue
 		}
 		if c, ok := k.durable.claims[p.Number]; ok && c.epoch != p.Epoch && c.epoch != p.Previous {
-			k.markEndsStale(p.Number) // an owner between the two never reached this sidecar
+			k.markEndsStale(p.Number) // an intermediate owner never reached this sidecar
 		}
 		k.durable.claims[p.Number] = claim{p.Epoch, e.name, true}
 		delete(k.durable.orphanDeadlines, p.Number)
-		taken := 0
+		reassigned := 0
 		for _, r := range k.runs {
 			if r.durable && k.partition(r.key.Job) == p.Number && r.entry != e {
 				r.entry = e
-				taken++
+				reassigned++
 			}
 		}
-		if taken > 0 {
-			k.report(Event{Kind: "claim", Entry: e.name, Value: int64(taken)})
+		if reassigned > 0 {
+			k.report(Event{Kind: "claim", Entry: e.name, Value: int64(reassigned)})
 		}
 	}
 	k.sendCensuses()
 }
 
-// lostOwner takes the loss of an entry. It may start tasks again whose ends it could not learn.
+// onOwnerLost marks the unrecorded ends in a lost entry's partitions as stale. The entry may still be running and restart
+// tasks whose ends it did not receive.
 func (k *Keeper) onOwnerLost(e *entry) {
 	for number, c := range k.durable.claims {
 		if c.entry == e.name {
@@ -143,7 +150,6 @@
 	}
 }
 
-// ageEnds marks the unrecorded ends of a partition as stale.
 func (k *Keeper) markEndsStale(number uint64) {
 	for n, u := range k.durable.unrecorded {
 		if k.partition(u.outcome.Run.Job) == number {
@@ -153,7 +159,7 @@
 	}
 }
 
-// sendCensuses answers claims, once this process knows all that runs.
+// sendCensuses answers claims. It does nothing until this process knows all active runs.
 func (k *Keeper) sendCensuses() {
 	if !k.reconciled {
 		return
@@ -165,7 +171,7 @@
 	}
 }
 
-// offer sends the owner of a partition what this sidecar has of it.
+// sendCensus sends the owner of a partition its active runs and unrecorded ends on this sidecar.
 func (k *Keeper) sendCensus(number uint64) {
 	c, ok := k.durable.claims[number]
 	e := k.entries[c.entry]
@@ -188,7 +194,8 @@
 	e.link.Send(census)
 }
 
-// release takes the message that an entry does not own a partition any more. The next owner has VouchLimit to claim it.
+// onRelease handles an entry's message that it no longer owns a partition. The runs of the partition are stopped unless the
+// next owner claims it within the entry timeout.
 func (k *Keeper) onRelease(now timer.Millis, e *entry, p marshaler.Partition) {
 	if c := k.durable.claims[p.Number]; c.epoch != p.Epoch || c.entry != e.name {
 		return
@@ -199,7 +206,8 @@
 	k.durable.orphanDeadlines[p.Number] = now + VouchLimit
 }
 
-// noted takes the owner's answer to an end.
+// onNoted handles the owner's confirmation that it has recorded or voided an end. A void end
+// must not count, so it is not acknowledged to the backend server before the lease has expired.
 func (k *Keeper) onNoted(now timer.Millis, m *marshaler.Noted) {
 	u, ok := k.durable.unrecorded[m.Number]
 	if !ok || u.outcome.Run != m.Run {
@@ -209,7 +217,7 @@
 		delete(k.durable.unrecorded, m.Number)
 		return
 	}
-	k.report(Event{Kind: "void", Run: m.Run, Detail: "the task was started again; the lease is left to lapse"})
+	k.report(Event{Kind: "void", Run: m.Run, Detail: "the task was started again; the lease is not renewed"})
 	u.void = true
 	k.durable.unrecorded[m.Number] = u
 	if !k.durable.leaseExpiring {
@@ -218,7 +226,8 @@
 	}
 }
 
-// checkLapse ends the pause of the lease once the backend server's clock has passed the end of the lease.
+// checkLeaseExpiry acknowledges void ends and resumes lease renewal once the lease has expired on the backend server's
+// clock.
 func (k *Keeper) checkLeaseExpiry(clock int64) {
 	if k.durable.leaseEnd == 0 {
 		k.durable.leaseEnd = clock + maxLeaseMs
@@ -228,10 +237,11 @@
 	}
 	k.durable.leaseExpiring = false
 	maps.DeleteFunc(k.durable.unrecorded, func(_ uint64, u unrecordedEnd) bool { return u.void })
-	k.report(Event{Kind: "lapsed", Detail: "void ends are forgotten"})
+	k.report(Event{Kind: "lapsed", Detail: "void ends are discarded"})
 }
 
-// tickKept stops the runs of partitions that nobody claimed, and forgets ends when there are no kept jobs.
+// tickDurable stops the runs of partitions that no entry claimed, and discards unrecorded ends when no durable jobs are in
+// use.
 func (k *Keeper) tickDurable(now timer.Millis) {
 	for number, at := range marshaler.InOrder(k.durable.orphanDeadlines) {
 		if now < at {
--- a/keeper/entries.go
+++ b/keeper/entries.go
@@ -10,9 +10,9 @@
 	"github.com/crocuslb/crocuslb/timer"
 )
 
-var errEntryTimeout = trace.ConnectionProblem(nil, "the entry is silent")
+var errEntryTimeout = trace.ConnectionProblem(nil, "no message from the entry within the time-out")
 
-// OnUp takes a new session of an entry. A new life of an entry ends the runs of the earlier one.
+// OnUp handles a new session of an entry. A new incarnation of an entry ends the runs of the previous one.
 func (k *Keeper) OnUp(now timer.Millis, link *marshaler.Link) {
 	h := link.Remote
 	if k.entries == nil {
@@ -20,7 +20,7 @@
 	}
 	e := k.entries[h.Name]
 	if e != nil && e.incarnation > h.Incarnation {
-		link.Close(trace.CompareFailed("a later life of %s is known", h.Name))
+		link.Close(trace.CompareFailed("a newer incarnation of %s is known", h.Name))
 		return
 	}
 	if e != nil && e.incarnation < h.Incarnation {
@@ -42,7 +42,8 @@
 	k.sendLoad(now, e)
 }
 
-// readopt lets an entry that returns after it was held for lost learn the ends of its runs that are being stopped.
+// reattachRuns assigns runs that are still being stopped to their entry when it reconnects after it was declared lost, so
+// that it gets their outcomes.
 func (k *Keeper) reattachRuns(e *entry) {
 	for _, r := range k.runs {
 		if r.entry.name == e.name && r.entry.incarnation == e.incarnation {
@@ -51,14 +52,14 @@
 	}
 }
 
-// OnDown takes the end of a session. The runs of its entry go on until VouchLimit.
+// OnDown handles the end of a session. The runs of its entry continue until the entry times out.
 func (k *Keeper) OnDown(link *marshaler.Link) {
 	if e := k.entryByLink(link); e != nil {
 		e.link = nil
 	}
 }
 
-// OnMessage takes a message of an entry.
+// OnMessage handles a message from an entry.
 func (k *Keeper) OnMessage(now timer.Millis, link *marshaler.Link, m marshaler.Message) {
 	e := k.entryByLink(link)
 	if e == nil {
@@ -67,7 +68,7 @@
 	e.lastReceived = now
 	if k.renewalDue && k.entriesAlive(now) {
 		k.renewalDue = false
-		k.Look() // extends the lease at once
+		k.Look() // renews the lease immediately
 	}
 	switch m := m.(type) {
 	case *marshaler.Start:
@@ -93,7 +94,7 @@
 	}
 }
 
-// tellStarted reports the latest starts to an entry that begins to place: they may have come before its subscription.
+// replayStarts queues the recent starts for a new placing entry, because they may precede its subscription.
 func (k *Keeper) replayStarts(e *entry) {
 	e.pendingStarts = nil
 	if !e.subscribed {
@@ -119,7 +120,8 @@
 	e.link.Send(&marshaler.Backend{ID: b.ID, Born: b.Born, Service: b.Service, Labels: b.Labels, Total: b.Total})
 }
 
-// greet repeats the latest outcomes and lists the entry's runs, once this process knows all that runs.
+// syncSession resends the recent outcomes and lists the entry's runs. It does nothing until a hold response has shown that
+// this process knows all running tasks.
 func (k *Keeper) syncSession(e *entry) {
 	if e.link == nil || e.synced || !k.reconciled {
 		return
@@ -144,12 +146,13 @@
 	k.sendCensuses()
 }
 
-// send reports an outcome to the entry that ordered the run, on its current session if it has one.
+// sendOutcome reports an outcome to the entry that started the run, on its current session if there is one, and keeps it
+// for a later session.
 func (k *Keeper) sendOutcome(now timer.Millis, e *entry, m marshaler.Outcome) {
 	e.outcomes = append(e.outcomes, sentOutcome{now, m})
 	if e.link != nil && e.synced {
 		e.link.Send(&m)
-		if !e.subscribed { // it is a sign of life as well
+		if !e.subscribed { // an outcome also serves as a heartbeat
 			e.lastSent = now
 		}
 	}
--- a/keeper/keeper.go
+++ b/keeper/keeper.go
@@ -1,6 +1,7 @@
-// Package keeper is the core of a sidecar on the path of restartable jobs. It decides which starts its backend server
-// gets, keeps account of the room, and makes sure that a run ends when its entry is lost. It is pure: it has no clock and
-// no I/O, and one goroutine calls it.
+// Package keeper implements the sidecar's state machine for restartable and durable jobs. It admits or refuses starts for
+// its backend server, accounts for the server's resources, and ends the runs of entries that are lost. A hold is a
+// long-poll request to the backend server: it renews the lease under which runs continue, and its response lists running
+// and ended runs. The package has no clock, I/O or locking; a single goroutine calls it.
 package keeper
 
 import (
@@ -11,95 +12,95 @@
 )
 
 const (
-	// VouchLimit is how long runs go on without a sign of life of the entry that ordered them.
+	// VouchLimit is the time without a message from an entry after which its runs are stopped.
 	VouchLimit = 450 * timer.Millisecond
-	// LeaseTerm is the length of the lease that each hold asks for. VouchLimit, LeaseTerm on the backend server's slow
-	// clock and the time for a stop add up to less than the time after which a caller sends a job again.
+	// LeaseTerm is the duration of the lease that each hold requests. The entry timeout, this duration on a slow backend
+	// server clock and the time to stop a run add up to less than the time after which a caller resubmits a job.
 	LeaseTerm = 700 * timer.Millisecond
-	// BeatPeriod is the time between two Loads to an entry without news.
+	// BeatPeriod is the interval between Load messages to an entry when nothing has changed.
 	BeatPeriod = 150 * timer.Millisecond
-	// resumeGrace is how long after a pause runs go on without a sign of life of their entry, whose messages wait to be read
-	// or whose session has to be opened again. The lease is not extended for them, so that its end bounds them as ever.
+	// resumeGracePeriod is how long entries are not timed out after this process was paused: their messages may be unread,
+	// or their sessions have to be reopened. The lease is not renewed meanwhile, so its expiry still bounds their runs.
 	resumeGracePeriod = 200 * timer.Millisecond
-	// lateOrders is the longest time after which an order without an answer is carried out.
+	// maxStartDelay is the longest time after which the backend server may still execute a start that it did not answer.
 	maxStartDelay = 15 * timer.Second
-	// outcomeMemory is how long ended runs are kept for an entry whose session broke before it got the outcome.
+	// outcomeRetention is how long outcomes are kept for an entry whose session broke before it received them.
 	outcomeRetention = 2 * timer.Second
-	// startMemory is how long starts are kept for an entry that begins to place. Its reservations live as long.
+	// startRetention is how long starts are kept for a new placing entry. It equals the lifetime of its reservations.
 	startRetention = 300 * timer.Millisecond
-	// stopRetry is the pause before a stop is sent again while the run has not ended.
+	// stopRetryInterval is the delay before a stop is resent while the run has not ended.
 	stopRetryInterval = 40 * timer.Millisecond
-	// silenceLimit is the time without a listing after which no starts are taken. Single answers may get lost.
+	// holdTimeout is the time without a hold response after which starts are refused. Single lost responses are tolerated.
 	holdTimeout = 400 * timer.Millisecond
-	// NormalSpeed is the speed, in thousandths, of a backend server whose runs take as long as estimated.
+	// NormalSpeed is the relative speed, in thousandths, of a backend server whose runs take as long as estimated.
 	NormalSpeed = 1000
 )
 
 const (
-	stateStarting = iota + 1 // the backend server has not answered the start
+	stateStarting = iota + 1 // the start is unanswered
 	stateRunning
-	stateStopping // a stop was sent
+	stateStopping // a stop was sent; the run may still be active
 )
 
 type (
-	// Backend is what the backend server says of itself.
+	// Backend is the description that the backend server announces.
 	Backend struct {
 		ID       string
-		Born     uint64 // start of the backend server, Unix milliseconds
-		Sequence uint64 // rises with each announcement in one life
+		Born     uint64 // start time of the backend server in Unix milliseconds
+		Sequence uint64 // increases with each announcement of one incarnation
 		Service  string
 		Labels   []string
 		Total    marshaler.Room
 		Draining bool
 	}
 
-	// Started is the backend server's answer to a start.
+	// Started is the backend server's response to a start.
 	Started struct {
 		Run    marshaler.RunKey
 		Status StartStatus
 		Reason string
 	}
 
-	// StartStatus says what became of a start.
+	// StartStatus is the result of a start.
 	StartStatus uint8
 
-	// Row is a run in the backend server's list of runs.
+	// Row is an active run in a hold response.
 	Row struct {
 		Run     marshaler.RunKey
-		Percent int // of its work that is done
+		Percent int // completed
 	}
 
-	// End is an ended run in the backend server's list of ends.
+	// End is an ended run in a hold response.
 	End struct {
-		Number uint64 // rises by one with each end in one life of the backend server
+		Number uint64 // increases by one with each ended run of one backend server incarnation
 		Run    marshaler.RunKey
 		Status marshaler.Status
 	}
 
-	// Listing is the answer to a hold: what runs, and what has ended since the last one.
+	// Listing is the response to a hold: the active runs, and the ended runs that are not acknowledged yet.
 	Listing struct {
-		Number  uint64 // of the hold, as BeginHold returned it
+		Number  uint64 // of the hold, from BeginHold
 		Born    uint64
-		Clock   int64 // the backend server's clock in milliseconds, when it answered
+		Clock   int64 // the backend server's clock in milliseconds at the time of the response
 		Running []Row
 		Ended   []End
 	}
 
-	// Keeper is the state of a sidecar. Set the exported fields before the first call.
+	// Keeper is the state machine of a sidecar. The exported fields must be set before the first call.
 	Keeper struct {
 		Domain string
-		// Partitions is the number of partitions of the kept jobs.
+		// Partitions is the number of partitions of the durable jobs.
 		Partitions uint64
-		// Start, Stop, Look and Report only queue what they are given. Look asks for a hold that does not wait.
+		// Start, Stop, Look and Report must only queue and not block. Look requests a hold that returns immediately.
 		Start  func(s marshaler.Start)
 		Stop   func(r marshaler.RunKey)
 		Look   func()
 		Report func(e Event)
 
 		backend      Backend
-		announced    bool // the backend server has announced itself
-		reconciled   bool // a listing showed that nothing runs that this process did not start
-		unresponsive bool // the last hold failed
+		announced    bool // the backend server has announced itself; backend is valid
+		reconciled   bool // a hold response listed no run that this process does not know
+		unresponsive bool // holds have failed for holdTimeout, or the backend server has no listener
 		withdrawn    bool
 		stopping     bool
 		offset       uint64
@@ -108,33 +109,33 @@
 		entries        map[string]*entry
 		free           marshaler.Room
 		lastHold       uint64 // number of the latest hold
-		lastEnd        uint64 // number of the latest end that was processed
-		backendClock   int64  // the backend server's clock at clockAt
+		lastEnd        uint64 // number of the latest ended run that was processed
+		backendClock   int64  // the backend server's clock at backendClockAt
 		backendClockAt timer.Millis
 		speed          float64
 		listedAt       timer.Millis
 		unconfirmed    []unconfirmedStart
-		recentStarts   []recentStart // latest starts, for entries that begin to place
+		recentStarts   []recentStart // sent to new placing entries
 		durable        durableState
-		lastTick       timer.Millis // time of the latest Tick
-		graceEnd       timer.Millis // of the latest pause of this process
-		renewalDue     bool         // a hold did not extend the lease, because an entry was silent
+		lastTick       timer.Millis
+		graceEnd       timer.Millis // no entry times out before, because this process was paused
+		renewalDue     bool         // the latest hold did not renew the lease, because an entry with runs was silent
 	}
 
-	// startedJob is a start that this process has handled.
+	// recentStart is a start that this process has handled, whether or not it was admitted.
 	recentStart struct {
 		job string
 		at  timer.Millis
 	}
 
-	// doubtfulStart is a start without an answer. A later life of the backend server under the same identifier might
-	// still carry it out, so it is told not to.
+	// unconfirmedStart is a start without a response. A later incarnation of the backend server under the same identifier
+	// might still execute it, so a stop is sent to that incarnation.
 	unconfirmedStart struct {
 		key marshaler.RunKey
 		at  timer.Millis
 	}
 
-	// Event is a decision, for logs and counters.
+	// Event describes a decision, for logs and metrics. The first word of Detail may become a metric label.
 	Event struct {
 		Kind   string
 		Run    marshaler.RunKey
@@ -148,35 +149,35 @@
 		index uint64
 	}
 
-	// run is an attempt that may hold room on the backend server.
+	// run is an attempt that may use resources of the backend server.
 	run struct {
 		key        marshaler.RunKey
 		entry      *entry
 		room       marshaler.Room
-		durable    bool // of a kept job
+		durable    bool // whether it belongs to a durable job
 		estimate   timer.Millis
 		state      int
-		startedAt  timer.Millis // of the order, then of the start
-		startHold  uint64       // a later hold lists the run if it runs
-		stopHold   uint64       // a later hold does not list the run if the stop was effective; 0 while none was answered
+		startedAt  timer.Millis // when the start was received; from its confirmation on, when it was confirmed
+		startHold  uint64       // holds with a higher number list the run if it is active
+		stopHold   uint64       // holds with a higher number omit the run if the stop took effect; 0 while no stop was answered
 		stopSentAt timer.Millis
 		status     marshaler.Status // reported instead of StatusStopped after a stop
 		reason     string
 		listed     bool
 		percent    int
-		progressAt timer.Millis // time of the latest rise of percent
+		progressAt timer.Millis // when percent last increased
 	}
 
-	// entry is one life of an entry process.
+	// entry is one incarnation of an entry process.
 	entry struct {
 		name              string
 		incarnation       uint64
-		link              *marshaler.Link // nil while there is no session
+		link              *marshaler.Link // nil while disconnected
 		lastReceived      timer.Millis
 		lastSent          timer.Millis
 		synced            bool // Held was sent on this session
-		durableInUse      bool // it says that kept jobs are in use, or does not know
-		heartbeatReceived bool // it sent a Beat on this session
+		durableInUse      bool // the entry reported that durable jobs are in use, or does not know
+		heartbeatReceived bool // a Beat was received on this session
 		subscribed        bool
 		pendingStarts     []string
 		pendingEnds       []marshaler.Settled
@@ -190,48 +191,47 @@
 )
 
 const (
-	// StartDone means that the run is there.
+	// StartDone means that the run was started.
 	StartDone StartStatus = iota + 1
-	// StartRefused means that the backend server surely did not start the run and never will by this order.
+	// StartRefused means that the backend server did not start the run and never will on this request.
 	StartRefused
-	// StartOld means that the backend server knows this or a later attempt.
+	// StartOld means that the backend server already knows this or a later attempt.
 	StartOld
-	// StartUnknown means that there was no answer.
+	// StartUnknown means that there was no response.
 	StartUnknown
 )
 
-// SetOffset sets the position of the configuration and whether the sidecar's failure domain is withdrawn.
+// SetOffset sets the log offset of the current configuration and whether the sidecar's failure domain is withdrawn.
 func (k *Keeper) SetOffset(now timer.Millis, offset uint64, withdrawn bool) {
 	changed := k.offset != offset || k.withdrawn != withdrawn
 	k.offset, k.withdrawn = offset, withdrawn
 	if changed {
-		k.sendLoads(now) // an entry passes its configuration on to processes that say that they lag
+		k.sendLoads(now) // entries forward their configuration to processes that report an older offset
 	}
 }
 
-// Leave makes the sidecar refuse all starts. What runs goes on.
+// Leave makes the sidecar refuse all starts. Active runs continue.
 func (k *Keeper) Leave(now timer.Millis) {
 	k.stopping = true
 	k.sendLoads(now)
 }
 
-// Running returns the number of runs that may hold room.
+// Running returns the number of runs that may use resources.
 func (k *Keeper) Running() int { return len(k.runs) }
 
-// Backend returns what is known of the backend server. Its ID is empty before it has announced itself.
+// Backend returns the latest description of the backend server. Its ID is empty before the first announcement.
 func (k *Keeper) Backend() Backend { return k.backend }
 
-// sound reports whether a description can be passed on to entries. Announcements may come from other writers.
+// valid reports whether the description can be encoded for entries. Other software may send announcements too.
 func (b *Backend) valid() bool {
 	long := func(text string) bool { return len(text) > marshaler.MaxName }
 	return b.ID != "" && !long(b.ID) && !long(b.Service) && !slices.ContainsFunc(b.Labels, long) && b.Total.Holds(marshaler.Room{})
 }
 
-// Announce takes an announcement of the backend server. It returns false for one that is unsound or older than what is
-// known.
+// Announce handles an announcement of the backend server. It returns false if the announcement is invalid or outdated.
 func (k *Keeper) Announce(now timer.Millis, b Backend) bool {
 	if !b.valid() {
-		k.report(Event{Kind: "announcementRefused", Detail: "a name is missing or too long, or the room is negative"})
+		k.report(Event{Kind: "announcementRefused", Detail: "a name is missing or too long, or the capacity is negative"})
 		return false
 	}
 	if k.announced {
@@ -244,7 +244,7 @@
 	k.backend, k.announced = b, true
 	if restarted {
 		k.resetBackend(now, b.Born)
-		k.Look() // a hold that is under way may still wait for the earlier life
+		k.Look() // a pending hold may still wait for the previous incarnation
 	}
 	k.recomputeFree()
 	if changed {
@@ -257,7 +257,7 @@
 	return true
 }
 
-// Leaves takes the backend server's message that it ends.
+// Leaves handles the deregistration of the backend server.
 func (k *Keeper) Leaves(now timer.Millis, id string) {
 	if k.announced && k.backend.ID == id {
 		k.backend.Draining = true
@@ -266,7 +266,7 @@
 	}
 }
 
-// restart forgets everything about an earlier life of the backend server, whose runs have ended with it.
+// resetBackend discards the state of the previous backend server incarnation, whose runs have ended with it.
 func (k *Keeper) resetBackend(now timer.Millis, born uint64) {
 	k.backend.Born = born
 	k.lastEnd, k.reconciled, k.backendClock, k.backendClockAt, k.speed = 0, false, 0, 0, NormalSpeed
@@ -278,7 +278,7 @@
 	}
 }
 
-// Accepting reports whether starts are taken, and why not.
+// Accepting reports whether starts are admitted, and the reason if not.
 func (k *Keeper) Accepting() (bool, string) {
 	switch {
 	case !k.announced:
@@ -299,7 +299,8 @@
 	return true, ""
 }
 
-// Tick sends heartbeats, repeats stops, and ends the runs of lost entries. It is called several times in each BeatPeriod.
+// Tick sends heartbeats, resends stops, and ends the runs of lost entries. It must be called several times per heartbeat
+// interval.
 func (k *Keeper) Tick(now timer.Millis) {
 	for _, r := range k.sortedRuns() {
 		if r.state == stateStopping && now-r.stopSentAt >= stopRetryInterval {
@@ -328,7 +329,8 @@
 	}
 }
 
-// noticePause grants all entries a grace time when this process stood still, because its silence is not theirs.
+// detectPause starts a grace period for all entries when this process was paused, because their messages may have arrived
+// during the pause.
 func (k *Keeper) detectPause(now timer.Millis) {
 	if pause := now - k.lastTick; k.lastTick != 0 && pause >= marshaler.PauseLimit {
 		k.graceEnd = now + resumeGracePeriod
@@ -337,8 +339,9 @@
 	k.lastTick = now
 }
 
-// active reports whether an entry has runs here, places on this sidecar, or says that kept jobs may be in use, or owns some. Other
-// sessions are only kept open. The entry comes to the same conclusion.
+// active reports whether an entry has runs on this sidecar, is the placing entry, reports that durable jobs may be in use,
+// or owns a partition of them. Other sessions are idle and use longer heartbeat intervals and time-outs. The entry derives
+// the same result.
 func (k *Keeper) active(e *entry) bool {
 	if e.subscribed || e.durableInUse {
 		return true
@@ -364,13 +367,13 @@
 }
 
 func (k *Keeper) heartbeatInterval(e *entry) timer.Millis {
-	if !e.synced || k.active(e) { // the outcomes of its runs may still wait for the greeting
+	if !e.synced || k.active(e) { // outcomes of its runs may be pending until the session is synced
 		return BeatPeriod
 	}
 	return marshaler.IdleBeatPeriod
 }
 
-// vouched reports whether each entry that has a run here gave a sign of life within VouchLimit.
+// entriesAlive reports whether each entry with a run on this sidecar has sent a message within the entry timeout.
 func (k *Keeper) entriesAlive(now timer.Millis) bool {
 	for _, r := range k.runs {
 		if r.state != stateStopping && now-r.entry.lastReceived >= VouchLimit {
--- a/keeper/keeper_test.go
+++ b/keeper/keeper_test.go
@@ -9,7 +9,7 @@
 	"github.com/crocuslb/crocuslb/timer"
 )
 
-// desk is a keeper with what it sends and orders.
+// fixture is a Keeper with an entry session, which records the messages and requests that the Keeper sends.
 type fixture struct {
 	k           *Keeper
 	now         timer.Millis
@@ -23,271 +23,271 @@
 }
 
 func newFixture() *fixture {
-	d := &fixture{now: 1000}
-	d.k = &Keeper{
-		Start: func(s marshaler.Start) { d.starts = append(d.starts, s.Run) },
-		Stop:  func(r marshaler.RunKey) { d.stops = append(d.stops, r) },
+	f := &fixture{now: 1000}
+	f.k = &Keeper{
+		Start: func(s marshaler.Start) { f.starts = append(f.starts, s.Run) },
+		Stop:  func(r marshaler.RunKey) { f.stops = append(f.stops, r) },
 		Look:  func() {},
 	}
-	d.k.Announce(d.now, Backend{ID: "i-1", Born: 10, Sequence: 1, Service: "svc", Total: marshaler.Room{CPU: 10_000, MemoryMB: 100}})
-	d.connect("entry", 1)
-	d.list(nil)
-	return d
+	f.k.Announce(f.now, Backend{ID: "i-1", Born: 10, Sequence: 1, Service: "svc", Total: marshaler.Room{CPU: 10_000, MemoryMB: 100}})
+	f.connect("entry", 1)
+	f.list(nil)
+	return f
 }
 
-func (d *fixture) connect(name string, incarnation uint64) {
-	d.link = &marshaler.Link{
-		Remote: marshaler.Hello{Role: marshaler.RoleEntry, Name: name, Incarnation: incarnation}, Close: func(error) { d.closed++ },
+func (f *fixture) connect(name string, incarnation uint64) {
+	f.link = &marshaler.Link{
+		Remote: marshaler.Hello{Role: marshaler.RoleEntry, Name: name, Incarnation: incarnation}, Close: func(error) { f.closed++ },
 		Send: func(m marshaler.Message) {
 			switch m := m.(type) {
 			case *marshaler.Outcome:
-				d.outcomes = append(d.outcomes, *m)
+				f.outcomes = append(f.outcomes, *m)
 			case *marshaler.Held:
-				d.held = append(d.held, m.Runs)
+				f.held = append(f.held, m.Runs)
 			case *marshaler.Load:
-				d.loadReports++
+				f.loadReports++
 			}
 		},
 	}
-	d.k.OnUp(d.now, d.link)
+	f.k.OnUp(f.now, f.link)
 }
 
-func (d *fixture) list(running []Row, ended ...End) {
-	h, _ := d.k.BeginHold(d.now)
-	d.k.OnListing(d.now, Listing{Number: h.Number, Born: 10, Clock: int64(d.now), Running: running, Ended: ended})
+func (f *fixture) list(running []Row, ended ...End) {
+	h, _ := f.k.BeginHold(f.now)
+	f.k.OnListing(f.now, Listing{Number: h.Number, Born: 10, Clock: int64(f.now), Running: running, Ended: ended})
 }
 
-// run ticks for a time, as a process does that is not paused.
-func (d *fixture) advance(length timer.Millis) {
-	for end := d.now + length; d.now < end; {
-		d.now += 25
-		d.k.Tick(d.now)
+// advance moves the time on by length, with a Tick every 25 ms as in a process that is not paused.
+func (f *fixture) advance(length timer.Millis) {
+	for end := f.now + length; f.now < end; {
+		f.now += 25
+		f.k.Tick(f.now)
 	}
 }
 
-func (d *fixture) start(r marshaler.RunKey, room int64) {
-	d.k.OnMessage(d.now, d.link, &marshaler.Start{Run: r, Room: marshaler.Room{CPU: room}, Estimate: 100, NotAfter: int64(d.now) + 400})
+func (f *fixture) start(r marshaler.RunKey, room int64) {
+	f.k.OnMessage(f.now, f.link, &marshaler.Start{Run: r, Room: marshaler.Room{CPU: room}, Estimate: 100, NotAfter: int64(f.now) + 400})
 }
 
-func (d *fixture) latestStatus() marshaler.Status {
-	if len(d.outcomes) == 0 {
+func (f *fixture) latestStatus() marshaler.Status {
+	if len(f.outcomes) == 0 {
 		return 0
 	}
-	return d.outcomes[len(d.outcomes)-1].Status
+	return f.outcomes[len(f.outcomes)-1].Status
 }
 
 var firstRun = marshaler.RunKey{Job: "job", Index: 0, Attempt: 1}
 
-// TestOrders guards against starts that a sidecar must not pass on.
+// TestStartAdmission guards against starts that a sidecar must refuse and that reach the backend server.
 func TestStartAdmission(t *testing.T) {
 	cases := []struct {
 		name    string
-		prepare func(d *fixture)
+		prepare func(f *fixture)
 		started bool
 	}{
-		{"sound", func(*fixture) {}, true},
-		{"no room", func(d *fixture) { d.start(marshaler.RunKey{Job: "other", Attempt: 1}, 9000) }, false},
-		{"room of what is being stopped", func(d *fixture) {
+		{"admitted", func(*fixture) {}, true},
+		{"insufficient resources", func(f *fixture) { f.start(marshaler.RunKey{Job: "other", Attempt: 1}, 9000) }, false},
+		{"resources of a stopping run", func(f *fixture) {
 			other := marshaler.RunKey{Job: "other", Attempt: 1}
-			d.start(other, 9000)
-			d.k.OnStarted(d.now, Started{Run: other, Status: StartDone})
-			d.k.OnMessage(d.now, d.link, &marshaler.Stop{Run: other})
-			d.k.OnStopped(d.now, other, true, false)
+			f.start(other, 9000)
+			f.k.OnStarted(f.now, Started{Run: other, Status: StartDone})
+			f.k.OnMessage(f.now, f.link, &marshaler.Stop{Run: other})
+			f.k.OnStopped(f.now, other, true, false)
 		}, false},
-		{"room of what has ended", func(d *fixture) {
+		{"resources of an ended run", func(f *fixture) {
 			other := marshaler.RunKey{Job: "other", Attempt: 1}
-			d.start(other, 9000)
-			d.k.OnStarted(d.now, Started{Run: other, Status: StartDone})
-			d.list(nil, End{1, other, marshaler.StatusDone})
+			f.start(other, 9000)
+			f.k.OnStarted(f.now, Started{Run: other, Status: StartDone})
+			f.list(nil, End{1, other, marshaler.StatusDone})
 		}, true},
-		{"task runs already", func(d *fixture) { d.start(marshaler.RunKey{Job: "job", Index: 0, Attempt: 3}, 100) }, false},
-		{"draining", func(d *fixture) {
-			d.k.Announce(d.now, Backend{ID: "i-1", Born: 10, Sequence: 2, Service: "svc", Total: marshaler.Room{CPU: 10_000}, Draining: true})
+		{"task is already running", func(f *fixture) { f.start(marshaler.RunKey{Job: "job", Index: 0, Attempt: 3}, 100) }, false},
+		{"draining", func(f *fixture) {
+			f.k.Announce(f.now, Backend{ID: "i-1", Born: 10, Sequence: 2, Service: "svc", Total: marshaler.Room{CPU: 10_000}, Draining: true})
 		}, false},
-		{"late announcement of before the draining", func(d *fixture) {
-			d.k.Announce(d.now, Backend{ID: "i-1", Born: 10, Sequence: 5, Service: "svc", Total: marshaler.Room{CPU: 10_000}, Draining: true})
-			d.k.Announce(d.now, Backend{ID: "i-1", Born: 10, Sequence: 4, Service: "svc", Total: marshaler.Room{CPU: 10_000}})
+		{"delayed announcement from before draining", func(f *fixture) {
+			f.k.Announce(f.now, Backend{ID: "i-1", Born: 10, Sequence: 5, Service: "svc", Total: marshaler.Room{CPU: 10_000}, Draining: true})
+			f.k.Announce(f.now, Backend{ID: "i-1", Born: 10, Sequence: 4, Service: "svc", Total: marshaler.Room{CPU: 10_000}})
 		}, false},
-		{"announcement of an earlier life", func(d *fixture) {
-			d.k.Announce(d.now, Backend{ID: "i-0", Born: 9, Sequence: 50, Service: "svc", Draining: true})
+		{"announcement of a previous incarnation", func(f *fixture) {
+			f.k.Announce(f.now, Backend{ID: "i-0", Born: 9, Sequence: 50, Service: "svc", Draining: true})
 		}, true},
-		{"deregistered", func(d *fixture) { d.k.Leaves(d.now, "i-1") }, false},
-		{"withdrawn domain", func(d *fixture) { d.k.SetOffset(d.now, 5, true) }, false},
-		{"domain is back", func(d *fixture) { d.k.SetOffset(d.now, 5, true); d.k.SetOffset(d.now, 6, false) }, true},
-		{"stopping", func(d *fixture) { d.k.Leave(d.now) }, false},
-		{"new life without a listing", func(d *fixture) {
-			d.k.Announce(d.now, Backend{ID: "i-2", Born: 11, Sequence: 1, Service: "svc", Total: marshaler.Room{CPU: 10_000}})
+		{"deregistered", func(f *fixture) { f.k.Leaves(f.now, "i-1") }, false},
+		{"withdrawn domain", func(f *fixture) { f.k.SetOffset(f.now, 5, true) }, false},
+		{"domain is returned", func(f *fixture) { f.k.SetOffset(f.now, 5, true); f.k.SetOffset(f.now, 6, false) }, true},
+		{"stopping", func(f *fixture) { f.k.Leave(f.now) }, false},
+		{"new incarnation without a hold response", func(f *fixture) {
+			f.k.Announce(f.now, Backend{ID: "i-2", Born: 11, Sequence: 1, Service: "svc", Total: marshaler.Room{CPU: 10_000}})
 		}, false},
-		{"one lost answer", func(d *fixture) { d.now += 100; d.k.OnHoldFailed(d.now, false, "timeout") }, true},
-		{"silent", func(d *fixture) { d.now += 500; d.k.OnHoldFailed(d.now, false, "timeout") }, false},
-		{"no listener", func(d *fixture) { d.k.OnHoldFailed(d.now, true, "refused") }, false},
-		{"strangers run", func(d *fixture) {
-			d.k.Announce(d.now, Backend{ID: "i-2", Born: 10, Sequence: 1, Service: "svc", Total: marshaler.Room{CPU: 10_000}})
-			d.list([]Row{{Run: marshaler.RunKey{Job: "stranger", Attempt: 1}}})
+		{"one lost response", func(f *fixture) { f.now += 100; f.k.OnHoldFailed(f.now, false, "timeout") }, true},
+		{"unresponsive", func(f *fixture) { f.now += 500; f.k.OnHoldFailed(f.now, false, "timeout") }, false},
+		{"no listener", func(f *fixture) { f.k.OnHoldFailed(f.now, true, "refused") }, false},
+		{"unknown run is active", func(f *fixture) {
+			f.k.Announce(f.now, Backend{ID: "i-2", Born: 10, Sequence: 1, Service: "svc", Total: marshaler.Room{CPU: 10_000}})
+			f.list([]Row{{Run: marshaler.RunKey{Job: "stranger", Attempt: 1}}})
 		}, false},
 	}
 	for _, c := range cases {
-		d := newFixture()
-		c.prepare(d)
-		before := len(d.starts)
-		d.start(firstRun, 3000)
-		if got := len(d.starts) > before; got != c.started {
+		f := newFixture()
+		c.prepare(f)
+		before := len(f.starts)
+		f.start(firstRun, 3000)
+		if got := len(f.starts) > before; got != c.started {
 			t.Errorf("%s: got started %v, want %v", c.name, got, c.started)
 		}
-		if !c.started && d.latestStatus() != marshaler.StatusRefused {
-			t.Errorf("%s: got outcome %s, want refused", c.name, d.latestStatus())
+		if !c.started && f.latestStatus() != marshaler.StatusRefused {
+			t.Errorf("%s: got outcome %s, want refused", c.name, f.latestStatus())
 		}
 	}
 }
 
-// TestEnds guards against outcomes that are reported before they are certain.
+// TestRunEnds guards against outcomes that are reported while the run may still be active.
 func TestRunEnds(t *testing.T) {
 	row := []Row{{Run: firstRun, Percent: 10}}
 	unknown := Started{Run: firstRun, Status: StartUnknown}
 	done := Started{Run: firstRun, Status: StartDone}
 	cases := []struct {
 		name   string
-		events func(d *fixture)
-		want   marshaler.Status // 0 while the run may go on
+		events func(f *fixture)
+		want   marshaler.Status // 0 while the run may be active
 	}{
-		{"refused", func(d *fixture) { d.k.OnStarted(d.now, Started{Run: firstRun, Status: StartRefused}) }, marshaler.StatusRefused},
-		{"old", func(d *fixture) { d.k.OnStarted(d.now, Started{Run: firstRun, Status: StartOld}) }, marshaler.StatusOld},
-		{"no answer", func(d *fixture) { d.k.OnStarted(d.now, unknown) }, 0},
-		{"no answer, listed", func(d *fixture) { d.list(row); d.k.OnStarted(d.now, unknown) }, 0},
-		{"no answer, not listed before the stop", func(d *fixture) { d.k.OnStarted(d.now, unknown); d.list(nil) }, 0},
-		{"no answer, stopped, not listed", func(d *fixture) {
-			d.k.OnStarted(d.now, unknown)
-			d.k.OnStopped(d.now, firstRun, true, false)
-			d.list(nil)
+		{"refused", func(f *fixture) { f.k.OnStarted(f.now, Started{Run: firstRun, Status: StartRefused}) }, marshaler.StatusRefused},
+		{"superseded", func(f *fixture) { f.k.OnStarted(f.now, Started{Run: firstRun, Status: StartOld}) }, marshaler.StatusOld},
+		{"no response", func(f *fixture) { f.k.OnStarted(f.now, unknown) }, 0},
+		{"no response, listed", func(f *fixture) { f.list(row); f.k.OnStarted(f.now, unknown) }, 0},
+		{"no response, not listed before the stop", func(f *fixture) { f.k.OnStarted(f.now, unknown); f.list(nil) }, 0},
+		{"no response, stopped, not listed", func(f *fixture) {
+			f.k.OnStarted(f.now, unknown)
+			f.k.OnStopped(f.now, firstRun, true, false)
+			f.list(nil)
 		}, marshaler.StatusRefused},
-		{"no answer, stopped, listed", func(d *fixture) {
-			d.k.OnStarted(d.now, unknown)
-			d.k.OnStopped(d.now, firstRun, true, false)
-			d.list(row)
+		{"no response, stopped, listed", func(f *fixture) {
+			f.k.OnStarted(f.now, unknown)
+			f.k.OnStopped(f.now, firstRun, true, false)
+			f.list(row)
 		}, 0},
-		{"no answer to the stop either", func(d *fixture) {
-			d.k.OnStarted(d.now, unknown)
-			d.k.OnStopped(d.now, firstRun, false, false)
-			d.list(nil)
+		{"no response to the start and the stop", func(f *fixture) {
+			f.k.OnStarted(f.now, unknown)
+			f.k.OnStopped(f.now, firstRun, false, false)
+			f.list(nil)
 		}, 0},
-		{"no answer, no listener", func(d *fixture) { d.k.OnStarted(d.now, unknown); d.k.OnStopped(d.now, firstRun, false, true) }, marshaler.StatusLost},
-		{"done", func(d *fixture) { d.k.OnStarted(d.now, done); d.list(nil, End{1, firstRun, marshaler.StatusDone}) }, marshaler.StatusDone},
-		{"done before the answer to the start", func(d *fixture) { d.list(nil, End{1, firstRun, marshaler.StatusDone}) }, marshaler.StatusDone},
-		{"end of an earlier attempt", func(d *fixture) {
-			d.k.OnStarted(d.now, done)
-			d.list(row, End{1, marshaler.RunKey{Job: "job"}, marshaler.StatusDone})
+		{"no response, no listener", func(f *fixture) { f.k.OnStarted(f.now, unknown); f.k.OnStopped(f.now, firstRun, false, true) }, marshaler.StatusLost},
+		{"done", func(f *fixture) { f.k.OnStarted(f.now, done); f.list(nil, End{1, firstRun, marshaler.StatusDone}) }, marshaler.StatusDone},
+		{"done before the response to the start", func(f *fixture) { f.list(nil, End{1, firstRun, marshaler.StatusDone}) }, marshaler.StatusDone},
+		{"end of an earlier attempt", func(f *fixture) {
+			f.k.OnStarted(f.now, done)
+			f.list(row, End{1, marshaler.RunKey{Job: "job"}, marshaler.StatusDone})
 		}, 0},
-		{"stopped by the entry", func(d *fixture) {
-			d.k.OnStarted(d.now, done)
-			d.k.OnMessage(d.now, d.link, &marshaler.Stop{Run: firstRun})
+		{"stopped by the entry", func(f *fixture) {
+			f.k.OnStarted(f.now, done)
+			f.k.OnMessage(f.now, f.link, &marshaler.Stop{Run: firstRun})
 		}, 0},
-		{"stopped and listed as such", func(d *fixture) {
-			d.k.OnStarted(d.now, done)
-			d.k.OnMessage(d.now, d.link, &marshaler.Stop{Run: firstRun})
-			d.list(nil, End{1, firstRun, marshaler.StatusStopped})
+		{"stopped and listed as stopped", func(f *fixture) {
+			f.k.OnStarted(f.now, done)
+			f.k.OnMessage(f.now, f.link, &marshaler.Stop{Run: firstRun})
+			f.list(nil, End{1, firstRun, marshaler.StatusStopped})
 		}, marshaler.StatusStopped},
-		{"restart of a listed run", func(d *fixture) { d.list(row); d.k.Announce(d.now, Backend{ID: "i-1", Born: 11, Service: "svc"}) }, marshaler.StatusLost},
-		{"restart around the start", func(d *fixture) {
-			d.k.OnStarted(d.now, done)
-			d.k.Announce(d.now, Backend{ID: "i-1", Born: 11, Service: "svc"})
+		{"restart of a listed run", func(f *fixture) { f.list(row); f.k.Announce(f.now, Backend{ID: "i-1", Born: 11, Service: "svc"}) }, marshaler.StatusLost},
+		{"restart during the start", func(f *fixture) {
+			f.k.OnStarted(f.now, done)
+			f.k.Announce(f.now, Backend{ID: "i-1", Born: 11, Service: "svc"})
 		}, 0},
-		{"no listener, listed run", func(d *fixture) { d.list(row); d.k.OnHoldFailed(d.now, true, "refused") }, marshaler.StatusLost},
-		{"no listener, order under way", func(d *fixture) { d.k.OnHoldFailed(d.now, true, "refused") }, 0},
-		{"not listed any more", func(d *fixture) { d.k.OnStarted(d.now, done); d.list(row); d.list(nil) }, marshaler.StatusLost},
-		{"no progress", func(d *fixture) {
-			d.k.OnStarted(d.now, done)
-			d.list(row)
-			d.now += 200
-			d.list(row)
-			d.list(nil, End{1, firstRun, marshaler.StatusStopped})
+		{"no listener, listed run", func(f *fixture) { f.list(row); f.k.OnHoldFailed(f.now, true, "refused") }, marshaler.StatusLost},
+		{"no listener, start pending", func(f *fixture) { f.k.OnHoldFailed(f.now, true, "refused") }, 0},
+		{"no longer listed", func(f *fixture) { f.k.OnStarted(f.now, done); f.list(row); f.list(nil) }, marshaler.StatusLost},
+		{"no progress", func(f *fixture) {
+			f.k.OnStarted(f.now, done)
+			f.list(row)
+			f.now += 200
+			f.list(row)
+			f.list(nil, End{1, firstRun, marshaler.StatusStopped})
 		}, marshaler.StatusStalled},
 	}
 	for _, c := range cases {
-		d := newFixture()
-		d.start(firstRun, 3000)
-		c.events(d)
-		if got := d.latestStatus(); got != c.want {
+		f := newFixture()
+		f.start(firstRun, 3000)
+		c.events(f)
+		if got := f.latestStatus(); got != c.want {
 			t.Errorf("%s: got %s, want %s", c.name, got, c.want)
 		}
 	}
 }
 
-// TestVouch guards against runs that outlive their entry for longer than a caller waits before it sends a job again.
+// TestEntryTimeout guards against runs that outlive their entry for longer than a caller waits before it resubmits a job.
 func TestEntryTimeout(t *testing.T) {
-	const resend = 1300 * timer.Millisecond
+	const resubmitDelay = 1300 * timer.Millisecond
 	const stopTime = 50
-	if sum := VouchLimit + LeaseTerm*102/100 + stopTime; sum >= resend {
-		t.Errorf("got %s from the loss of an entry to the end of its runs, want less than %s", sum, resend)
+	if sum := VouchLimit + LeaseTerm*102/100 + stopTime; sum >= resubmitDelay {
+		t.Errorf("got %s from the loss of an entry to the end of its runs, want less than %s", sum, resubmitDelay)
 	}
-	d := newFixture()
-	d.start(firstRun, 3000)
-	d.k.OnStarted(d.now, Started{Run: firstRun, Status: StartDone})
-	d.k.OnDown(d.link)
+	f := newFixture()
+	f.start(firstRun, 3000)
+	f.k.OnStarted(f.now, Started{Run: firstRun, Status: StartDone})
+	f.k.OnDown(f.link)
 	for range 17 {
-		d.now += 25
-		d.k.Tick(d.now)
+		f.now += 25
+		f.k.Tick(f.now)
 	}
-	if len(d.stops) != 0 {
-		t.Errorf("got %d stops %d ms after the loss, want 0 before %s", len(d.stops), d.now-1000, VouchLimit)
+	if len(f.stops) != 0 {
+		t.Errorf("got %d stops %d ms after the disconnect, want 0 before %s", len(f.stops), f.now-1000, VouchLimit)
 	}
-	d.now += 50
-	d.k.Tick(d.now)
-	if !slices.Contains(d.stops, firstRun) {
-		t.Errorf("got stops %v %d ms after the loss, want %v", d.stops, d.now-1000, firstRun)
+	f.now += 50
+	f.k.Tick(f.now)
+	if !slices.Contains(f.stops, firstRun) {
+		t.Errorf("got stops %v %d ms after the disconnect, want %v", f.stops, f.now-1000, firstRun)
 	}
 }
 
-// TestPause guards against runs that are given up because this process stood still and could not hear their entries, and
-// against a lease that is extended for runs that nobody vouches for.
+// TestPause guards against runs that are stopped because this process was paused and could not read their entries'
+// messages, and against a lease that is renewed for runs whose entry is silent.
 func TestPause(t *testing.T) {
 	cases := []struct {
-		name    string
-		pause   timer.Millis
-		heard   timer.Millis // after the pause; 0 for never
-		stopped timer.Millis // after the pause; 0 for never
+		name         string
+		pause        timer.Millis
+		messageAfter timer.Millis // of the entry, after the pause; 0 for never
+		stoppedAfter timer.Millis // of the runs, after the pause; 0 for never
 	}{
-		{"entry is there", 500, 10, 0},
-		{"entry comes back with a new session", 500, 150, 0},
+		{"entry is connected", 500, 10, 0},
+		{"entry reconnects", 500, 150, 0},
 		{"entry is lost", 500, 0, resumeGracePeriod},
 		{"not paused", 25, 0, VouchLimit - 25},
 	}
 	for _, c := range cases {
-		d := newFixture()
-		looks := 0
-		d.k.Look = func() { looks++ }
-		d.advance(25)
-		d.start(firstRun, 3000)
-		d.k.OnMessage(d.now, d.link, &marshaler.Beat{})
-		d.k.OnStarted(d.now, Started{Run: firstRun, Status: StartDone})
-		d.list([]Row{{Run: firstRun}})
-		d.now += c.pause
-		resumed := d.now
+		f := newFixture()
+		polls := 0
+		f.k.Look = func() { polls++ }
+		f.advance(25)
+		f.start(firstRun, 3000)
+		f.k.OnMessage(f.now, f.link, &marshaler.Beat{})
+		f.k.OnStarted(f.now, Started{Run: firstRun, Status: StartDone})
+		f.list([]Row{{Run: firstRun}})
+		f.now += c.pause
+		resumed := f.now
 		var stopped timer.Millis
-		for d.now < resumed+1000 {
-			silent := c.heard == 0 || d.now < resumed+c.heard
-			h, _ := d.k.BeginHold(d.now)
-			if extended := h.Until > 0; silent && c.pause >= VouchLimit && extended && len(d.stops) == 0 {
+		for f.now < resumed+1000 {
+			silent := c.messageAfter == 0 || f.now < resumed+c.messageAfter
+			h, _ := f.k.BeginHold(f.now)
+			if renewed := h.Until > 0; silent && c.pause >= VouchLimit && renewed && len(f.stops) == 0 {
 				t.Fatalf("%s: got a lease to %d while the entry is silent, want none", c.name, h.Until)
 			}
 			if !silent {
-				d.k.OnMessage(d.now, d.link, &marshaler.Beat{})
+				f.k.OnMessage(f.now, f.link, &marshaler.Beat{})
 			}
-			d.k.Tick(d.now)
-			if len(d.stops) > 0 && stopped == 0 {
-				stopped = max(d.now-resumed, 1)
+			f.k.Tick(f.now)
+			if len(f.stops) > 0 && stopped == 0 {
+				stopped = max(f.now-resumed, 1)
 			}
-			d.now += 25
+			f.now += 25
 		}
-		if diff := stopped - c.stopped; diff < 0 || diff > 25 || c.stopped == 0 && stopped != 0 {
-			t.Errorf("%s: got a stop after %d ms, want %d", c.name, stopped, c.stopped)
+		if diff := stopped - c.stoppedAfter; diff < 0 || diff > 25 || c.stoppedAfter == 0 && stopped != 0 {
+			t.Errorf("%s: got a stop after %d ms, want %d", c.name, stopped, c.stoppedAfter)
 		}
-		if want := c.heard > 0; (looks > 0) != want {
-			t.Errorf("%s: got %d holds out of turn, want some: %v", c.name, looks, want)
+		if want := c.messageAfter > 0; (polls > 0) != want {
+			t.Errorf("%s: got %d immediate holds, want some: %v", c.name, polls, want)
 		}
 	}
 }
 
-// TestSessions guards against entries that do not learn what became of their runs.
+// TestSessions guards against entries that do not get the outcomes of their runs after a reconnect.
 func TestSessions(t *testing.T) {
 	cases := []struct {
 		name        string
@@ -296,62 +296,62 @@
 		held        int // runs in the list on the new session
 		stopped     bool
 	}{
-		{"same life at once", 1, 50, 1, false},
-		{"same life after its runs were stopped", 1, 600, 1, true},
-		{"another life", 2, 50, 0, true},
+		{"same incarnation, immediately", 1, 50, 1, false},
+		{"same incarnation, after its runs were stopped", 1, 600, 1, true},
+		{"new incarnation", 2, 50, 0, true},
 	}
 	for _, c := range cases {
-		d := newFixture()
-		d.start(firstRun, 3000)
-		d.k.OnStarted(d.now, Started{Run: firstRun, Status: StartDone})
-		d.list([]Row{{Run: firstRun}})
-		d.k.OnDown(d.link)
-		d.advance(c.pause)
-		d.connect("entry", c.incarnation)
-		if got := len(d.held[len(d.held)-1]); got != c.held {
+		f := newFixture()
+		f.start(firstRun, 3000)
+		f.k.OnStarted(f.now, Started{Run: firstRun, Status: StartDone})
+		f.list([]Row{{Run: firstRun}})
+		f.k.OnDown(f.link)
+		f.advance(c.pause)
+		f.connect("entry", c.incarnation)
+		if got := len(f.held[len(f.held)-1]); got != c.held {
 			t.Errorf("%s: got %d runs held, want %d", c.name, got, c.held)
 		}
-		if got := len(d.stops) > 0; got != c.stopped {
+		if got := len(f.stops) > 0; got != c.stopped {
 			t.Errorf("%s: got stopped %v, want %v", c.name, got, c.stopped)
 		}
 	}
-	d := newFixture()
-	d.start(firstRun, 3000)
-	d.k.OnDown(d.link)
-	d.list(nil, End{1, firstRun, marshaler.StatusDone})
-	d.connect("entry", 1)
-	if d.latestStatus() != marshaler.StatusDone {
-		t.Errorf("end without a session: got outcome %s on the next one, want done", d.latestStatus())
+	f := newFixture()
+	f.start(firstRun, 3000)
+	f.k.OnDown(f.link)
+	f.list(nil, End{1, firstRun, marshaler.StatusDone})
+	f.connect("entry", 1)
+	if f.latestStatus() != marshaler.StatusDone {
+		t.Errorf("end while disconnected: got outcome %s on the next session, want done", f.latestStatus())
 	}
 }
 
-// TestGreeting guards against entries that never get outcomes: they are greeted with the first listing, also while no
-// starts are taken. Found by seed 218 of the soak.
+// TestSessionSync guards against entries that never get outcomes because their session is not synced: that happens with
+// the first hold response, also while starts are refused. Soak test seed 218 found the fault.
 func TestSessionSync(t *testing.T) {
 	cases := []struct {
 		name   string
-		refuse func(d *fixture)
+		refuse func(f *fixture)
 	}{
-		{"accepting", func(*fixture) {}}, {"withdrawn domain", func(d *fixture) { d.k.SetOffset(d.now, 5, true) }},
-		{"stopping", func(d *fixture) { d.k.Leave(d.now) }},
+		{"accepting", func(*fixture) {}}, {"withdrawn domain", func(f *fixture) { f.k.SetOffset(f.now, 5, true) }},
+		{"stopping", func(f *fixture) { f.k.Leave(f.now) }},
 	}
 	for _, c := range cases {
-		d := newFixture()
-		d.k.Announce(d.now, Backend{ID: "i-2", Born: 10, Sequence: 1, Service: "svc", Total: marshaler.Room{CPU: 10_000}})
-		c.refuse(d)
-		d.held = nil
-		d.connect("entry", 1)
-		if len(d.held) != 0 {
-			t.Errorf("%s: got %d greetings before the first listing, want 0", c.name, len(d.held))
+		f := newFixture()
+		f.k.Announce(f.now, Backend{ID: "i-2", Born: 10, Sequence: 1, Service: "svc", Total: marshaler.Room{CPU: 10_000}})
+		c.refuse(f)
+		f.held = nil
+		f.connect("entry", 1)
+		if len(f.held) != 0 {
+			t.Errorf("%s: got %d lists of runs before the first hold response, want 0", c.name, len(f.held))
 		}
-		d.list(nil)
-		if len(d.held) != 1 {
-			t.Errorf("%s: got %d greetings after it, want 1", c.name, len(d.held))
+		f.list(nil)
+		if len(f.held) != 1 {
+			t.Errorf("%s: got %d lists of runs after it, want 1", c.name, len(f.held))
 		}
 	}
 }
 
-// TestForeignAnnouncements guards against announcements of other writers that entries cannot read.
+// TestForeignAnnouncements guards against announcements of other software that entries cannot decode.
 func TestForeignAnnouncements(t *testing.T) {
 	long := strings.Repeat("x", marshaler.MaxName+1)
 	cases := []struct {
@@ -359,19 +359,20 @@
 		b    Backend
 	}{
 		{"no identifier", Backend{Born: 11}}, {"long identifier", Backend{ID: long, Born: 11}}, {"long service", Backend{ID: "i-2", Born: 11, Service: long}},
-		{"long label", Backend{ID: "i-2", Born: 11, Labels: []string{long}}}, {"negative room", Backend{ID: "i-2", Born: 11, Total: marshaler.Room{CPU: -1}}},
+		{"long label", Backend{ID: "i-2", Born: 11, Labels: []string{long}}}, {"negative capacity", Backend{ID: "i-2", Born: 11, Total: marshaler.Room{CPU: -1}}},
 	}
 	for _, c := range cases {
-		d := newFixture()
-		if d.k.Announce(d.now, c.b) || d.k.Backend().ID != "i-1" {
-			t.Errorf("%s: got backend server %+v, want i-1 as before", c.name, d.k.Backend())
+		f := newFixture()
+		if f.k.Announce(f.now, c.b) || f.k.Backend().ID != "i-1" {
+			t.Errorf("%s: got backend server %+v, want i-1 as before", c.name, f.k.Backend())
 		}
 	}
 }
 
-// TestSeen guards against a placing entry that counts a start twice: as reserved and as missing from the reported room.
+// TestReportedStarts guards against a placing entry that counts a start twice: as its own reservation and in the reduced
+// free resources that the sidecar reports.
 func TestReportedStarts(t *testing.T) {
-	d := newFixture()
+	f := newFixture()
 	var seen []string
 	placing := &marshaler.Link{
 		Remote: marshaler.Hello{Role: marshaler.RoleEntry, Name: "placing", Incarnation: 1}, Close: func(error) {},
@@ -381,50 +382,50 @@
 			}
 		},
 	}
-	d.k.OnUp(d.now, placing)
-	d.start(firstRun, 3000)
-	d.advance(100)
-	d.k.OnMessage(d.now, placing, &marshaler.Subscribe{On: true}) // it was sent before the start
+	f.k.OnUp(f.now, placing)
+	f.start(firstRun, 3000)
+	f.advance(100)
+	f.k.OnMessage(f.now, placing, &marshaler.Subscribe{On: true}) // sent before the start
 	if !slices.Equal(seen, []string{firstRun.Job}) {
-		t.Errorf("got starts %v in the reports to an entry that places and did not order them, want %v", seen, []string{firstRun.Job})
+		t.Errorf("got starts %v in the reports to a placing entry that did not request them, want %v", seen, []string{firstRun.Job})
 	}
 	seen = nil
 	second := marshaler.RunKey{Job: "second", Attempt: 1}
-	d.start(second, 3000)
-	d.advance(BeatPeriod)
+	f.start(second, 3000)
+	f.advance(BeatPeriod)
 	if !slices.Equal(seen, []string{second.Job}) {
-		t.Errorf("got starts %v in the reports to an entry that places, want %v", seen, []string{second.Job})
+		t.Errorf("got starts %v in the reports to the placing entry, want %v", seen, []string{second.Job})
 	}
 }
 
-// TestIdleSessions guards against heartbeats whose number grows with entries times sidecars, and against a run whose entry
-// is lost late because its session was idle before.
+// TestIdleSessions guards against a heartbeat rate that grows with entries times sidecars, and against a run whose entry
+// times out late because its session was idle before.
 func TestIdleSessions(t *testing.T) {
-	d := newFixture()
-	d.advance(marshaler.IdleBeatPeriod)
-	before := d.loadReports
+	f := newFixture()
+	f.advance(marshaler.IdleBeatPeriod)
+	before := f.loadReports
 	for range 10 {
-		d.k.OnMessage(d.now, d.link, &marshaler.Beat{})
-		d.advance(marshaler.IdleBeatPeriod)
+		f.k.OnMessage(f.now, f.link, &marshaler.Beat{})
+		f.advance(marshaler.IdleBeatPeriod)
 	}
-	if got := d.loadReports - before; got != 10 {
+	if got := f.loadReports - before; got != 10 {
 		t.Errorf("got %d reports in 10 idle periods, want 10", got)
 	}
-	d.advance(VouchLimit)
-	if d.closed != 0 {
-		t.Errorf("got the end of an idle session after %s without a sign of life, want none", VouchLimit)
+	f.advance(VouchLimit)
+	if f.closed != 0 {
+		t.Errorf("got an idle session closed after %s without a message, want it open", VouchLimit)
 	}
-	before = d.loadReports
-	d.start(firstRun, 3000)
-	d.k.OnStarted(d.now, Started{Run: firstRun, Status: StartDone})
-	ordered := d.now
-	for len(d.stops) == 0 && d.now < ordered+1000 {
-		d.advance(25)
+	before = f.loadReports
+	f.start(firstRun, 3000)
+	f.k.OnStarted(f.now, Started{Run: firstRun, Status: StartDone})
+	startedAt := f.now
+	for len(f.stops) == 0 && f.now < startedAt+1000 {
+		f.advance(25)
 	}
-	if got := d.now - ordered; got < VouchLimit || got > VouchLimit+25 {
-		t.Errorf("got a stop %s after the order, the last sign of life, want %s", got, VouchLimit)
+	if got := f.now - startedAt; got < VouchLimit || got > VouchLimit+25 {
+		t.Errorf("got a stop %s after the start, the last message, want %s", got, VouchLimit)
 	}
-	if got := d.loadReports - before; got < 2 {
-		t.Errorf("got %d reports while a run was there, want one each %s", got, BeatPeriod)
+	if got := f.loadReports - before; got < 2 {
+		t.Errorf("got %d reports while a run was active, want one per %s", got, BeatPeriod)
 	}
 }
--- a/keeper/listing.go
+++ b/keeper/listing.go
@@ -6,36 +6,39 @@
 )
 
 const (
-	// stallBase and stallShare of the estimate are the time without progress after which a run counts as stalled. A
-	// backend server at a sixth of its usual speed still makes a percent of progress in stallShare.
+	// stallTimeoutBase plus stallTimeoutFactor times the estimated run time is the time without progress after which a run
+	// counts as stalled. At a sixth of its usual speed, a backend server completes one percent of a run in
+	// stallTimeoutFactor times the estimate.
 	stallTimeoutBase   = 100 * timer.Millisecond
 	stallTimeoutFactor = 0.10
-	// speedSpan is the time in which the smoothed speed follows a change.
+	// speedTimeConstant is the time constant of the smoothed speed.
 	speedTimeConstant = 150.0 // ms
-	// forgetSpan is the time in which a backend server without runs regains its usual speed, so that it is tried again.
+	// idleSpeedTimeConstant is the time constant with which the speed of a backend server without runs returns to normal, so
+	// that it is tried again.
 	idleSpeedTimeConstant = 1000.0 // ms
-	// minSample is the shortest time between two listings from which a speed is computed.
+	// minSampleInterval is the shortest time between two hold responses from which a speed is computed.
 	minSampleInterval = 20 * timer.Millisecond
-	// maxSpeed bounds one observation, because estimates of run times are rough.
+	// maxSpeedSample bounds a single speed sample, because estimates of run times are rough.
 	maxSpeedSample = 4 * NormalSpeed
 )
 
-// HoldRequest is what the next hold carries.
+// HoldRequest has the parameters of a hold.
 type HoldRequest struct {
-	Number uint64 // to be returned in Listing
-	// Processed is the number of the latest end that need not be listed again.
+	Number uint64 // to be copied to Listing
+	// Processed is the number up to which the backend server may forget ends.
 	Processed uint64
-	// Until is the end of the lease on the backend server's clock; 0 before that clock is known.
+	// Until is the requested lease expiry on the backend server's clock; 0 to leave the lease as it is.
 	Until int64
-	// Busy says that something runs, so that progress is of interest.
+	// Busy says that there are active runs, so that progress is of interest.
 	Busy bool
-	// Unrecorded says that ends are listed until an entry has recorded them, so that the hold does not wait for new ones.
+	// Unrecorded says that some ends are not recorded yet. The backend server lists them in each response and therefore does
+	// not wait for new ones.
 	Unrecorded bool
-	ID         string // of the backend server that is meant
+	ID         string // of the intended backend server
 	Born       uint64
 }
 
-// BeginHold returns what the next hold carries. ok is false before the backend server has announced itself.
+// BeginHold returns the parameters of the next hold, and false before the backend server has announced itself.
 func (k *Keeper) BeginHold(now timer.Millis) (HoldRequest, bool) {
 	if !k.announced {
 		return HoldRequest{}, false
@@ -49,7 +52,7 @@
 	return h, true
 }
 
-// Clock estimates the backend server's clock. It returns 0 before the first listing.
+// Clock estimates the backend server's clock. It returns 0 before the first hold response.
 func (k *Keeper) Clock(now timer.Millis) int64 {
 	if k.backendClockAt == 0 {
 		return 0
@@ -57,7 +60,7 @@
 	return k.backendClock + int64(now-k.backendClockAt)
 }
 
-// OnHoldFailed takes the failure of a hold. gone says that the backend server has no listener, so nothing runs on it.
+// OnHoldFailed handles the failure of a hold. gone says that the backend server has no listener, so nothing runs on it.
 func (k *Keeper) OnHoldFailed(now timer.Millis, gone bool, reason string) {
 	if gone {
 		k.endListedRuns(now, "backend server is gone")
@@ -69,7 +72,7 @@
 	}
 }
 
-// OnListing takes the answer to a hold.
+// OnListing handles the response to a hold.
 func (k *Keeper) OnListing(now timer.Millis, l Listing) {
 	if !k.announced || l.Born < k.backend.Born {
 		return
@@ -81,19 +84,19 @@
 	if at := l.Clock; k.backendClockAt == 0 || at >= k.backendClock {
 		k.backendClock, k.backendClockAt = at, now
 	}
-	was, _ := k.Accepting()
-	wasClean := k.reconciled
+	wasAccepting, _ := k.Accepting()
+	wasReconciled := k.reconciled
 	k.unresponsive = false
 	k.checkLeaseExpiry(l.Clock)
 	ended := k.onEnds(now, l.Ended)
 	k.onRunning(now, l)
 	ended = k.onUnlisted(now, l) || ended
-	if k.reconciled && !wasClean {
+	if k.reconciled && !wasReconciled {
 		k.syncSessions()
 	}
-	is, reason := k.Accepting()
+	accepting, reason := k.Accepting()
 	switch {
-	case was != is:
+	case wasAccepting != accepting:
 		k.report(Event{Kind: "accepting", Detail: reason, Value: k.free.CPU})
 		k.sendLoads(now)
 	case ended:
@@ -116,7 +119,7 @@
 		status, reason := e.Status, r.reason
 		if status == marshaler.StatusStopped && r.state == stateStopping {
 			status = r.status
-			if status == marshaler.StatusRefused { // it did run for a moment
+			if status == marshaler.StatusRefused { // the start was executed before the stop
 				status = marshaler.StatusStopped
 			}
 		}
@@ -126,20 +129,20 @@
 	return ended
 }
 
-// onRunning stops what this process did not start, and follows the progress of its runs.
+// onRunning stops active runs that this process does not know, and updates the progress of the others and the speed.
 func (k *Keeper) onRunning(now timer.Millis, l Listing) {
-	strangers := 0
-	var done float64
+	unknown := 0
+	var completed float64
 	samples := 0
 	for _, row := range l.Running {
 		r := k.findRun(row.Run)
 		if r == nil {
-			strangers++
+			unknown++
 			k.Stop(row.Run)
 			continue
 		}
-		if gained := row.Percent - r.percent; r.listed && r.state == stateRunning && gained >= 0 {
-			done += float64(gained) / 100 * float64(r.estimate)
+		if progress := row.Percent - r.percent; r.listed && r.state == stateRunning && progress >= 0 {
+			completed += float64(progress) / 100 * float64(r.estimate)
 			samples++
 		}
 		if row.Percent > r.percent || !r.listed {
@@ -148,22 +151,22 @@
 		r.listed = true
 		k.checkStalled(now, r)
 	}
-	if strangers == 0 {
+	if unknown == 0 {
 		k.reconciled = true
 	} else {
-		k.report(Event{Kind: "strangers", Value: int64(strangers)})
+		k.report(Event{Kind: "strangers", Value: int64(unknown)})
 	}
 	span := now - k.listedAt
 	if len(k.runs) == 0 {
 		k.speed += (NormalSpeed - k.speed) * min(1, float64(span)/idleSpeedTimeConstant)
 	}
 	if samples > 0 && span >= minSampleInterval {
-		speed := min(done/float64(samples)/float64(span)*NormalSpeed, maxSpeedSample)
+		speed := min(completed/float64(samples)/float64(span)*NormalSpeed, maxSpeedSample)
 		k.speed += (speed - k.speed) * min(1, float64(span)/speedTimeConstant)
 	}
 }
 
-// checkStalled stops a run without progress, so that its entry can start the task elsewhere.
+// checkStalled stops a run without progress, so that its entry can restart the task elsewhere.
 func (k *Keeper) checkStalled(now timer.Millis, r *run) {
 	limit := stallTimeoutBase + timer.Millis(stallTimeoutFactor*float64(r.estimate))
 	if r.state == stateRunning && r.percent < 100 && now-r.progressAt > limit {
@@ -171,14 +174,14 @@
 	}
 }
 
-// onMissing ends the runs that a listing should show and does not.
+// onUnlisted ends the runs that the hold response should list but does not.
 func (k *Keeper) onUnlisted(now timer.Millis, l Listing) (ended bool) {
-	here := make(map[marshaler.RunKey]bool, len(l.Running))
+	listed := make(map[marshaler.RunKey]bool, len(l.Running))
 	for _, row := range l.Running {
-		here[row.Run] = true
+		listed[row.Run] = true
 	}
 	for _, r := range k.sortedRuns() {
-		if here[r.key] {
+		if listed[r.key] {
 			continue
 		}
 		switch {
@@ -186,7 +189,7 @@
 			k.endRun(now, r, r.status, r.reason)
 			ended = true
 		case r.state == stateRunning && l.Number > r.startHold && len(l.Ended) == 0:
-			// A list of ends may be cut off, so only an empty one shows that the end is not on its way.
+			// The list of ends may be truncated, so only an empty one proves that the end of this run is not pending.
 			k.endRun(now, r, marshaler.StatusLost, "not listed")
 			ended = true
 		}
--- a/keeper/runs.go
+++ b/keeper/runs.go
@@ -8,7 +8,7 @@
 	"github.com/crocuslb/crocuslb/timer"
 )
 
-// order handles a start.
+// onStart admits or refuses a start.
 func (k *Keeper) onStart(now timer.Millis, e *entry, m *marshaler.Start) {
 	k.recentStarts = append(k.recentStarts, recentStart{m.Run.Job, now})
 	for _, other := range marshaler.InOrder(k.entries) {
@@ -45,7 +45,7 @@
 	k.Start(*m)
 }
 
-// OnStarted takes the backend server's answer to a start.
+// OnStarted handles the backend server's response to a start.
 func (k *Keeper) OnStarted(now timer.Millis, s Started) {
 	r := k.findRun(s.Run)
 	if r == nil {
@@ -69,13 +69,13 @@
 			}
 			return
 		}
-		// The order may still be carried out. A stop that the backend server answers makes sure that it never is.
+		// The start may still be executed. Once the backend server has answered a stop, it no longer can be.
 		k.unconfirmed = append(k.unconfirmed, unconfirmedStart{s.Run, now})
 		k.stopRun(now, r, marshaler.StatusRefused, "no answer to the start: "+s.Reason)
 	}
 }
 
-// stop asks the backend server to end a run. The run keeps its room until a listing shows that it is gone.
+// stopRun asks the backend server to end a run. The run keeps its resources until a hold response shows that it has ended.
 func (k *Keeper) stopRun(now timer.Millis, r *run, status marshaler.Status, reason string) {
 	if r.state == stateStopping {
 		return
@@ -90,8 +90,8 @@
 	k.Stop(r.key)
 }
 
-// OnStopped takes the backend server's answer to a stop. ok is false when there was none; gone says that it has no
-// listener.
+// OnStopped handles the backend server's response to a stop. ok is false when there was none; gone says that the backend
+// server has no listener.
 func (k *Keeper) OnStopped(now timer.Millis, key marshaler.RunKey, ok, gone bool) {
 	if r := k.findRun(key); r != nil && gone {
 		k.endRun(now, r, marshaler.StatusLost, "backend server is gone")
@@ -103,16 +103,16 @@
 	}
 }
 
-// endAll ends the runs that the backend server listed, because it is gone. Other starts may reach its next life; those
-// runs end when a stop was answered.
+// endListedRuns ends the runs that the backend server has listed, because it has exited. Other starts may reach its next
+// incarnation; their runs end only after a stop was answered.
 func (k *Keeper) endListedRuns(now timer.Millis, reason string) {
 	for _, r := range k.sortedRuns() {
 		switch {
 		case r.listed:
 			k.endRun(now, r, marshaler.StatusLost, reason)
 		case r.state == stateStopping:
-			r.stopHold = 0 // the answer was that of the earlier life
-		case r.state == stateRunning: // perhaps it was the next life that answered the start
+			r.stopHold = 0 // the stop was answered by the previous incarnation
+		case r.state == stateRunning: // the next incarnation may have answered the start
 			k.stopRun(now, r, marshaler.StatusLost, reason)
 		}
 	}
@@ -125,12 +125,11 @@
 	return nil
 }
 
-// sorted returns the runs in an order that does not depend on the map, so that tests repeat.
+// sortedRuns returns the runs in the order of their keys, so that tests are deterministic.
 func (k *Keeper) sortedRuns() []*run {
 	return slices.SortedFunc(maps.Values(k.runs), func(a, b *run) int { return a.key.Compare(b.key) })
 }
 
-// account computes the free room anew.
 func (k *Keeper) recomputeFree() {
 	k.free = k.backend.Total
 	for _, r := range k.runs {
@@ -138,12 +137,12 @@
 	}
 }
 
-// end removes a run that has surely ended without a listed end, and reports it.
+// endRun removes a run that is known to have ended although its end was not listed, and reports its outcome.
 func (k *Keeper) endRun(now timer.Millis, r *run, status marshaler.Status, reason string) {
 	k.finishRun(now, r, status, reason, 0)
 }
 
-// finish removes a run that has surely ended and reports it. number is that of its listed end, 0 for none.
+// finishRun removes a run that is known to have ended and reports its outcome. number is that of its listed end, 0 for none.
 func (k *Keeper) finishRun(now timer.Millis, r *run, status marshaler.Status, reason string, number uint64) {
 	delete(k.runs, taskKey{r.key.Job, r.key.Index})
 	k.free = k.free.Add(r.room)
