--- a/carrier/node.go
+++ b/carrier/node.go
@@ -15,31 +15,32 @@
 )
 
 const (
-	// dialTimeout bounds the opening of a connection. Addresses without power do not answer; the kernels of others do
-	// within a round trip, also when their processes are slow.
+	// dialTimeout bounds the TCP handshake. A host that is down does not answer; the kernel of a running host answers within
+	// one round trip, even if its processes are slow.
 	dialTimeout = 150 * time.Millisecond
-	// helloTimeout bounds the wait for the other end's opening message.
+	// helloTimeout bounds the wait for the peer's Hello.
 	helloTimeout = time.Second
-	// firstRetry and lastRetry bound the pause between attempts to connect; the pause doubles.
+	// minRetryDelay and maxRetryDelay bound the exponential backoff between connection attempts.
 	minRetryDelay = 50 * time.Millisecond
 	maxRetryDelay = 500 * time.Millisecond
 )
 
 type (
-	// Node is one process's end of all its sessions. Set the fields before Listen or Connect is called. The functions
-	// are called from a session's reader goroutine, in order for one session.
+	// Node manages all sessions of a process. The fields must be set before Listen or Connect is called. The functions are
+	// called from a session's reader goroutine, and sequentially for one session.
 	Node struct {
+		// Hello returns the opening message of a new session. Its Session field is set by the Node.
 		Hello     func() marshaler.Hello
 		OnUp      func(s *Session)
 		OnMessage func(s *Session, batch []marshaler.Message)
 		OnDown    func(s *Session, cause error)
-		// OnFail is called when a connection could not be opened. It may be nil.
+		// OnFail is called when a connection could not be accepted or opened, or its peer sent no valid Hello. It may be nil.
 		OnFail func(address string, err error)
-		// OnPanic is called when a message, or one of the functions above, panicked. That ends its session only. It may be
-		// nil.
+		// OnPanic is called when the decoding of a message, or one of the functions above, panicked. Only the session in
+		// question is closed. It may be nil.
 		OnPanic func(s *Session, err error)
 
-		// Traffic counts what the sessions send.
+		// Traffic counts the messages that the sessions send.
 		Traffic Traffic
 
 		goroutines  sync.WaitGroup
@@ -47,7 +48,7 @@
 	}
 )
 
-// Listen accepts sessions on a TCP address until ctx ends, and returns the bound address.
+// Listen accepts sessions on a TCP address until ctx is done, and returns the bound address.
 func (n *Node) Listen(ctx context.Context, address string) (string, error) {
 	listener, err := (&net.ListenConfig{}).Listen(ctx, "tcp", address)
 	if err != nil {
@@ -71,29 +72,29 @@
 	return listener.Addr().String(), nil
 }
 
-// Connect keeps a session to an address open until ctx ends.
+// Connect maintains a session to an address until ctx is done, and reconnects whenever it ends.
 func (n *Node) Connect(ctx context.Context, address string) {
 	n.goroutines.Go(func() {
-		pause := minRetryDelay
+		delay := minRetryDelay
 		dialer := net.Dialer{Timeout: dialTimeout}
 		for ctx.Err() == nil {
 			conn, err := dialer.DialContext(ctx, "tcp", address)
 			if err == nil && n.serve(ctx, newSession(conn, true, &n.Traffic)) {
-				pause = minRetryDelay
+				delay = minRetryDelay
 			}
 			if err != nil {
 				n.connectFailed(address, err)
 			}
 			select {
 			case <-ctx.Done():
-			case <-time.After(pause):
+			case <-time.After(delay):
 			}
-			pause = min(2*pause, maxRetryDelay)
+			delay = min(2*delay, maxRetryDelay)
 		}
 	})
 }
 
-// Wait blocks until all goroutines of the Node have ended. The contexts given to Listen and Connect must end first.
+// Wait blocks until all goroutines of the Node have returned. The contexts given to Listen and Connect must be done first.
 func (n *Node) Wait() { n.goroutines.Wait() }
 
 func (n *Node) connectFailed(address string, err error) {
@@ -102,7 +103,7 @@
 	}
 }
 
-// serve runs a connection to its end and reports whether the session was opened.
+// serve handles a connection until it is closed, and reports whether the session was established.
 func (n *Node) serve(ctx context.Context, s *Session) bool {
 	defer context.AfterFunc(ctx, func() { s.Close(ctx.Err()) })()
 	hello := n.Hello()
@@ -113,7 +114,7 @@
 	var err error
 	n.recoverPanic(s, func() { err = s.readHello(r) })
 	if err == nil && s.Remote.Name == "" {
-		return false // the opening message panicked
+		return false // the decoding of Hello panicked
 	}
 	if err != nil {
 		s.Close(err)
@@ -129,7 +130,7 @@
 	return true
 }
 
-// catch calls f, and ends the session when it panics.
+// recoverPanic calls f, and closes the session if it panics.
 func (n *Node) recoverPanic(s *Session, f func()) {
 	err := catcher.Catch(f)
 	if err == nil {
@@ -141,16 +142,16 @@
 	}
 }
 
-// greet reads the other end's opening message.
+// readHello reads the peer's Hello.
 func (s *Session) readHello(r *bufio.Reader) error {
-	_ = s.conn.SetReadDeadline(time.Now().Add(helloTimeout)) // a failure shows in the read
+	_ = s.conn.SetReadDeadline(time.Now().Add(helloTimeout)) // a failure surfaces in the read
 	m, err := readMessage(r)
 	if err != nil {
 		return err
 	}
 	h, ok := m.(*marshaler.Hello)
 	if !ok || h.Name == "" {
-		return trace.BadParameter("the session opens with %T, want Hello with a name", m)
+		return trace.BadParameter("first message of the session is %T, want Hello with a name", m)
 	}
 	s.Remote = *h
 	return s.conn.SetReadDeadline(time.Time{})
--- a/carrier/node_test.go
+++ b/carrier/node_test.go
@@ -31,12 +31,12 @@
 	t.Helper()
 	for started := time.Now(); !ok(); time.Sleep(time.Millisecond) {
 		if time.Since(started) > 10*time.Second {
-			t.Fatalf("%s: did not come true in 10 s", what)
+			t.Fatalf("%s: condition not met within 10 s", what)
 		}
 	}
 }
 
-// TestSession guards against messages that get lost on a sound session, and sessions that do not come back.
+// TestSession guards against messages that are lost on an open session, and against sessions that are not reestablished.
 func TestSession(t *testing.T) {
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
@@ -48,7 +48,7 @@
 	b.Connect(ctx, address)
 	eventually(t, "session", func() bool { return a.up.Load() == 1 && b.up.Load() == 1 })
 	if got := a.latest.Load().Remote; got.Name != "b" || got.Session != 1 {
-		t.Errorf("got the opening message %+v, want that of b with session 1", got)
+		t.Errorf("got the Hello %+v, want that of b with session 1", got)
 	}
 	for range 5000 {
 		b.latest.Load().Send(&marshaler.Beat{Offset: 7})
@@ -65,7 +65,7 @@
 	b.Wait()
 }
 
-// TestForeignWriters guards against connections of other programs that disturb the process.
+// TestInvalidPeers guards against connections of other software that are taken for sessions or stop the listener.
 func TestInvalidPeers(t *testing.T) {
 	huge := binary.BigEndian.AppendUint32(nil, maxFrameSize+1)
 	cases := []struct {
@@ -73,7 +73,7 @@
 		bytes []byte
 	}{
 		{"HTTP", []byte("GET / HTTP/1.1\r\n\r\n")}, {"frame too large", huge}, {"empty frame", make([]byte, 4)},
-		{"no opening message", []byte{0, 0, 0, 1, 2}}, {"nothing", nil},
+		{"first message is not Hello", []byte{0, 0, 0, 1, 2}}, {"nothing", nil},
 	}
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
@@ -100,7 +100,7 @@
 	}
 }
 
-// TestReaderStandsStill guards against a sender that blocks, or grows without limit, when the other end does not read.
+// TestStalledReader guards against a sender that blocks, or queues without limit, when the peer does not read.
 func TestStalledReader(t *testing.T) {
 	listener, err := (&net.ListenConfig{}).Listen(t.Context(), "tcp", "127.0.0.1:0")
 	if err != nil {
@@ -116,7 +116,7 @@
 		t.Fatal(err)
 	}
 	defer func() { _ = conn.Close() }()
-	hello := marshaler.Append(make([]byte, headerSize), &marshaler.Hello{Name: "still"})
+	hello := marshaler.Append(make([]byte, headerSize), &marshaler.Hello{Name: "stalled"})
 	binary.BigEndian.PutUint32(hello, uint32(len(hello)-headerSize))
 	if _, err := conn.Write(hello); err != nil {
 		t.Fatal(err)
@@ -130,7 +130,8 @@
 	eventually(t, "end of the session", func() bool { return b.down.Load() == 1 })
 }
 
-// TestPanic guards against a fault in one message, or bytes that are no message, that end the process or other sessions.
+// TestPanic guards against a panic in the handling of one message, or invalid bytes, that end the process or other
+// sessions.
 func TestPanic(t *testing.T) {
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
@@ -161,12 +162,12 @@
 		if _, err := conn.Write([]byte(garbage)); err != nil {
 			t.Fatal(err)
 		}
-		_ = conn.Close() // the bytes are sent
+		_ = conn.Close() // the bytes are written
 	}
 	good.latest.Load().Send(&marshaler.Beat{})
 	eventually(t, "message of another session", func() bool { return a.messages.Load() == 1 })
 	if got := good.down.Load(); got != 0 {
-		t.Errorf("got %d ends of another session, want 0", got)
+		t.Errorf("got %d disconnects of another session, want 0", got)
 	}
 	cancel()
 	a.Wait()
@@ -174,7 +175,7 @@
 	bad.Wait()
 }
 
-// TestTraffic guards against messages that are counted under a wrong type or not at all.
+// TestTraffic guards against messages that are counted under the wrong type or not at all.
 func TestTraffic(t *testing.T) {
 	var traffic Traffic
 	s := newSession(nil, false, &traffic)
--- a/carrier/session.go
+++ b/carrier/session.go
@@ -1,5 +1,5 @@
-// Package carrier keeps sessions between processes over TCP: frames with a length, batched writes that never block the
-// sender, and an opening message in both directions.
+// Package carrier maintains message sessions between processes over TCP. Messages are sent as length-prefixed frames, writes
+// are batched and never block the sender, and each side starts with a Hello.
 package carrier
 
 import (
@@ -16,11 +16,11 @@
 )
 
 const (
-	// maxFrame is the largest encoded message in bytes.
+	// maxFrameSize is the largest encoded message in bytes.
 	maxFrameSize = 4 << 20
-	// maxQueued is the number of unsent bytes at which a session is ended: the other end does not read.
+	// maxQueuedBytes is the number of unsent bytes above which a session is closed, because the peer does not read.
 	maxQueuedBytes = 8 << 20
-	// writeTimeout ends a session whose other end accepts no bytes.
+	// writeTimeout bounds a write to a peer that accepts no data.
 	writeTimeout     = 2 * time.Second
 	readBufferSize   = 8 << 10
 	headerSize       = 4
@@ -28,21 +28,21 @@
 )
 
 type (
-	// Session is an open connection to another process. Its methods may be called concurrently.
+	// Session is a connection to another process. Its methods may be called concurrently.
 	Session struct {
-		// Remote is the opening message of the other end.
+		// Remote is the Hello of the peer.
 		Remote marshaler.Hello
 		// Dialed says that this process opened the connection.
 		Dialed bool
 
-		conn       net.Conn
-		traffic    *Traffic // nil for none
-		mu         sync.Mutex
-		queued     []byte
-		wake       chan struct{}
-		done       chan struct{}
-		closeOnce  sync.Once
-		cause error
+		conn      net.Conn
+		traffic   *Traffic // may be nil
+		mu        sync.Mutex
+		queued    []byte
+		wake      chan struct{}
+		done      chan struct{}
+		closeOnce sync.Once
+		cause     error
 	}
 )
 
@@ -50,7 +50,7 @@
 	return &Session{conn: conn, Dialed: dialed, traffic: t, wake: make(chan struct{}, 1), done: make(chan struct{})}
 }
 
-// Send queues a message. It never blocks. Messages to an ended session are dropped; OnDown reports its end.
+// Send queues a message without blocking. Messages to a closed session are dropped; Node.OnDown reports the closure.
 func (s *Session) Send(m marshaler.Message) {
 	s.mu.Lock()
 	start := len(s.queued)
@@ -63,7 +63,7 @@
 	full := len(s.queued) > maxQueuedBytes
 	s.mu.Unlock()
 	if full {
-		s.Close(trace.LimitExceeded("the other end does not read: %d bytes are queued", maxQueuedBytes))
+		s.Close(trace.LimitExceeded("peer does not read: more than %d bytes are queued", maxQueuedBytes))
 		return
 	}
 	select {
@@ -72,20 +72,20 @@
 	}
 }
 
-// Close ends the session. Only the first cause is kept.
+// Close closes the session. Only the cause of the first call is kept.
 func (s *Session) Close(cause error) {
 	s.closeOnce.Do(func() {
 		s.cause = cause
 		close(s.done)
 		if c, ok := s.conn.(*net.TCPConn); ok {
-			// A reset drops what the system still holds: messages must not arrive after the session ended.
-			_ = c.SetLinger(0) // without it the close below is a plain one
+			// Reset the connection to discard unsent data: messages must not arrive after the session was closed.
+			_ = c.SetLinger(0) // if this fails, the close below is a normal one
 		}
-		_ = s.conn.Close() // the session is over whether or not the close succeeds
+		_ = s.conn.Close() // the session is over even if this fails
 	})
 }
 
-// write sends what is queued until the session ends.
+// write sends queued messages until the session is closed.
 func (s *Session) write() {
 	var spare []byte
 	for {
@@ -102,7 +102,7 @@
 			spare = batch
 			continue
 		}
-		_ = s.conn.SetWriteDeadline(time.Now().Add(writeTimeout)) // a failure shows in Write
+		_ = s.conn.SetWriteDeadline(time.Now().Add(writeTimeout)) // a failure surfaces in Write
 		if _, err := s.conn.Write(batch); err != nil {
 			s.Close(trace.ConnectionProblem(err, "write: %v", err))
 			return
@@ -114,13 +114,13 @@
 	}
 }
 
-// read delivers messages in batches until the session ends.
+// read delivers received messages in batches until the connection fails or is closed.
 func (s *Session) read(r *bufio.Reader, deliver func(batch []marshaler.Message)) error {
 	var batch []marshaler.Message
 	for {
 		m, err := readMessage(r)
 		switch {
-		case trace.IsNotImplemented(err): // a message of a newer version
+		case trace.IsNotImplemented(err): // ignore message types of newer versions
 		case err != nil:
 			if len(batch) > 0 {
 				deliver(batch)
@@ -136,7 +136,7 @@
 	}
 }
 
-// frameBuffered reports whether a whole frame can be read without waiting.
+// frameBuffered reports whether a complete frame is buffered.
 func frameBuffered(r *bufio.Reader) bool {
 	if r.Buffered() < headerSize {
 		return false
@@ -152,7 +152,7 @@
 	}
 	size := int(binary.BigEndian.Uint32(head))
 	if size == 0 || size > maxFrameSize {
-		return nil, trace.BadParameter("a frame has %d bytes, want 1 to %d", size, maxFrameSize)
+		return nil, trace.BadParameter("invalid frame size %d, want 1 to %d bytes", size, maxFrameSize)
 	}
 	_, _ = r.Discard(headerSize) // the bytes are buffered
 	if size <= r.Size() {
--- a/carrier/traffic.go
+++ b/carrier/traffic.go
@@ -6,17 +6,17 @@
 	"github.com/crocuslb/crocuslb/marshaler"
 )
 
-// maxKinds is the number of message types, which are a byte.
+// messageTypes is the number of message types, which are encoded as a byte.
 const messageTypes = 256
 
 type (
-	// Traffic counts the messages that a Node's sessions have queued for sending. The zero value is ready to use, and its
+	// Traffic counts the messages that the sessions of a Node have queued, by type. The zero value is ready to use, and its
 	// methods may be called concurrently.
 	Traffic struct {
 		byType [messageTypes]typeCounters
 	}
 
-	// Sent is the traffic of one type of message. Bytes are those of the frames, without the overhead of TCP.
+	// Sent is the number of messages of one type and of the bytes in their frames, without TCP overhead.
 	Sent struct {
 		Message  string
 		Messages uint64
@@ -28,14 +28,14 @@
 	}
 )
 
-// add counts a frame's content, whose first byte is the type.
-func (t *Traffic) add(content []byte, bytes int) {
-	k := &t.byType[content[0]]
+// add counts a message. The first byte of its encoding is the type; bytes is the size of its frame.
+func (t *Traffic) add(encoded []byte, bytes int) {
+	k := &t.byType[encoded[0]]
 	k.messages.Add(1)
 	k.bytes.Add(uint64(bytes))
 }
 
-// Sent returns the types of which messages were sent.
+// Sent returns the counters of all types of which messages were sent, ordered by type.
 func (t *Traffic) Sent() (all []Sent) {
 	for kind := range t.byType {
 		if n := t.byType[kind].messages.Load(); n > 0 {
--- a/catcher/catcher.go
+++ b/catcher/catcher.go
@@ -1,5 +1,4 @@
-// Package catcher turns panics into errors, so that a fault in the handling of one message ends that message and not the
-// process.
+// Package catcher converts panics to errors, so that a panic in the handling of one message does not terminate the process.
 package catcher
 
 import (
@@ -8,10 +7,10 @@
 	"github.com/gravitational/trace"
 )
 
-// maxStack is the largest part of a stack, in bytes, that an error carries: enough for the innermost ten calls or so.
+// maxStack is the maximum size in bytes of the stack trace in an error. It holds about the ten innermost calls.
 const maxStack = 2 << 10
 
-// Catch calls f. It returns the value of a panic in f as an error with the stack, or nil when f returns normally.
+// Catch calls f. It returns nil if f returns normally, and an error with the panic value and the stack trace if f panics.
 func Catch(f func()) (err error) {
 	defer func() {
 		if v := recover(); v != nil {
--- a/catcher/catcher_test.go
+++ b/catcher/catcher_test.go
@@ -6,13 +6,13 @@
 	"testing"
 )
 
-// TestCatch guards against panics that go through, and against errors without their cause.
+// TestCatch guards against panics that are not recovered, and against errors that omit the panic value.
 func TestCatch(t *testing.T) {
 	var none map[string]int
 	cases := []struct {
 		name string
 		f    func()
-		want string // empty for no error
+		want string // substring of the error; empty for no error
 	}{
 		{"returns", func() {}, ""},
 		{"text", func() { panic("bad message") }, "bad message"},
--- a/follower/follower.go
+++ b/follower/follower.go
@@ -1,4 +1,5 @@
-// Package follower keeps up with a topic of the platform's store that has one newest record for each key.
+// Package follower consumes a compacted topic of the platform's store: it reads the newest record of each key and then all
+// later records.
 package follower
 
 import (
@@ -12,34 +13,35 @@
 )
 
 const (
-	// firstPause and lastPause bound the pause after a failed call. The store's return is noticed within lastPause.
+	// minRetryDelay and maxRetryDelay bound the exponential backoff after failed calls. The store's recovery is noticed
+	// within maxRetryDelay.
 	minRetryDelay = 100 * time.Millisecond
 	maxRetryDelay = 600 * time.Millisecond
 )
 
 type (
-	// Record is the newest record of a key. A nil Value means that the key was dropped.
+	// Record is one record of the topic. A nil Value means that the key was deleted.
 	Record struct {
 		Key   string
 		Value []byte
 	}
 
-	// Page is a part of a topic. Next is the position from which the following records are read.
+	// Page is a range of records of a topic. Next is the position of the first record after it.
 	Page struct {
 		Records []Record
 		Next    uint64
 	}
 
-	// Follower reads one topic. Set the fields before Run.
+	// Follower consumes one topic. The fields must be set before Run is called.
 	Follower struct {
 		// Newest returns the newest record of each key.
 		Newest func(ctx context.Context) (Page, error)
-		// Read returns the records from a position on, and waits for one for a while. Its error satisfies
-		// trace.IsNotFound when the records at the position have expired.
+		// Read returns the records from a position on, as a long poll if there are none yet. Its error satisfies
+		// trace.IsNotFound if the records at the position have expired.
 		Read func(ctx context.Context, from uint64) (Page, error)
-		// Apply takes records in order. whole says that keys without a record do not exist.
+		// Apply handles records in order. whole says that the page is a snapshot: keys without a record in it do not exist.
 		Apply func(p Page, whole bool)
-		// Lost and Regained report the state of the store, once for each change.
+		// Lost and Regained report that the store has become unavailable or available, once per change.
 		Lost     func(err error)
 		Regained func()
 
@@ -47,9 +49,9 @@
 	}
 )
 
-// Run follows the topic until ctx ends.
+// Run consumes the topic until ctx is done.
 func (f *Follower) Run(ctx context.Context) {
-	pause := minRetryDelay
+	delay := minRetryDelay
 	var next uint64
 	known := false
 	for ctx.Err() == nil {
@@ -59,10 +61,10 @@
 			continue
 		}
 		if err != nil {
-			f.backOff(ctx, err, &pause)
+			f.backOff(ctx, err, &delay)
 			continue
 		}
-		pause = minRetryDelay
+		delay = minRetryDelay
 		if f.unavailable {
 			f.unavailable = false
 			f.Regained()
@@ -74,7 +76,8 @@
 	}
 }
 
-// step reads the next records. A panic on the store's answer is an error of the call.
+// readNext reads the next records, or a snapshot if no position is known. It returns a panic in the handling of the store's
+// response as an error.
 func (f *Follower) readNext(ctx context.Context, next uint64, known bool) (page Page, err error) {
 	panicked := catcher.Catch(func() {
 		if known {
@@ -89,7 +92,8 @@
 	return page, err
 }
 
-func (f *Follower) backOff(ctx context.Context, err error, pause *time.Duration) {
+// backOff reports the loss of the store and waits for a random time between half of delay and delay, which it doubles.
+func (f *Follower) backOff(ctx context.Context, err error, delay *time.Duration) {
 	if ctx.Err() != nil {
 		return
 	}
@@ -99,7 +103,7 @@
 	}
 	select {
 	case <-ctx.Done():
-	case <-time.After(*pause/2 + rand.N(*pause/2)):
+	case <-time.After(*delay/2 + rand.N(*delay/2)):
 	}
-	*pause = min(2**pause, maxRetryDelay)
+	*delay = min(2**delay, maxRetryDelay)
 }
--- a/follower/follower_test.go
+++ b/follower/follower_test.go
@@ -9,15 +9,15 @@
 	"github.com/gravitational/trace"
 )
 
-// TestFollow guards against changes that are missed or applied twice when the store fails or forgets its history.
+// TestFollow guards against changes that are missed or applied twice when the store fails or its records expire.
 func TestFollow(t *testing.T) {
 	type step struct {
-		call string // newest, or read with its position
+		call string // newest or read
 		page Page
 		err  error
 	}
 	a, b := Record{Key: "a", Value: []byte("1")}, Record{Key: "b", Value: []byte("2")}
-	down := errors.New("down")
+	unavailable := errors.New("unavailable")
 	cases := []struct {
 		name    string
 		steps   []step
@@ -26,9 +26,9 @@
 		lost    int
 	}{
 		{"changes", []step{{"newest", Page{[]Record{a}, 3}, nil}, {"read", Page{[]Record{b}, 4}, nil}, {"read", Page{nil, 4}, nil}}, []Page{{[]Record{a}, 3}, {[]Record{b}, 4}}, []bool{true, false}, 0},
-		{"down at first", []step{{"newest", Page{}, down}, {"newest", Page{[]Record{a}, 3}, nil}}, []Page{{[]Record{a}, 3}}, []bool{true}, 1},
-		{"down later", []step{{"newest", Page{nil, 3}, nil}, {"read", Page{}, down}, {"read", Page{}, down}, {"read", Page{[]Record{b}, 4}, nil}}, []Page{{nil, 3}, {[]Record{b}, 4}}, []bool{true, false}, 1},
-		{"history is gone", []step{{"newest", Page{nil, 3}, nil}, {"read", Page{}, trace.NotFound("gone")}, {"newest", Page{[]Record{b}, 9}, nil}}, []Page{{nil, 3}, {[]Record{b}, 9}}, []bool{true, true}, 0},
+		{"unavailable at first", []step{{"newest", Page{}, unavailable}, {"newest", Page{[]Record{a}, 3}, nil}}, []Page{{[]Record{a}, 3}}, []bool{true}, 1},
+		{"unavailable later", []step{{"newest", Page{nil, 3}, nil}, {"read", Page{}, unavailable}, {"read", Page{}, unavailable}, {"read", Page{[]Record{b}, 4}, nil}}, []Page{{nil, 3}, {[]Record{b}, 4}}, []bool{true, false}, 1},
+		{"records expired", []step{{"newest", Page{nil, 3}, nil}, {"read", Page{}, trace.NotFound("records expired")}, {"newest", Page{[]Record{b}, 9}, nil}}, []Page{{nil, 3}, {[]Record{b}, 9}}, []bool{true, true}, 0},
 	}
 	for _, c := range cases {
 		ctx, cancel := context.WithCancel(t.Context())
