--- a/carrier/session.go
+++ b/carrier/session.go
@@ -50,7 +50,7 @@
 	return &Session{conn: conn, Dialed: dialed, traffic: t, wake: make(chan struct{}, 1), done: make(chan struct{})}
 }
 
-// Send queues a message without blocking. Messages to a closed session are dropped; Node.OnDown reports the closure.
+// Send queues a message without blocking. Messages to a closed session are dropped; the Node reports the closure.
 func (s *Session) Send(m marshaler.Message) {
 	s.mu.Lock()
 	start := len(s.queued)
--- a/keeper/durable.go
+++ b/keeper/durable.go
@@ -32,7 +32,7 @@
 	claim struct {
 		epoch     uint64
 		entry     string
-		censusDue bool // the Census was not sent yet
+		censusDue bool // no census was sent since the claim
 	}
 
 	unrecordedEnd struct {
--- a/keeper/durable_test.go
+++ b/keeper/durable_test.go
@@ -65,7 +65,7 @@
 		name   string
 		status marshaler.Status
 		number uint64 // of the end in the outcome
-		before uint64 // acknowledged before Noted
+		before uint64 // acknowledged before the end is recorded
 	}{
 		{"done", marshaler.StatusDone, 7, 6}, {"failed", marshaler.StatusFailed, 7, 6},
 		{"stopped", marshaler.StatusStopped, 0, 7}, {"lapsed", marshaler.StatusLost, 0, 7},
--- a/keeper/entries.go
+++ b/keeper/entries.go
@@ -10,7 +10,7 @@
 	"github.com/crocuslb/crocuslb/timer"
 )
 
-var errEntryTimeout = trace.ConnectionProblem(nil, "no message from the entry within the time-out")
+var errEntryTimeout = trace.ConnectionProblem(nil, "no message from the entry within the timeout")
 
 // OnUp handles a new session of an entry. A new incarnation of an entry ends the runs of the previous one.
 func (k *Keeper) OnUp(now timer.Millis, link *marshaler.Link) {
--- a/keeper/keeper.go
+++ b/keeper/keeper.go
@@ -17,7 +17,7 @@
 	// LeaseTerm is the duration of the lease that each hold requests. The entry timeout, this duration on a slow backend
 	// server clock and the time to stop a run add up to less than the time after which a caller resubmits a job.
 	LeaseTerm = 700 * timer.Millisecond
-	// BeatPeriod is the interval between Load messages to an entry when nothing has changed.
+	// BeatPeriod is the interval between heartbeats to an entry when nothing has changed.
 	BeatPeriod = 150 * timer.Millisecond
 	// resumeGracePeriod is how long entries are not timed out after this process was paused: their messages may be unread,
 	// or their sessions have to be reopened. The lease is not renewed meanwhile, so its expiry still bounds their runs.
@@ -175,9 +175,9 @@
 		link              *marshaler.Link // nil while disconnected
 		lastReceived      timer.Millis
 		lastSent          timer.Millis
-		synced            bool // Held was sent on this session
+		synced            bool // the outcomes and the list of its runs were sent on this session
 		durableInUse      bool // the entry reported that durable jobs are in use, or does not know
-		heartbeatReceived bool // a Beat was received on this session
+		heartbeatReceived bool // on this session
 		subscribed        bool
 		pendingStarts     []string
 		pendingEnds       []marshaler.Settled
@@ -340,7 +340,7 @@
 }
 
 // active reports whether an entry has runs on this sidecar, is the placing entry, reports that durable jobs may be in use,
-// or owns a partition of them. Other sessions are idle and use longer heartbeat intervals and time-outs. The entry derives
+// or owns a partition of them. Other sessions are idle and use longer heartbeat intervals and timeouts. The entry derives
 // the same result.
 func (k *Keeper) active(e *entry) bool {
 	if e.subscribed || e.durableInUse {
--- a/keeper/listing.go
+++ b/keeper/listing.go
@@ -7,7 +7,7 @@
 
 const (
 	// stallTimeoutBase plus stallTimeoutFactor times the estimated run time is the time without progress after which a run
-	// counts as stalled. At a sixth of its usual speed, a backend server completes one percent of a run in
+	// counts as stalled. At a sixth of its usual speed, a backend server completes one percent of a run within
 	// stallTimeoutFactor times the estimate.
 	stallTimeoutBase   = 100 * timer.Millisecond
 	stallTimeoutFactor = 0.10
@@ -24,7 +24,7 @@
 
 // HoldRequest has the parameters of a hold.
 type HoldRequest struct {
-	Number uint64 // to be copied to Listing
+	Number uint64 // to be copied to the response
 	// Processed is the number up to which the backend server may forget ends.
 	Processed uint64
 	// Until is the requested lease expiry on the backend server's clock; 0 to leave the lease as it is.
