--- a/carrier/node.go
+++ b/carrier/node.go
@@ -34,10 +34,11 @@
 		OnUp      func(s *Session)
 		OnMessage func(s *Session, batch []marshaler.Message)
 		OnDown    func(s *Session, cause error)
-		// OnFail is called when a connection could not be accepted or opened, or its peer sent no valid Hello. It may be nil.
+		// OnFail is called when a connection could not be accepted or opened, or its peer sent no valid Hello. It may be
+		// called from several goroutines, and may be nil.
 		OnFail func(address string, err error)
-		// OnPanic is called when the decoding of a message, or one of the functions above, panicked. Only the session in
-		// question is closed. It may be nil.
+		// OnPanic is called when the decoding of a message, or the handling of a message or of a session's start or end,
+		// panicked. Only the session in question is closed. It may be nil.
 		OnPanic func(s *Session, err error)
 
 		// Traffic counts the messages that the sessions send.
