--- a/keeper/entries.go
+++ b/keeper/entries.go
@@ -10,9 +10,9 @@
 	"github.com/crocuslb/crocuslb/timer"
 )
 
-var errSilent = trace.ConnectionProblem(nil, "the entry is silent")
+var errEntryTimeout = trace.ConnectionProblem(nil, "no message from the entry within the timeout")
 
-// OnUp takes a new session of an entry. A new life of an entry ends the runs of the earlier one.
+// OnUp handles a new session of an entry. A new incarnation of an entry ends the runs of the previous one.
 func (k *Keeper) OnUp(now timer.Millis, link *marshaler.Link) {
 	h := link.Remote
 	if k.entries == nil {
@@ -20,30 +20,31 @@
 	}
 	e := k.entries[h.Name]
 	if e != nil && e.incarnation > h.Incarnation {
-		link.Close(trace.CompareFailed("a later life of %s is known", h.Name))
+		link.Close(trace.CompareFailed("a newer incarnation of %s is known", h.Name))
 		return
 	}
 	if e != nil && e.incarnation < h.Incarnation {
-		k.loseEntry(now, h.Name, e)
+		k.removeEntry(now, h.Name, e)
 		e = nil
 	}
 	if e == nil {
 		e = &entry{name: h.Name, incarnation: h.Incarnation}
 		k.entries[h.Name] = e
-		k.readopt(e)
+		k.reattachRuns(e)
 	}
 	if e.link != nil {
 		e.link.Close(trace.ConnectionProblem(nil, "replaced by a newer session"))
 	}
-	e.link, e.heard, e.greeted, e.subscribed, e.beaten = link, now, false, false, false
-	e.seen, e.settled = nil, nil
+	e.link, e.lastReceived, e.synced, e.subscribed, e.heartbeatReceived = link, now, false, false, false
+	e.pendingStarts, e.pendingEnds = nil, nil
 	k.sendBackend(e)
-	k.greet(e)
+	k.syncSession(e)
 	k.sendLoad(now, e)
 }
 
-// readopt lets an entry that returns after it was held for lost learn the ends of its runs that are being stopped.
-func (k *Keeper) readopt(e *entry) {
+// reattachRuns assigns runs that are still being stopped to their entry when it reconnects after it was declared lost, so
+// that it gets their outcomes.
+func (k *Keeper) reattachRuns(e *entry) {
 	for _, r := range k.runs {
 		if r.entry.name == e.name && r.entry.incarnation == e.incarnation {
 			r.entry = e
@@ -51,60 +52,60 @@
 	}
 }
 
-// OnDown takes the end of a session. The runs of its entry go on until VouchLimit.
+// OnDown handles the end of a session. The runs of its entry continue until the entry times out.
 func (k *Keeper) OnDown(link *marshaler.Link) {
-	if e := k.entryOf(link); e != nil {
+	if e := k.entryByLink(link); e != nil {
 		e.link = nil
 	}
 }
 
-// OnMessage takes a message of an entry.
+// OnMessage handles a message from an entry.
 func (k *Keeper) OnMessage(now timer.Millis, link *marshaler.Link, m marshaler.Message) {
-	e := k.entryOf(link)
+	e := k.entryByLink(link)
 	if e == nil {
 		return
 	}
-	e.heard = now
-	if k.lookDue && k.vouched(now) {
-		k.lookDue = false
-		k.Look() // extends the lease at once
+	e.lastReceived = now
+	if k.renewalDue && k.entriesAlive(now) {
+		k.renewalDue = false
+		k.Look() // renews the lease immediately
 	}
 	switch m := m.(type) {
 	case *marshaler.Start:
-		k.order(now, e, m)
+		k.onStart(now, e, m)
 	case *marshaler.Stop:
-		if r := k.find(m.Run); r != nil && r.entry == e {
-			k.stop(now, r, marshaler.StatusStopped, "stopped by the entry")
+		if r := k.findRun(m.Run); r != nil && r.entry == e {
+			k.stopRun(now, r, marshaler.StatusStopped, "stopped by the entry")
 		}
 	case *marshaler.Beat:
-		e.kept, e.beaten = m.Kept, true
+		e.durableInUse, e.heartbeatReceived = m.Kept, true
 	case *marshaler.Claim:
-		k.claim(e, m.Partitions)
+		k.onClaim(e, m.Partitions)
 	case *marshaler.Release:
-		k.release(now, e, m.Partition)
+		k.onRelease(now, e, m.Partition)
 	case *marshaler.Noted:
-		k.noted(now, m)
+		k.onNoted(now, m)
 	case *marshaler.Subscribe:
 		if e.subscribed != m.On {
 			e.subscribed = m.On
-			k.tellStarted(e)
+			k.replayStarts(e)
 			k.sendLoad(now, e)
 		}
 	}
 }
 
-// tellStarted reports the latest starts to an entry that begins to place: they may have come before its subscription.
-func (k *Keeper) tellStarted(e *entry) {
-	e.seen = nil
+// replayStarts queues the recent starts for a new placing entry, because they may precede its subscription.
+func (k *Keeper) replayStarts(e *entry) {
+	e.pendingStarts = nil
 	if !e.subscribed {
 		return
 	}
-	for _, s := range k.started {
-		e.seen = append(e.seen, s.job)
+	for _, s := range k.recentStarts {
+		e.pendingStarts = append(e.pendingStarts, s.job)
 	}
 }
 
-func (k *Keeper) entryOf(link *marshaler.Link) *entry {
+func (k *Keeper) entryByLink(link *marshaler.Link) *entry {
 	if e := k.entries[link.Remote.Name]; e != nil && e.link == link {
 		return e
 	}
@@ -112,24 +113,25 @@
 }
 
 func (k *Keeper) sendBackend(e *entry) {
-	if e.link == nil || !k.known {
+	if e.link == nil || !k.announced {
 		return
 	}
 	b := k.backend
 	e.link.Send(&marshaler.Backend{ID: b.ID, Born: b.Born, Service: b.Service, Labels: b.Labels, Total: b.Total})
 }
 
-// greet repeats the latest outcomes and lists the entry's runs, once this process knows all that runs.
-func (k *Keeper) greet(e *entry) {
-	if e.link == nil || e.greeted || !k.clean {
+// syncSession resends the recent outcomes and lists the entry's runs. It does nothing until a hold response has shown that
+// this process knows all running tasks.
+func (k *Keeper) syncSession(e *entry) {
+	if e.link == nil || e.synced || !k.reconciled {
 		return
 	}
-	e.greeted = true
+	e.synced = true
 	for i := range e.outcomes {
-		e.link.Send(&e.outcomes[i].m)
+		e.link.Send(&e.outcomes[i].outcome)
 	}
 	held := &marshaler.Held{}
-	for _, r := range k.sorted() {
+	for _, r := range k.sortedRuns() {
 		if r.entry == e {
 			held.Runs = append(held.Runs, r.key)
 		}
@@ -137,20 +139,21 @@
 	e.link.Send(held)
 }
 
-func (k *Keeper) greetAll() {
+func (k *Keeper) syncSessions() {
 	for _, name := range slices.Sorted(maps.Keys(k.entries)) {
-		k.greet(k.entries[name])
+		k.syncSession(k.entries[name])
 	}
 	k.sendCensuses()
 }
 
-// send reports an outcome to the entry that ordered the run, on its current session if it has one.
-func (k *Keeper) send(now timer.Millis, e *entry, m marshaler.Outcome) {
+// sendOutcome reports an outcome to the entry that started the run, on its current session if there is one, and keeps it
+// for a later session.
+func (k *Keeper) sendOutcome(now timer.Millis, e *entry, m marshaler.Outcome) {
 	e.outcomes = append(e.outcomes, sentOutcome{now, m})
-	if e.link != nil && e.greeted {
+	if e.link != nil && e.synced {
 		e.link.Send(&m)
-		if !e.subscribed { // it is a sign of life as well
-			e.sent = now
+		if !e.subscribed { // an outcome also serves as a heartbeat
+			e.lastSent = now
 		}
 	}
 }
@@ -161,7 +164,7 @@
 	}
 }
 
-func (k *Keeper) sendSubscribed(now timer.Millis) {
+func (k *Keeper) sendLoadsToSubscribers(now timer.Millis) {
 	for _, e := range marshaler.InOrder(k.entries) {
 		if e.subscribed {
 			k.sendLoad(now, e)
@@ -176,7 +179,7 @@
 	ok, _ := k.Accepting()
 	e.link.Send(&marshaler.Load{
 		Offset: k.offset, Accepting: ok, Free: k.free, Clock: k.Clock(now), Speed: uint64(max(k.speed, 0)),
-		Seen: e.seen, Settled: e.settled,
+		Seen: e.pendingStarts, Settled: e.pendingEnds,
 	})
-	e.seen, e.settled, e.sent = nil, nil, now
+	e.pendingStarts, e.pendingEnds, e.lastSent = nil, nil, now
 }
