--- a/conductor/budget_test.go
+++ b/conductor/budget_test.go
@@ -21,16 +21,16 @@
 		{"none yet", 0, time.Millisecond, 1000, 41, true},
 	}
 	for _, c := range cases {
-		b := budget{rate: 40}
-		b.setShares(c.shares)
+		b := writeLimiter{rate: 40}
+		b.setPartitions(c.shares)
 		begin := time.Unix(1000, 0)
 		now, paused := begin, false
 		for range c.calls {
-			pause := b.spend(now)
+			pause := b.reserve(now)
 			paused = paused || pause > 0
 			now = now.Add(c.every + pause)
 		}
-		rate := float64(c.calls) / (now.Sub(begin) + burstTime).Seconds()
+		rate := float64(c.calls) / (now.Sub(begin) + burstWindow).Seconds()
 		if rate > c.most || paused != c.pauses {
 			t.Errorf("%s: got %.0f calls a second, pauses %v, want at most %.0f, %v", c.name, rate, paused, c.most, c.pauses)
 		}
--- a/conductor/entries.go
+++ b/conductor/entries.go
@@ -15,25 +15,25 @@
 
 const (
 	// registerPause is the pause before the address of an entry is written to the store again after a failure.
-	registerPause = 300 * time.Millisecond
+	registerRetryDelay = 300 * time.Millisecond
 	// keptMarker is the key of the record that says that kept jobs are in use. It is no name of an entry.
-	keptMarker = "*kept"
+	durableJobsKey = "*kept"
 )
 
 // directory knows the addresses of the entries, from the store, from settings and from other processes, and keeps a
 // connection to each. Its methods may be called concurrently.
-type directory struct {
+type entryDirectory struct {
 	logger log.Interface
 	store  *platform.Store
 	// connect opens a session and keeps it open until ctx ends.
 	connect func(ctx context.Context, address string)
 	// wanted says whether this process connects to an entry. Sidecars connect to all, entries to those before them, so
 	// that two entries have one session.
-	wanted func(p marshaler.Peer) bool
+	shouldConnect func(p marshaler.Peer) bool
 	// self is this process as an entry; its Name is empty in a sidecar.
 	self marshaler.Peer
 	// kept is told whether kept jobs are in use, when that is first read and when it changes; nil in a sidecar.
-	kept func(inUse bool)
+	onDurableJobs func(inUse bool)
 
 	announcing atomic.Bool
 
@@ -43,7 +43,7 @@
 }
 
 // add connects to entries that are not known yet.
-func (d *directory) add(ctx context.Context, peers []marshaler.Peer) (added bool) {
+func (d *entryDirectory) addPeers(ctx context.Context, peers []marshaler.Peer) (added bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if d.known == nil {
@@ -56,10 +56,10 @@
 		}
 		d.known[p.Address] = p
 		added = true
-		if d.cancel[p.Address] == nil && d.wanted(p) {
-			connection, cancel := context.WithCancel(ctx)
+		if d.cancel[p.Address] == nil && d.shouldConnect(p) {
+			connectionCtx, cancel := context.WithCancel(ctx)
 			d.cancel[p.Address] = cancel
-			d.connect(connection, p.Address)
+			d.connect(connectionCtx, p.Address)
 			d.logger.WithFields(log.Fields{"entry": p.Name, "address": p.Address}).Info("members: entry is known")
 		}
 	}
@@ -67,16 +67,16 @@
 }
 
 // addSeeds connects to addresses on machines that may run an entry.
-func (d *directory) addSeeds(ctx context.Context, addresses []string) {
+func (d *entryDirectory) addSeeds(ctx context.Context, addresses []string) {
 	var seeds []marshaler.Peer
 	for _, address := range addresses {
 		seeds = append(seeds, marshaler.Peer{Address: address})
 	}
-	d.add(ctx, seeds)
+	d.addPeers(ctx, seeds)
 }
 
 // list returns the entries with a known name, and this process if it is one.
-func (d *directory) list() (peers []marshaler.Peer) {
+func (d *entryDirectory) peers() (peers []marshaler.Peer) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	for _, p := range d.known {
@@ -91,56 +91,56 @@
 }
 
 // keep drops the connection to an entry whose key has another address by now.
-func (d *directory) keep(name, address string) {
+func (d *entryDirectory) dropStaleAddresses(name, address string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	for at, p := range d.known {
-		if p.Name == name && at != address {
-			delete(d.known, at)
-			if cancel := d.cancel[at]; cancel != nil {
+	for oldAddress, p := range d.known {
+		if p.Name == name && oldAddress != address {
+			delete(d.known, oldAddress)
+			if cancel := d.cancel[oldAddress]; cancel != nil {
 				cancel()
-				delete(d.cancel, at)
+				delete(d.cancel, oldAddress)
 			}
-			d.logger.WithFields(log.Fields{"entry": name, "address": at}).Info("members: entry has moved")
+			d.logger.WithFields(log.Fields{"entry": name, "address": oldAddress}).Info("members: entry has moved")
 		}
 	}
 }
 
 // follow reads the addresses of entries from the store until ctx ends, and keeps this entry's own address there.
-func (d *directory) follow(ctx context.Context, found func()) {
-	registered := make(chan struct{}, 1)
+func (d *entryDirectory) follow(ctx context.Context, onAdded func()) {
+	registrationDue := make(chan struct{}, 1)
 	if d.self.Name != "" {
-		registered <- struct{}{}
-		go d.register(ctx, registered)
+		registrationDue <- struct{}{}
+		go d.register(ctx, registrationDue)
 	}
 	f := &follower.Follower{
 		Newest: func(ctx context.Context) (follower.Page, error) { return d.store.Newest(ctx, platform.TopicEntries) },
 		Read: func(ctx context.Context, from uint64) (follower.Page, error) {
 			return d.store.Read(ctx, platform.TopicEntries, from)
 		},
-		Apply: func(p follower.Page, whole bool) {
+		Apply: func(p follower.Page, complete bool) {
 			var peers []marshaler.Peer
-			own, inUse := false, false
+			hasOwn, inUse := false, false
 			for _, r := range p.Records {
-				if r.Key == keptMarker {
+				if r.Key == durableJobsKey {
 					inUse = true
 					continue
 				}
-				d.keep(r.Key, string(r.Value))
+				d.dropStaleAddresses(r.Key, string(r.Value))
 				peers = append(peers, marshaler.Peer{Name: r.Key, Address: string(r.Value)})
-				own = own || r.Key == d.self.Name
+				hasOwn = hasOwn || r.Key == d.self.Name
 			}
-			if d.kept != nil && (whole || inUse) {
-				d.kept(inUse)
+			if d.onDurableJobs != nil && (complete || inUse) {
+				d.onDurableJobs(inUse)
 			}
-			if d.self.Name != "" && (whole && !own || own && !hasAddress(p, d.self)) {
+			if d.self.Name != "" && (complete && !hasOwn || hasOwn && !hasCurrentAddress(p, d.self)) {
 				select {
-				case registered <- struct{}{}:
+				case registrationDue <- struct{}{}:
 				default:
 				}
 			}
-			if d.add(ctx, peers) {
-				found()
+			if d.addPeers(ctx, peers) {
+				onAdded()
 			}
 		},
 		Lost:     func(err error) { d.logger.WithError(err).Warn("members: store is lost") },
@@ -150,24 +150,24 @@
 }
 
 // announceKept writes to the store that kept jobs are in use. It never blocks.
-func (d *directory) announceKept(ctx context.Context) {
+func (d *entryDirectory) announceDurableJobs(ctx context.Context) {
 	if !d.announcing.CompareAndSwap(false, true) {
 		return
 	}
 	go func() {
 		defer d.announcing.Store(false)
-		err := d.store.Append(ctx, platform.TopicEntries, follower.Record{Key: keptMarker, Value: []byte("1")})
+		err := d.store.Append(ctx, platform.TopicEntries, follower.Record{Key: durableJobsKey, Value: []byte("1")})
 		if err != nil {
 			d.logger.WithError(err).Warn("members: use of kept jobs is not announced yet")
 			return
 		}
 		d.logger.Info("members: kept jobs are in use from now on")
-		d.kept(true)
+		d.onDurableJobs(true)
 	}()
 }
 
 // hasAddress reports whether the newest record of an entry in p has its address.
-func hasAddress(p follower.Page, self marshaler.Peer) (ok bool) {
+func hasCurrentAddress(p follower.Page, self marshaler.Peer) (ok bool) {
 	for _, r := range p.Records {
 		if r.Key == self.Name {
 			ok = string(r.Value) == self.Address
@@ -177,7 +177,7 @@
 }
 
 // register writes this entry's address to the store, whenever due receives.
-func (d *directory) register(ctx context.Context, due <-chan struct{}) {
+func (d *entryDirectory) register(ctx context.Context, due <-chan struct{}) {
 	for {
 		select {
 		case <-ctx.Done():
@@ -193,7 +193,7 @@
 			d.logger.WithError(err).Warn("members: this entry is not registered yet")
 			select {
 			case <-ctx.Done():
-			case <-time.After(registerPause):
+			case <-time.After(registerRetryDelay):
 			}
 		}
 	}
--- a/conductor/entry.go
+++ b/conductor/entry.go
@@ -24,25 +24,25 @@
 const (
 	// lingerTime is how long an entry that stops still takes requests on open connections, so that the load balancer
 	// and callers can turn away first.
-	lingerTime = 2500 * time.Millisecond
+	unreadyPeriod = 2500 * time.Millisecond
 	// closeTime is the part of the drain time that is left for answers after the last jobs were given up.
-	closeTime = 300 * time.Millisecond
+	responsePeriod = 300 * time.Millisecond
 )
 
 // Entry is an entry process on the users' platform.
 type Entry struct {
 	Options
 
-	loop    *loop
-	core    submitter.Submitter
-	config  configuration
-	members directory
-	owner   owner
-	node    carrier.Node
-	monitor monitor
-	links   sessions
-	ready   atomic.Bool
-	closing atomic.Bool
+	loop      *eventLoop
+	core      submitter.Submitter
+	config    configuration
+	directory entryDirectory
+	owner     partitionOwner
+	node      carrier.Node
+	monitor   monitor
+	sessions  sessions
+	ready     atomic.Bool
+	stopping  atomic.Bool
 }
 
 // Run serves until ctx ends, then finishes the work in flight within Options.Drain.
@@ -51,105 +51,107 @@
 	if e.Advertise == "" {
 		e.Advertise = e.Address
 	}
-	e.loop = newLoop()
-	e.monitor.logger, e.monitor.dropped = e.Logger, e.Dropped
-	e.loop.panicked = func(err error) { e.monitor.panicked("loop", err) }
+	e.loop = newEventLoop()
+	e.monitor.logger, e.monitor.droppedLogLines = e.Logger, e.DroppedLogLines
+	e.loop.onPanic = func(err error) { e.monitor.reportPanic("loop", err) }
 	e.core = submitter.Submitter{Name: e.Name, Incarnation: incarnation, Domain: e.Domain, Weight: e.Weight, Report: e.report, Partitions: e.Partitions}
-	e.owner = owner{
-		logger: e.Logger, store: newStore(e.Store, 0), loop: e.loop, core: &e.core, member: e.Name, nudges: make(chan struct{}, 1),
-		budget: budget{rate: writeShare * float64(e.Writes) / float64(max(e.Partitions, 1))},
+	e.owner = partitionOwner{
+		logger: e.Logger, store: newStore(e.StoreAddress, 0), loop: e.loop, core: &e.core, memberName: e.Name, heartbeatDue: make(chan struct{}, 1),
+		limiter: writeLimiter{rate: writeCallShare * float64(e.WritesPerSecond) / float64(max(e.Partitions, 1))},
 	}
-	e.core.Record, e.core.Redealt = e.owner.record, e.owner.nudge
-	e.config = configuration{logger: e.Logger, changed: e.core.SetSnapshot, known: make(chan struct{})}
+	e.core.Record, e.core.Redealt = e.owner.appendRecord, e.owner.requestHeartbeat
+	e.config = configuration{logger: e.Logger, onChange: e.core.SetSnapshot, available: make(chan struct{})}
 	e.node = carrier.Node{
 		Hello: func() marshaler.Hello {
 			return marshaler.Hello{Role: marshaler.RoleEntry, Name: e.Name, Incarnation: incarnation, Domain: e.Domain, Address: e.Advertise, Weight: e.Weight}
 		},
 	}
-	e.members = directory{
-		logger: e.Logger, store: newStore(e.Store, entriesWait), connect: e.node.Connect,
-		self:   marshaler.Peer{Name: e.Name, Address: e.Advertise, Incarnation: incarnation},
-		wanted: func(p marshaler.Peer) bool { return p.Name < e.Name },
+	e.directory = entryDirectory{
+		logger: e.Logger, store: newStore(e.StoreAddress, entriesPollTimeout), connect: e.node.Connect,
+		self:          marshaler.Peer{Name: e.Name, Address: e.Advertise, Incarnation: incarnation},
+		shouldConnect: func(p marshaler.Peer) bool { return p.Name < e.Name },
 	}
 	// The process outlives ctx by its drain time.
-	life, end := context.WithCancel(context.WithoutCancel(ctx))
-	defer end()
-	e.members.kept = func(inUse bool) { e.useKept(life, inUse) }
-	e.core.WantKept = func() { e.members.announceKept(life) }
-	e.links = sessions{
-		loop: e.loop, config: &e.config, members: &e.members, up: e.core.OnUp, down: e.core.OnDown, message: e.core.OnMessage,
-		panicked: e.monitor.panicked,
+	runCtx, cancel := context.WithCancel(context.WithoutCancel(ctx))
+	defer cancel()
+	e.directory.onDurableJobs = func(inUse bool) { e.setDurableJobsInUse(runCtx, inUse) }
+	e.core.WantKept = func() { e.directory.announceDurableJobs(runCtx) }
+	e.sessions = sessions{
+		loop: e.loop, config: &e.config, directory: &e.directory, onUp: e.core.OnUp, onDown: e.core.OnDown, onMessage: e.core.OnMessage,
+		onPanic: e.monitor.reportPanic,
 	}
-	e.links.attach(life, &e.node)
+	e.sessions.attach(runCtx, &e.node)
 	e.monitor.traffic = &e.node.Traffic
 	e.loop.flush = e.core.Flush
 	e.loop.tick = func(now timer.Millis) {
 		e.core.Tick(now)
 		e.ready.Store(e.core.Ready())
 	}
-	if _, err := e.node.Listen(life, e.Address); err != nil {
+	if _, err := e.node.Listen(runCtx, e.Address); err != nil {
 		return err
 	}
-	servers, err := e.listen(life)
+	servers, err := e.startServers(runCtx)
 	if err != nil {
 		return err
 	}
-	e.members.addSeeds(life, e.Seeds)
-	store := newStore(e.Store, configurationWait)
-	go e.config.follow(life, e.loop, store)
-	go e.members.follow(life, func() { e.links.sendAll(&marshaler.Peers{Peers: e.members.list()}) })
-	e.Logger.WithFields(log.Fields{"name": e.Name, "domain": e.Domain, "address": e.Address, "callers": e.Callers}).Info("entry: started")
-	broken := make(chan error, 1)
-	go func() { broken <- e.loop.run(life) }()
+	e.directory.addSeeds(runCtx, e.Seeds)
+	store := newStore(e.StoreAddress, configurationPollTimeout)
+	go e.config.follow(runCtx, e.loop, store)
+	go e.directory.follow(runCtx, func() { e.sessions.broadcast(&marshaler.Peers{Peers: e.directory.peers()}) })
+	e.Logger.WithFields(log.Fields{"name": e.Name, "domain": e.Domain, "address": e.Address, "callers": e.CallersAddress}).Info("entry: started")
+	loopErr := make(chan error, 1)
+	go func() { loopErr <- e.loop.run(runCtx) }()
 	select {
 	case <-ctx.Done():
-	case err := <-broken:
+	case err := <-loopErr:
 		return err
 	}
-	e.drain(life, servers)
-	end()
-	closeAll(servers)
+	e.drain(runCtx, servers)
+	cancel()
+	closeServers(servers)
 	e.node.Wait()
 	e.Logger.WithField("name", e.Name).Info("entry: stopped")
 	return nil
 }
 
 // listen starts the HTTP servers. The first one serves callers.
-func (e *Entry) listen(ctx context.Context) ([]*http.Server, error) {
+func (e *Entry) startServers(ctx context.Context) ([]*http.Server, error) {
 	callers := &platform.Callers{
-		Snapshot: func(deadline timer.Millis, gone <-chan struct{}) (*router.Snapshot, timer.Millis) {
-			return e.config.await(e.loop.clock, submitter.Patience(deadline), gone)
+		Snapshot: func(deadline timer.Millis, canceled <-chan struct{}) (*router.Snapshot, timer.Millis) {
+			return e.config.await(e.loop.clock, submitter.Patience(deadline), canceled)
+		},
+		Submit: func(job submitter.Job, canceled <-chan struct{}) submitter.Answer {
+			return e.submit(ctx, job, canceled)
 		},
-		Submit: func(j submitter.Job, gone <-chan struct{}) submitter.Answer { return e.submit(ctx, j, gone) },
-		Cancel: func(queue, id string, gone <-chan struct{}) submitter.Answer {
-			return e.call(ctx, gone, func(now timer.Millis, answer func(a submitter.Answer)) { e.core.Cancel(now, queue, id, answer) })
+		Cancel: func(queue, id string, canceled <-chan struct{}) submitter.Answer {
+			return e.request(ctx, canceled, func(now timer.Millis, answer func(a submitter.Answer)) { e.core.Cancel(now, queue, id, answer) })
 		},
-		State: func(queue, id string, gone <-chan struct{}) submitter.Answer {
-			return e.call(ctx, gone, func(now timer.Millis, answer func(a submitter.Answer)) { e.core.State(now, queue, id, answer) })
+		State: func(queue, id string, canceled <-chan struct{}) submitter.Answer {
+			return e.request(ctx, canceled, func(now timer.Millis, answer func(a submitter.Answer)) { e.core.State(now, queue, id, answer) })
 		},
 		Waiting: func(queue string) (waiting int) {
-			e.ask(ctx, func(timer.Millis) bool { waiting = e.core.Waiting(queue); return true })
+			e.query(ctx, func(timer.Millis) bool { waiting = e.core.Waiting(queue); return true })
 			return waiting
 		},
 		Refused: func(id, queue, reason string, status int) {
 			e.report(submitter.Event{Kind: "refuse", Job: id, Queue: queue, Detail: "callers " + reason, Value: int64(status)})
 		},
-		Closing: e.closing.Load,
+		Closing: e.stopping.Load,
 	}
 	ready := http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
-		if !e.ready.Load() || e.closing.Load() {
+		if !e.ready.Load() || e.stopping.Load() {
 			w.WriteHeader(http.StatusServiceUnavailable)
 		}
 	})
-	return serveAll(ctx, &e.monitor, []endpoint{
-		{e.Callers, callers}, {e.Ready, ready}, {e.Metrics, e.monitor.handler()},
+	return startServers(ctx, &e.monitor, []endpoint{
+		{e.CallersAddress, callers}, {e.ReadyAddress, ready}, {e.MetricsAddress, e.monitor.metricsHandler()},
 	})
 }
 
 // ask calls f in the loop and waits for its result.
-func (e *Entry) ask(ctx context.Context, f func(now timer.Millis) bool) bool {
+func (e *Entry) query(ctx context.Context, f func(now timer.Millis) bool) bool {
 	result := make(chan bool, 1)
-	e.loop.do(ctx, func(now timer.Millis) {
+	e.loop.post(ctx, func(now timer.Millis) {
 		ok := false
 		defer func() { result <- ok }() // also when f panics
 		ok = f(now)
@@ -163,13 +165,13 @@
 }
 
 // call calls f in the loop and waits for the answer that follows, or until the caller leaves.
-func (e *Entry) call(ctx context.Context, gone <-chan struct{}, f func(now timer.Millis, answer func(a submitter.Answer))) submitter.Answer {
-	answer, give := newAnswer()
-	e.loop.do(ctx, func(now timer.Millis) { e.guard(give, func() { f(now, give) }) })
+func (e *Entry) request(ctx context.Context, canceled <-chan struct{}, f func(now timer.Millis, answer func(a submitter.Answer))) submitter.Answer {
+	answer, deliver := newAnswerChannel()
+	e.loop.post(ctx, func(now timer.Millis) { e.runRecovering(deliver, func() { f(now, deliver) }) })
 	select {
 	case a := <-answer:
 		return a
-	case <-gone:
+	case <-canceled:
 		return submitter.Answer{Kind: submitter.AnswerGaveUp, Reason: "caller left"}
 	case <-ctx.Done():
 		return submitter.Answer{Kind: submitter.AnswerGaveUp, Reason: "the entry ended"}
@@ -177,7 +179,7 @@
 }
 
 // newAnswer returns a channel that takes the first answer, and the function that gives it.
-func newAnswer() (answer chan submitter.Answer, give func(a submitter.Answer)) {
+func newAnswerChannel() (answer chan submitter.Answer, deliver func(a submitter.Answer)) {
 	answer = make(chan submitter.Answer, 1)
 	return answer, func(a submitter.Answer) {
 		select {
@@ -188,37 +190,37 @@
 }
 
 // guard calls f. If it panics, the caller is told that the job's outcome is open, because some of it may have run.
-func (e *Entry) guard(give func(a submitter.Answer), f func()) {
+func (e *Entry) runRecovering(deliver func(a submitter.Answer), f func()) {
 	if err := catcher.Catch(f); err != nil {
-		e.monitor.panicked("caller", err)
-		give(submitter.Answer{Kind: submitter.AnswerGaveUp, Reason: "internal error"})
+		e.monitor.reportPanic("caller", err)
+		deliver(submitter.Answer{Kind: submitter.AnswerGaveUp, Reason: "internal error"})
 	}
 }
 
 // useKept takes what the store says of kept jobs. This entry owns some of their partitions from then on.
-func (e *Entry) useKept(ctx context.Context, inUse bool) {
-	e.loop.do(ctx, func(now timer.Millis) { e.core.SetKept(now, inUse) })
+func (e *Entry) setDurableJobsInUse(ctx context.Context, inUse bool) {
+	e.loop.post(ctx, func(now timer.Millis) { e.core.SetKept(now, inUse) })
 	if inUse {
 		e.owner.start(ctx)
 	}
 }
 
 // submit passes a job to the core and waits for its answer.
-func (e *Entry) submit(ctx context.Context, j submitter.Job, gone <-chan struct{}) submitter.Answer {
-	answer, give := newAnswer()
-	j.Answer = give
-	e.loop.do(ctx, func(now timer.Millis) { e.guard(give, func() { e.core.Submit(now, j) }) })
+func (e *Entry) submit(ctx context.Context, job submitter.Job, canceled <-chan struct{}) submitter.Answer {
+	answer, deliver := newAnswerChannel()
+	job.Answer = deliver
+	e.loop.post(ctx, func(now timer.Millis) { e.runRecovering(deliver, func() { e.core.Submit(now, job) }) })
 	select {
 	case a := <-answer:
 		return a
 	case <-ctx.Done():
 		return submitter.Answer{Kind: submitter.AnswerGaveUp, Reason: "the entry ended"}
-	case <-gone:
+	case <-canceled:
 	}
-	if j.Kind.Kept { // it may be in the store
+	if job.Kind.Kept { // it may be in the store
 		return submitter.Answer{Kind: submitter.AnswerGaveUp, Reason: "caller left"}
 	}
-	e.loop.do(ctx, func(now timer.Millis) { e.guard(give, func() { e.core.Drop(now, j.ID, "caller left") }) })
+	e.loop.post(ctx, func(now timer.Millis) { e.runRecovering(deliver, func() { e.core.Drop(now, job.ID, "caller left") }) })
 	select {
 	case a := <-answer:
 		return a
@@ -229,51 +231,51 @@
 
 // drain ends the process: callers are turned away first, then the jobs in work end, then what is left is given up.
 func (e *Entry) drain(ctx context.Context, servers []*http.Server) {
-	e.closing.Store(true)
+	e.stopping.Store(true)
 	e.owner.leave(ctx)
-	e.loop.do(ctx, e.core.Leave)
-	e.Logger.WithField("drain", e.Drain.String()).Info("entry: stopping")
+	e.loop.post(ctx, e.core.Leave)
+	e.Logger.WithField("drain", e.DrainTime.String()).Info("entry: stopping")
 	started := time.Now()
-	limit := e.Drain.Duration()
-	time.Sleep(min(lingerTime, limit))
-	finish, cancel := context.WithTimeout(ctx, limit-time.Since(started)-closeTime)
+	drainTime := e.DrainTime.Duration()
+	time.Sleep(min(unreadyPeriod, drainTime))
+	shutdownCtx, cancel := context.WithTimeout(ctx, drainTime-time.Since(started)-responsePeriod)
 	defer cancel()
-	err := servers[0].Shutdown(finish)
+	err := servers[0].Shutdown(shutdownCtx)
 	if errors.Is(err, context.DeadlineExceeded) {
-		e.ask(ctx, func(now timer.Millis) bool { e.core.DropAll(now, "the entry ends"); return true })
-		time.Sleep(closeTime) // the answers are on their way
+		e.query(ctx, func(now timer.Millis) bool { e.core.DropAll(now, "the entry ends"); return true })
+		time.Sleep(responsePeriod) // the answers are on their way
 	}
 }
 
-func (e *Entry) report(v submitter.Event) {
-	detail, _, _ := strings.Cut(v.Detail, " ")
-	if v.Kind == "reject" || v.Kind == "release" || v.Kind == "sidecarLost" || v.Kind == "entryLost" {
+func (e *Entry) report(event submitter.Event) {
+	detail, _, _ := strings.Cut(event.Detail, " ")
+	if event.Kind == "reject" || event.Kind == "release" || event.Kind == "sidecarLost" || event.Kind == "entryLost" {
 		detail = ""
 	}
-	e.monitor.count(v.Kind, detail)
-	if v.Kind == "answer" {
-		e.monitor.metrics.Observe(`crocuslb_job_response_seconds{answer="`+detail+`"}`, v.Took)
+	e.monitor.countEvent(event.Kind, detail)
+	if event.Kind == "answer" {
+		e.monitor.metrics.Observe(`crocuslb_job_response_seconds{answer="`+detail+`"}`, event.Took)
 	}
-	fields := log.Fields{"detail": v.Detail, "value": v.Value}
-	if v.Job != "" {
-		fields["job"], fields["queue"] = v.Job, v.Queue
+	fields := log.Fields{"detail": event.Detail, "value": event.Value}
+	if event.Job != "" {
+		fields["job"], fields["queue"] = event.Job, event.Queue
 	}
-	if v.Peer != "" {
-		fields["peer"] = v.Peer
+	if event.Peer != "" {
+		fields["peer"] = event.Peer
 	}
-	if v.Took != 0 {
-		fields["tookMs"] = int64(v.Took)
+	if event.Took != 0 {
+		fields["tookMs"] = int64(event.Took)
 	}
-	if v.Expected != 0 {
-		fields["expectedMs"], fields["deadlineMs"] = int64(v.Expected), int64(v.Deadline)
+	if event.Expected != 0 {
+		fields["expectedMs"], fields["deadlineMs"] = int64(event.Expected), int64(event.Deadline)
 	}
 	s := e.config.current()
 	fields["version"] = s.Version
-	e.Logger.WithFields(fields).Info("entry: " + v.Kind)
+	e.Logger.WithFields(fields).Info("entry: " + event.Kind)
 }
 
 // closeAll ends the servers of a process that has answered what it could.
-func closeAll(servers []*http.Server) {
+func closeServers(servers []*http.Server) {
 	for _, server := range servers {
 		_ = server.Close() // the process ends in any case
 	}
@@ -286,21 +288,21 @@
 }
 
 // serveAll starts a server for each endpoint with an address.
-func serveAll(ctx context.Context, m *monitor, endpoints []endpoint) ([]*http.Server, error) {
+func startServers(ctx context.Context, m *monitor, endpoints []endpoint) ([]*http.Server, error) {
 	var servers []*http.Server
-	for _, p := range endpoints {
-		if p.address == "" {
+	for _, e := range endpoints {
+		if e.address == "" {
 			continue
 		}
-		listener, err := (&net.ListenConfig{}).Listen(ctx, "tcp", p.address)
+		listener, err := (&net.ListenConfig{}).Listen(ctx, "tcp", e.address)
 		if err != nil {
-			return servers, trace.ConnectionProblem(err, "cannot listen on %q: %v", p.address, err)
+			return servers, trace.ConnectionProblem(err, "cannot listen on %q: %v", e.address, err)
 		}
-		server := &http.Server{Handler: m.guarded(p), ReadHeaderTimeout: headerTimeout, IdleTimeout: idleTimeout}
+		server := &http.Server{Handler: m.recoverPanics(e), ReadHeaderTimeout: headerTimeout, IdleTimeout: idleTimeout}
 		servers = append(servers, server)
 		go func() {
 			if err := server.Serve(listener); !errors.Is(err, http.ErrServerClosed) {
-				m.logger.WithError(err).WithField("address", p.address).Error("http: listener ended")
+				m.logger.WithError(err).WithField("address", e.address).Error("http: listener ended")
 			}
 		}()
 	}
--- a/conductor/loop.go
+++ b/conductor/loop.go
@@ -14,34 +14,34 @@
 
 const (
 	// loopBuffer is the number of events that wait before their senders do.
-	loopBuffer = 4096
+	eventBuffer = 4096
 	// tickPeriod is the resolution of time limits.
 	tickPeriod = 25 * time.Millisecond
 	// maxEvents is the number of events after which the core acts on them, when more wait.
-	maxEvents = 64
+	maxBatchEvents = 64
 	// maxFailedTicks is the number of ticks in a row that may panic, 1 s, before the loop gives up. Without ticks no time
 	// limit holds, and a restart clears the state.
 	maxFailedTicks = 40
 )
 
 // loop is the one goroutine that owns a core's state. Other goroutines pass it functions to call.
-type loop struct {
+type eventLoop struct {
 	clock  timer.Clock
 	events chan func(now timer.Millis)
 	// flush is called after each batch of events, tick every tickPeriod.
 	flush, tick func(now timer.Millis)
 	// panicked is told of a panic in an event, in flush or in tick. Only that call ends.
-	panicked func(err error)
+	onPanic func(err error)
 
 	failedTicks int // in a row
 }
 
-func newLoop() *loop {
-	return &loop{clock: timer.Boot(), events: make(chan func(now timer.Millis), loopBuffer)}
+func newEventLoop() *eventLoop {
+	return &eventLoop{clock: timer.Boot(), events: make(chan func(now timer.Millis), eventBuffer)}
 }
 
 // do passes a function to the loop. It blocks while too many events wait, and drops the function once ctx has ended.
-func (l *loop) do(ctx context.Context, f func(now timer.Millis)) {
+func (l *eventLoop) post(ctx context.Context, f func(now timer.Millis)) {
 	select {
 	case l.events <- f:
 	case <-ctx.Done():
@@ -49,7 +49,7 @@
 }
 
 // run calls the functions until ctx ends. It returns an error when the ticks keep panicking.
-func (l *loop) run(ctx context.Context) error {
+func (l *eventLoop) run(ctx context.Context) error {
 	ticker := time.NewTicker(tickPeriod)
 	defer ticker.Stop()
 	for {
@@ -57,9 +57,9 @@
 		case <-ctx.Done():
 			return nil
 		case f := <-l.events:
-			l.batch(f)
+			l.runBatch(f)
 		case <-ticker.C:
-			if l.call(l.clock.Now(), l.tick) {
+			if l.callRecovering(l.clock.Now(), l.tick) {
 				l.failedTicks = 0
 			} else if l.failedTicks++; l.failedTicks >= maxFailedTicks {
 				return trace.LimitExceeded("%d ticks in a row panicked", l.failedTicks)
@@ -69,25 +69,25 @@
 }
 
 // call calls f and reports whether it returned without a panic.
-func (l *loop) call(now timer.Millis, f func(now timer.Millis)) bool {
+func (l *eventLoop) callRecovering(now timer.Millis, f func(now timer.Millis)) bool {
 	err := catcher.Catch(func() { f(now) })
-	if err != nil && l.panicked != nil {
-		l.panicked(err)
+	if err != nil && l.onPanic != nil {
+		l.onPanic(err)
 	}
 	return err == nil
 }
 
-func (l *loop) batch(f func(now timer.Millis)) {
+func (l *eventLoop) runBatch(f func(now timer.Millis)) {
 	now := l.clock.Now()
-	l.call(now, f)
-	for range maxEvents {
+	l.callRecovering(now, f)
+	for range maxBatchEvents {
 		select {
 		case f := <-l.events:
-			l.call(now, f)
+			l.callRecovering(now, f)
 		default:
-			l.call(now, l.flush)
+			l.callRecovering(now, l.flush)
 			return
 		}
 	}
-	l.call(now, l.flush)
+	l.callRecovering(now, l.flush)
 }
--- a/conductor/options.go
+++ b/conductor/options.go
@@ -18,14 +18,14 @@
 const (
 	// configurationWait is how long a read of the configuration waits for a change. A connection that went silent is
 	// noticed after this and storeTimeout, within the time in which a configuration has to be in force.
-	configurationWait = 3 * time.Second
+	configurationPollTimeout = 3 * time.Second
 	// sidecarConfigurationWait is the same for sidecars. Of a configuration they use the withdrawn domains only, and entries
 	// pass it on to sidecars that lag.
-	sidecarConfigurationWait = 10 * time.Second
+	sidecarConfigurationPollTimeout = 10 * time.Second
 	// entriesWait is how long a read of the entries' addresses waits for a change, the longest that the store allows. New
 	// entries are also heard of from others.
-	entriesWait  = 30 * time.Second
-	storeTimeout = 800 * time.Millisecond
+	entriesPollTimeout = 30 * time.Second
+	storeTimeout       = 800 * time.Millisecond
 	// backendTimeout bounds a call to the backend server on the same machine, which answers within a few milliseconds.
 	// It leaves a task of 60 ms, whose start is lost, time to start elsewhere.
 	backendTimeout = 40 * time.Millisecond
@@ -40,15 +40,15 @@
 	Domain  string
 	Address string // listen address of the sessions between processes, ip:port; entries only
 	// Advertise is the address at which other processes reach this one; Address when empty.
-	Advertise string
-	Store     string // address of the platform's store
+	Advertise    string
+	StoreAddress string // address of the platform's store
 	// Callers, Ready and Announcements are listen addresses. An empty one is not served.
-	Callers       string
-	Ready         string
-	Announcements string
-	Metrics       string
+	CallersAddress  string
+	ReadyAddress    string
+	AnnounceAddress string
+	MetricsAddress  string
 	// Backend is the address of the backend server beside a sidecar.
-	Backend string
+	BackendAddress string
 	// Seeds are addresses of entries that may be out of date, for times in which the store does not answer.
 	Seeds []string
 	// Weight is the share of a processor that the process may use, in thousandths.
@@ -56,12 +56,12 @@
 	// Partitions is the number of partitions of the kept jobs, the same for all processes.
 	Partitions uint64
 	// Writes is the number of write calls a second that the store takes from all processes together.
-	Writes uint64
+	WritesPerSecond uint64
 	// Drain bounds the time to finish the work in flight after SIGTERM.
-	Drain  timer.Millis
-	Logger log.Interface
+	DrainTime timer.Millis
+	Logger    log.Interface
 	// Dropped counts log lines that were not written.
-	Dropped func() uint64
+	DroppedLogLines func() uint64
 }
 
 // newClient returns an HTTP client that keeps connections open.
@@ -73,43 +73,43 @@
 	}}
 }
 
-func newStore(address string, wait time.Duration) *platform.Store {
-	return &platform.Store{Address: address, Timeout: storeTimeout, Wait: wait, Client: newClient(2)}
+func newStore(address string, pollTimeout time.Duration) *platform.Store {
+	return &platform.Store{Address: address, Timeout: storeTimeout, Wait: pollTimeout, Client: newClient(2)}
 }
 
 // monitor counts events and serves the counters.
 type monitor struct {
-	metrics reporter.Metrics
-	logger  log.Interface
-	dropped func() uint64 // log lines that were not written
-	traffic *carrier.Traffic
+	metrics         reporter.Metrics
+	logger          log.Interface
+	droppedLogLines func() uint64 // log lines that were not written
+	traffic         *carrier.Traffic
 }
 
 // panicked logs and counts a panic that ended only the handling of one event. from names the process whose message it
 // was, or the part of this process.
-func (m *monitor) panicked(from string, err error) {
-	m.metrics.Count("crocuslb_panics_total{from=" + strconv.Quote(from) + "}")
-	m.logger.WithError(err).WithField("from", from).Error("process: the handling of an event panicked")
+func (m *monitor) reportPanic(source string, err error) {
+	m.metrics.Count("crocuslb_panics_total{from=" + strconv.Quote(source) + "}")
+	m.logger.WithError(err).WithField("from", source).Error("process: the handling of an event panicked")
 }
 
-func (m *monitor) count(kind, detail string) {
+func (m *monitor) countEvent(kind, detail string) {
 	m.metrics.Count("crocuslb_events_total{kind=" + strconv.Quote(kind) + ",detail=" + strconv.Quote(detail) + "}")
 }
 
 // guarded returns the endpoint's handler. A panic in it ends its request with status 500.
-func (m *monitor) guarded(p endpoint) http.Handler {
+func (m *monitor) recoverPanics(e endpoint) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		if err := catcher.Catch(func() { p.handler.ServeHTTP(w, r) }); err != nil {
-			m.panicked("http "+p.address, err)
+		if err := catcher.Catch(func() { e.handler.ServeHTTP(w, r) }); err != nil {
+			m.reportPanic("http "+e.address, err)
 			w.WriteHeader(http.StatusInternalServerError)
 		}
 	})
 }
 
-func (m *monitor) handler() http.Handler {
+func (m *monitor) metricsHandler() http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
-		if m.dropped != nil {
-			m.metrics.SetTotal("crocuslb_dropped_log_lines_total", m.dropped())
+		if m.droppedLogLines != nil {
+			m.metrics.SetTotal("crocuslb_dropped_log_lines_total", m.droppedLogLines())
 		}
 		if m.traffic != nil {
 			for _, s := range m.traffic.Sent() {
--- a/conductor/owner.go
+++ b/conductor/owner.go
@@ -22,193 +22,193 @@
 	memberTTL = 1500 * timer.Millisecond
 	// leaseTime is how long after a successful call an entry holds itself for an owner. The rest of memberTTL covers
 	// clocks that differ in speed and the work until the partitions are given up.
-	leaseTime = 1300 * timer.Millisecond
+	leaseDuration = 1300 * timer.Millisecond
 	// joinPeriod is the time between two signs of life. Two may fail within the lease.
-	joinPeriod = 400 * time.Millisecond
+	heartbeatPeriod = 400 * time.Millisecond
 	// nudgePause is the pause after another entry gave partitions up, until the store has heard of it, too.
-	nudgePause = 20 * time.Millisecond
+	rebalanceDelay = 20 * time.Millisecond
 	// joinPause is the pause after a failed sign of life.
-	joinPause = 100 * time.Millisecond
+	heartbeatRetryDelay = 100 * time.Millisecond
 	// leaseCheck is the period in which the end of the lease is noticed.
-	leaseCheck = 50 * time.Millisecond
+	leaseCheckPeriod = 50 * time.Millisecond
 	// writeShare is the share of the store's write calls that records of kept jobs may use.
-	writeShare = 0.6
+	writeCallShare = 0.6
 )
 
 // owner owns partitions of the kept jobs as the store deals them, and writes their records. Use start once kept jobs are
 // in use.
-type owner struct {
-	logger log.Interface
-	store  *platform.Store
-	loop   *loop
-	core   *submitter.Submitter
-	member string
+type partitionOwner struct {
+	logger     log.Interface
+	store      *platform.Store
+	loop       *eventLoop
+	core       *submitter.Submitter
+	memberName string
 	// budget bounds the writes of all partitions of this entry together.
-	budget budget
+	limiter writeLimiter
 	// nudges asks for a sign of life before its time.
-	nudges chan struct{}
+	heartbeatDue chan struct{}
 
-	once       sync.Once
-	end        context.CancelFunc
-	ended      chan struct{} // closed when run has ended
+	startOnce  sync.Once
+	cancel     context.CancelFunc
+	done       chan struct{} // closed when run has ended
 	generation uint64        // of run
 	// again says that the next sign of life begins a new membership, with new epochs.
-	again atomic.Bool
+	rejoin atomic.Bool
 
-	mu      sync.Mutex
-	until   timer.Millis       // end of the lease
-	writers map[uint64]*writer // by partition
+	mu       sync.Mutex
+	leaseEnd timer.Millis       // end of the lease
+	writers  map[uint64]*writer // by partition
 }
 
 // start begins to own partitions until ctx ends. Further calls do nothing.
-func (o *owner) start(ctx context.Context) {
-	o.once.Do(func() {
-		ctx, o.end = context.WithCancel(ctx)
-		o.ended = make(chan struct{})
-		o.again.Store(true)
+func (o *partitionOwner) start(ctx context.Context) {
+	o.startOnce.Do(func() {
+		ctx, o.cancel = context.WithCancel(ctx)
+		o.done = make(chan struct{})
+		o.rejoin.Store(true)
 		go o.run(ctx)
 	})
 }
 
 // leave hands all partitions over to other entries.
-func (o *owner) leave(ctx context.Context) {
-	o.once.Do(func() {}) // it must not start from now on
-	if o.end == nil {
+func (o *partitionOwner) leave(ctx context.Context) {
+	o.startOnce.Do(func() {}) // it must not start from now on
+	if o.cancel == nil {
 		return
 	}
-	o.end()
-	<-o.ended
+	o.cancel()
+	<-o.done
 	o.releaseAll(ctx, false, "the entry stops")
-	if err := o.store.LeaveGroup(ctx, o.member); err != nil {
+	if err := o.store.LeaveGroup(ctx, o.memberName); err != nil {
 		o.logger.WithError(err).Warn("owner: the store was not told that this entry leaves")
 	}
 }
 
-func (o *owner) run(ctx context.Context) {
-	defer close(o.ended)
+func (o *partitionOwner) run(ctx context.Context) {
+	defer close(o.done)
 	go o.watchLease(ctx)
 	for ctx.Err() == nil {
-		pause := joinPeriod
-		changed, err := o.join(ctx)
+		delay := heartbeatPeriod
+		changed, err := o.heartbeat(ctx)
 		switch {
 		case err != nil:
 			o.logger.WithError(err).Warn("owner: no answer to the sign of life")
-			pause = joinPause
+			delay = heartbeatRetryDelay
 		case changed:
-			pause = 0 // the store waits for this before it deals the partitions to others
+			delay = 0 // the store waits for this before it deals the partitions to others
 		}
 		select {
 		case <-ctx.Done():
-		case <-time.After(pause):
-		case <-o.nudges:
-			time.Sleep(nudgePause)
+		case <-time.After(delay):
+		case <-o.heartbeatDue:
+			time.Sleep(rebalanceDelay)
 		}
 	}
 }
 
 // nudge asks for a sign of life soon, because the store may deal partitions to this entry. It never blocks.
-func (o *owner) nudge() {
+func (o *partitionOwner) requestHeartbeat() {
 	select {
-	case o.nudges <- struct{}{}:
+	case o.heartbeatDue <- struct{}{}:
 	default:
 	}
 }
 
 // join sends a sign of life and acts on the answer. changed says that partitions were given up.
-func (o *owner) join(ctx context.Context) (changed bool, err error) {
-	if o.again.Swap(false) {
+func (o *partitionOwner) heartbeat(ctx context.Context) (changed bool, err error) {
+	if o.rejoin.Swap(false) {
 		// An earlier life may have been a member under this name. Its epochs must not be used again.
 		o.releaseAll(ctx, true, "a new membership begins")
-		if err := o.store.LeaveGroup(ctx, o.member); err != nil {
-			o.again.Store(true)
+		if err := o.store.LeaveGroup(ctx, o.memberName); err != nil {
+			o.rejoin.Store(true)
 			return false, err
 		}
 		o.generation = 0
 	}
 	sent := o.loop.clock.Now()
-	dealt, err := o.store.Join(ctx, o.member, int64(memberTTL), o.generation)
+	assignment, err := o.store.Join(ctx, o.memberName, int64(memberTTL), o.generation)
 	if err != nil {
 		return false, err
 	}
-	if o.leaseOver() { // before the answer came; the core has given its partitions up
-		o.endLease(ctx)
+	if o.leaseExpired() { // before the answer came; the core has given its partitions up
+		o.expireLease(ctx)
 		return true, nil
 	}
 	o.mu.Lock()
-	o.until = sent + leaseTime
+	o.leaseEnd = sent + leaseDuration
 	o.mu.Unlock()
-	o.loop.do(ctx, func(now timer.Millis) { o.core.Renew(now, sent+leaseTime) })
-	o.generation = dealt.Generation
-	for _, number := range o.numbers() {
-		if !slices.Contains(dealt.Partitions, number) {
-			o.release(ctx, number, false, "dealt to another entry")
+	o.loop.post(ctx, func(now timer.Millis) { o.core.Renew(now, sent+leaseDuration) })
+	o.generation = assignment.Generation
+	for _, partition := range o.ownedPartitions() {
+		if !slices.Contains(assignment.Partitions, partition) {
+			o.release(ctx, partition, false, "dealt to another entry")
 			changed = true
 		}
 	}
-	for _, number := range dealt.Partitions {
-		o.acquire(ctx, number, dealt.Generation)
+	for _, partition := range assignment.Partitions {
+		o.acquire(ctx, partition, assignment.Generation)
 	}
 	return changed, nil
 }
 
 // watchLease gives all partitions up when the lease ends without a sign of life that the store took.
-func (o *owner) watchLease(ctx context.Context) {
+func (o *partitionOwner) watchLease(ctx context.Context) {
 	for ctx.Err() == nil {
 		select {
 		case <-ctx.Done():
 			return
-		case <-time.After(leaseCheck):
+		case <-time.After(leaseCheckPeriod):
 		}
-		if o.leaseOver() {
-			o.endLease(ctx)
+		if o.leaseExpired() {
+			o.expireLease(ctx)
 		}
 	}
 }
 
 // leaseOver reports whether partitions are owned and the lease has ended.
-func (o *owner) leaseOver() bool {
+func (o *partitionOwner) leaseExpired() bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	return len(o.writers) > 0 && o.loop.clock.Now() >= o.until
+	return len(o.writers) > 0 && o.loop.clock.Now() >= o.leaseEnd
 }
 
 // endLease gives all partitions up and begins a new membership.
-func (o *owner) endLease(ctx context.Context) {
-	o.again.Store(true)
+func (o *partitionOwner) expireLease(ctx context.Context) {
+	o.rejoin.Store(true)
 	o.releaseAll(ctx, true, "the lease has ended")
 }
 
-func (o *owner) numbers() []uint64 {
+func (o *partitionOwner) ownedPartitions() []uint64 {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	var numbers []uint64
-	for number := range o.writers {
-		numbers = append(numbers, number)
+	var partitions []uint64
+	for partition := range o.writers {
+		partitions = append(partitions, partition)
 	}
-	slices.Sort(numbers)
-	return numbers
+	slices.Sort(partitions)
+	return partitions
 }
 
-func (o *owner) releaseAll(ctx context.Context, stop bool, reason string) {
-	for _, number := range o.numbers() {
-		o.release(ctx, number, stop, reason)
+func (o *partitionOwner) releaseAll(ctx context.Context, stop bool, reason string) {
+	for _, partition := range o.ownedPartitions() {
+		o.release(ctx, partition, stop, reason)
 	}
 }
 
 // release stops the writer of a partition and tells the core.
-func (o *owner) release(ctx context.Context, number uint64, stop bool, reason string) {
+func (o *partitionOwner) release(ctx context.Context, partition uint64, stop bool, reason string) {
 	o.mu.Lock()
-	w := o.writers[number]
-	delete(o.writers, number)
-	o.budget.setShares(len(o.writers))
+	w := o.writers[partition]
+	delete(o.writers, partition)
+	o.limiter.setPartitions(len(o.writers))
 	o.mu.Unlock()
 	if w == nil {
 		return
 	}
-	w.end()
+	w.cancel()
 	done := make(chan struct{})
-	o.loop.do(ctx, func(now timer.Millis) {
-		o.core.Release(now, number, stop, reason)
+	o.loop.post(ctx, func(now timer.Millis) {
+		o.core.Release(now, partition, stop, reason)
 		close(done)
 	})
 	select {
@@ -218,59 +218,59 @@
 }
 
 // acquire begins to own a partition, unless it is owned already.
-func (o *owner) acquire(ctx context.Context, number, epoch uint64) {
+func (o *partitionOwner) acquire(ctx context.Context, partition, epoch uint64) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	if o.writers[number] != nil {
+	if o.writers[partition] != nil {
 		return
 	}
 	if o.writers == nil {
 		o.writers = map[uint64]*writer{}
 	}
-	life, end := context.WithCancel(ctx)
-	w := &writer{owner: o, number: number, epoch: epoch, end: end, wake: make(chan struct{}, 1)}
-	o.writers[number] = w
-	o.budget.setShares(len(o.writers))
-	go w.run(life)
+	writerCtx, cancel := context.WithCancel(ctx)
+	w := &writer{owner: o, partition: partition, epoch: epoch, cancel: cancel, wake: make(chan struct{}, 1)}
+	o.writers[partition] = w
+	o.limiter.setPartitions(len(o.writers))
+	go w.run(writerCtx)
 }
 
 // record hands a record to the writer of its partition. It never blocks; the loop calls it.
-func (o *owner) record(number, epoch uint64, body []byte, done func(now timer.Millis, offset uint64)) {
+func (o *partitionOwner) appendRecord(partition, epoch uint64, body []byte, done func(now timer.Millis, offset uint64)) {
 	o.mu.Lock()
-	w := o.writers[number]
+	w := o.writers[partition]
 	o.mu.Unlock()
 	if w == nil || w.epoch != epoch {
 		return // the core is about to be told that the partition is lost
 	}
-	w.add(body, done)
+	w.enqueue(body, done)
 }
 
 // lost takes the refusal of a writer's epoch.
-func (o *owner) lost(ctx context.Context, w *writer, err error) {
-	o.logger.WithError(err).WithFields(log.Fields{"partition": w.number, "epoch": w.epoch}).Warn("owner: partition is lost")
-	o.again.Store(true)
-	o.release(ctx, w.number, true, "the store knows a later owner")
+func (o *partitionOwner) onFenced(ctx context.Context, w *writer, err error) {
+	o.logger.WithError(err).WithFields(log.Fields{"partition": w.partition, "epoch": w.epoch}).Warn("owner: partition is lost")
+	o.rejoin.Store(true)
+	o.release(ctx, w.partition, true, "the store knows a later owner")
 }
 
 // replay reads a partition's records.
-func (o *owner) replay(ctx context.Context, number uint64) (archiver.Archive, error) {
-	var a archiver.Archive
+func (o *partitionOwner) replay(ctx context.Context, partition uint64) (archiver.Archive, error) {
+	var archive archiver.Archive
 	for from := uint64(0); ; {
-		r, err := o.store.Records(ctx, number, from)
+		page, err := o.store.Records(ctx, partition, from)
 		if err != nil {
-			return a, trace.Wrap(err)
+			return archive, trace.Wrap(err)
 		}
-		for i, body := range r.Bodies {
+		for i, body := range page.Bodies {
 			var err error
-			if panicked := catcher.Catch(func() { err = a.Add(body) }); panicked != nil {
+			if panicked := catcher.Catch(func() { err = archive.Add(body) }); panicked != nil {
 				err = panicked
 			}
 			if err != nil {
-				o.logger.WithError(err).WithFields(log.Fields{"partition": number, "offset": r.From + uint64(i)}).Warn("owner: unreadable record is left out")
+				o.logger.WithError(err).WithFields(log.Fields{"partition": partition, "offset": page.From + uint64(i)}).Warn("owner: unreadable record is left out")
 			}
 		}
-		if from = r.Next; from >= r.End {
-			return a, nil
+		if from = page.Next; from >= page.End {
+			return archive, nil
 		}
 	}
 }
--- a/conductor/panic_test.go
+++ b/conductor/panic_test.go
@@ -25,7 +25,7 @@
 
 func (m *monitor) text() string {
 	w := httptest.NewRecorder()
-	m.handler().ServeHTTP(w, httptest.NewRequest(http.MethodGet, "/metrics", nil))
+	m.metricsHandler().ServeHTTP(w, httptest.NewRequest(http.MethodGet, "/metrics", nil))
 	return w.Body.String()
 }
 
@@ -33,8 +33,8 @@
 // that goes on without time limits.
 func TestLoopPanics(t *testing.T) {
 	m, _ := newMonitor()
-	l := newLoop()
-	l.panicked = func(err error) { m.panicked("loop", err) }
+	l := newEventLoop()
+	l.onPanic = func(err error) { m.reportPanic("loop", err) }
 	l.flush = func(timer.Millis) {}
 	var ticks, badTicks atomic.Int64
 	l.tick = func(timer.Millis) {
@@ -46,9 +46,9 @@
 	ctx, cancel := context.WithCancel(t.Context())
 	ended := make(chan error, 1)
 	go func() { ended <- l.run(ctx) }()
-	l.do(ctx, func(timer.Millis) { panic("event") })
+	l.post(ctx, func(timer.Millis) { panic("event") })
 	after := make(chan struct{})
-	l.do(ctx, func(timer.Millis) { close(after) })
+	l.post(ctx, func(timer.Millis) { close(after) })
 	<-after
 	for ticks.Load() < maxFailedTicks {
 		time.Sleep(time.Millisecond)
@@ -61,7 +61,7 @@
 		t.Errorf("got metrics %q, want %q", got, want)
 	}
 	badTicks.Store(1 << 30)
-	l = newLoop()
+	l = newEventLoop()
 	l.flush, l.tick = func(timer.Millis) {}, func(timer.Millis) { panic("tick") }
 	if err := l.run(t.Context()); err == nil {
 		t.Error("got no error with ticks that always panic, want one")
@@ -72,15 +72,15 @@
 func TestMessagePanics(t *testing.T) {
 	ctx, cancel := context.WithCancel(t.Context())
 	m, logged := newMonitor()
-	l := newLoop()
+	l := newEventLoop()
 	l.flush, l.tick = func(timer.Millis) {}, func(timer.Millis) {}
 	go func() { _ = l.run(ctx) }() // its ticks do not panic
 	var handled, lost atomic.Int64
 	s := sessions{
-		loop: l, members: &directory{}, panicked: m.panicked,
-		up:   func(timer.Millis, *marshaler.Link) {},
-		down: func(timer.Millis, *marshaler.Link, error) { lost.Add(1) },
-		message: func(_ timer.Millis, _ *marshaler.Link, m marshaler.Message) {
+		loop: l, directory: &entryDirectory{}, onPanic: m.reportPanic,
+		onUp:   func(timer.Millis, *marshaler.Link) {},
+		onDown: func(timer.Millis, *marshaler.Link, error) { lost.Add(1) },
+		onMessage: func(_ timer.Millis, _ *marshaler.Link, m marshaler.Message) {
 			if _, bad := m.(*marshaler.Withdraw); bad {
 				panic("injected")
 			}
@@ -125,7 +125,7 @@
 // request panics.
 func TestCallerPanics(t *testing.T) {
 	m, _ := newMonitor()
-	e := Entry{loop: newLoop()}
+	e := Entry{loop: newEventLoop()}
 	e.monitor.logger = m.logger
 	e.loop.flush, e.loop.tick = func(timer.Millis) {}, func(timer.Millis) {}
 	go func() { _ = e.loop.run(t.Context()) }() // its ticks do not panic
@@ -138,7 +138,7 @@
 	if a.Kind != submitter.AnswerGaveUp {
 		t.Errorf("got answer %v, want %v", a.Kind, submitter.AnswerGaveUp)
 	}
-	if e.ask(t.Context(), func(timer.Millis) bool { panic("injected") }) {
+	if e.query(t.Context(), func(timer.Millis) bool { panic("injected") }) {
 		t.Error("got true from a question that panicked, want false")
 	}
 }
@@ -146,7 +146,7 @@
 // TestRequestPanics guards against a request to a listener that takes the process down.
 func TestRequestPanics(t *testing.T) {
 	m, _ := newMonitor()
-	h := m.guarded(endpoint{"here", http.HandlerFunc(func(http.ResponseWriter, *http.Request) { panic("injected") })})
+	h := m.recoverPanics(endpoint{"here", http.HandlerFunc(func(http.ResponseWriter, *http.Request) { panic("injected") })})
 	w := httptest.NewRecorder()
 	h.ServeHTTP(w, httptest.NewRequest(http.MethodPost, "/", strings.NewReader("x")))
 	if w.Code != http.StatusInternalServerError {
--- a/conductor/program.go
+++ b/conductor/program.go
@@ -29,39 +29,39 @@
 
 // Run runs the role that the first argument names until ctx ends, and returns the exit status.
 func (p *Program) Run(ctx context.Context) int {
-	r := &recorder.Recorder{Writer: p.Stdout}
-	logger := &log.Logger{Handler: r, Level: log.InfoLevel}
-	done, written := make(chan struct{}), make(chan struct{})
+	rec := &recorder.Recorder{Writer: p.Stdout}
+	logger := &log.Logger{Handler: rec, Level: log.InfoLevel}
+	stopRecorder, recorderDone := make(chan struct{}), make(chan struct{})
 	go func() {
-		r.Run(done)
-		close(written)
+		rec.Run(stopRecorder)
+		close(recorderDone)
 	}()
 	defer func() {
-		close(done)
-		<-written
+		close(stopRecorder)
+		<-recorderDone
 	}()
 	role, args := "", p.Args
 	if len(args) > 0 {
 		role, args = args[0], args[1:]
 	}
-	if asksForHelp(p.Args) {
+	if helpRequested(p.Args) {
 		_, _ = fmt.Fprintf(p.Stdout, "usage: platformnode %s|%s [flags]\n\nRuns a process of crocuslb on the users' platform (docs/PLATFORM.md).\n\n"+
 			"settings (flag, unit, default, variable, meaning):\n%s\nExit status: 0 success, 1 failure, 2 wrong settings.\n",
 			roleEntry, roleSidecar, Settings.Text())
 		return exitSuccess
 	}
-	o, lines, err := Load(role, args, p.Environ)
+	options, logRate, err := LoadOptions(role, args, p.Environ)
 	if err != nil {
 		logger.WithError(err).Error("settings: cannot start")
 		return exitUsage
 	}
-	r.Rate = lines
-	o.Logger, o.Dropped = logger, r.Dropped
-	go p.reload(ctx, logger, role, args)
+	rec.Rate = logRate
+	options.Logger, options.DroppedLogLines = logger, rec.Dropped
+	go p.watchHangups(ctx, logger, role, args)
 	if role == roleEntry {
-		err = (&Entry{Options: o}).Run(ctx)
+		err = (&Entry{Options: options}).Run(ctx)
 	} else {
-		err = (&Sidecar{Options: o}).Run(ctx)
+		err = (&Sidecar{Options: options}).Run(ctx)
 	}
 	if err != nil {
 		logger.WithError(err).Error(role + ": ended with an error")
@@ -71,24 +71,24 @@
 }
 
 // asksForHelp reports whether a run is for the list of settings.
-func asksForHelp(args []string) bool {
+func helpRequested(args []string) bool {
 	return len(args) == 0 || slices.ContainsFunc(args, func(a string) bool {
 		return a == "help" || a == "-h" || a == "-help" || a == "--help"
 	})
 }
 
 // reload checks the settings again at SIGHUP. All of them need a restart, so a change is only reported.
-func (p *Program) reload(ctx context.Context, logger *log.Logger, role string, args []string) {
-	hangups := make(chan os.Signal, 1)
-	signal.Notify(hangups, syscall.SIGHUP)
-	defer signal.Stop(hangups)
+func (p *Program) watchHangups(ctx context.Context, logger *log.Logger, role string, args []string) {
+	hangup := make(chan os.Signal, 1)
+	signal.Notify(hangup, syscall.SIGHUP)
+	defer signal.Stop(hangup)
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-hangups:
+		case <-hangup:
 		}
-		if _, _, err := Load(role, args, p.Environ); err != nil {
+		if _, _, err := LoadOptions(role, args, p.Environ); err != nil {
 			logger.WithError(err).Error("settings: reload found faults; the earlier ones stay in force")
 			continue
 		}
--- a/conductor/sessions.go
+++ b/conductor/sessions.go
@@ -14,15 +14,15 @@
 
 // sessions passes what happens on a process's connections to its core, through the loop.
 type sessions struct {
-	loop    *loop
-	config  *configuration
-	members *directory
+	loop      *eventLoop
+	config    *configuration
+	directory *entryDirectory
 	// up, down and message are the core's functions; the loop calls them.
-	up      func(now timer.Millis, link *marshaler.Link)
-	down    func(now timer.Millis, link *marshaler.Link, cause error)
-	message func(now timer.Millis, link *marshaler.Link, m marshaler.Message)
+	onUp      func(now timer.Millis, link *marshaler.Link)
+	onDown    func(now timer.Millis, link *marshaler.Link, cause error)
+	onMessage func(now timer.Millis, link *marshaler.Link, m marshaler.Message)
 	// panicked is told of a panic in the handling of a message, with the name of its sender.
-	panicked func(from string, err error)
+	onPanic func(from string, err error)
 
 	links sync.Map // *carrier.Session to *marshaler.Link
 }
@@ -32,58 +32,58 @@
 	n.OnUp = func(c *carrier.Session) {
 		link := &marshaler.Link{Remote: c.Remote, Send: c.Send, Close: c.Close}
 		s.links.Store(c, link)
-		s.loop.do(ctx, func(now timer.Millis) { s.up(now, link) })
-		s.introduce(ctx, c)
+		s.loop.post(ctx, func(now timer.Millis) { s.onUp(now, link) })
+		s.exchangePeers(ctx, c)
 	}
 	n.OnMessage = func(c *carrier.Session, batch []marshaler.Message) {
 		v, _ := s.links.Load(c)
 		link, _ := v.(*marshaler.Link)
-		s.loop.do(ctx, func(now timer.Millis) {
+		s.loop.post(ctx, func(now timer.Millis) {
 			for _, m := range batch {
-				err := catcher.Catch(func() { s.deliver(ctx, now, link, m) })
+				err := catcher.Catch(func() { s.dispatch(ctx, now, link, m) })
 				if err == nil {
 					continue
 				}
 				// Both ends compare what they know when the next session opens.
-				s.panicked(c.Remote.Name, err)
+				s.onPanic(c.Remote.Name, err)
 				c.Close(trace.BadParameter("the handling of %T panicked", m))
 				return
 			}
 		})
 	}
-	n.OnPanic = func(c *carrier.Session, err error) { s.panicked(c.Remote.Name, err) }
+	n.OnPanic = func(c *carrier.Session, err error) { s.onPanic(c.Remote.Name, err) }
 	n.OnDown = func(c *carrier.Session, cause error) {
 		v, _ := s.links.LoadAndDelete(c)
 		link, _ := v.(*marshaler.Link)
-		s.loop.do(ctx, func(now timer.Millis) { s.down(now, link, cause) })
+		s.loop.post(ctx, func(now timer.Millis) { s.onDown(now, link, cause) })
 	}
 }
 
 // introduce tells a new session's other end which entries this process knows, and tells all others of an entry that was
 // not known. Processes that start while the store is away find each other in this way, through the seeds.
-func (s *sessions) introduce(ctx context.Context, c *carrier.Session) {
-	r := c.Remote
-	if r.Role == marshaler.RoleEntry && s.members.add(ctx, []marshaler.Peer{{Name: r.Name, Address: r.Address, Incarnation: r.Incarnation}}) {
-		s.sendAll(&marshaler.Peers{Peers: s.members.list()})
+func (s *sessions) exchangePeers(ctx context.Context, c *carrier.Session) {
+	remote := c.Remote
+	if remote.Role == marshaler.RoleEntry && s.directory.addPeers(ctx, []marshaler.Peer{{Name: remote.Name, Address: remote.Address, Incarnation: remote.Incarnation}}) {
+		s.broadcast(&marshaler.Peers{Peers: s.directory.peers()})
 		return
 	}
-	c.Send(&marshaler.Peers{Peers: s.members.list()})
+	c.Send(&marshaler.Peers{Peers: s.directory.peers()})
 }
 
 // deliver handles the messages that concern the process, and passes on the others.
-func (s *sessions) deliver(ctx context.Context, now timer.Millis, link *marshaler.Link, m marshaler.Message) {
+func (s *sessions) dispatch(ctx context.Context, now timer.Millis, link *marshaler.Link, m marshaler.Message) {
 	switch m := m.(type) {
 	case *marshaler.Peers:
-		s.members.add(ctx, m.Peers)
+		s.directory.addPeers(ctx, m.Peers)
 	case *marshaler.Configuration:
 		s.config.receive(now, m.Body, link.Remote.Name)
 	default:
-		s.message(now, link, m)
+		s.onMessage(now, link, m)
 	}
 }
 
 // sendAll sends a message on all sessions.
-func (s *sessions) sendAll(m marshaler.Message) {
+func (s *sessions) broadcast(m marshaler.Message) {
 	s.links.Range(func(c, _ any) bool {
 		if session, ok := c.(*carrier.Session); ok {
 			session.Send(m)
--- a/conductor/settings.go
+++ b/conductor/settings.go
@@ -13,9 +13,9 @@
 	roleEntry   = "entry"
 	roleSidecar = "sidecar"
 	// metricsPort is the port of the metrics on the process's own address.
-	metricsPort = "9464"
+	defaultMetricsPort = "9464"
 	// coreThousandths is the number of thousandths in a core.
-	coreThousandths = 1000
+	millicoresPerCore = 1000
 )
 
 // Settings declares the settings of both roles. Names of variables in a settings file are the same as in the
@@ -37,12 +37,12 @@
 	{Name: "seeds", Unit: loader.UnitAddresses, Meaning: "addresses on machines that may run an entry; only their IP addresses are used"},
 	{Name: "cores", Unit: loader.UnitRatio, Default: "1", Meaning: "share of a processor that the process may use"},
 	{Name: "drainMs", Unit: loader.UnitMillis, Default: "5000", Min: 0, Max: 3_600_000, Meaning: "longest time to finish the work in flight after SIGTERM"},
-	{Name: "metricsPort", Unit: loader.UnitCount, Default: metricsPort, Min: 0, Max: 65535, Meaning: "port of the metrics; 0 for none"},
+	{Name: "metricsPort", Unit: loader.UnitCount, Default: defaultMetricsPort, Min: 0, Max: 65535, Meaning: "port of the metrics; 0 for none"},
 	{Name: "logLines", Unit: loader.UnitCount, Default: "4000", Min: 1, Max: 1_000_000, Meaning: "log lines a second at most; further ones are counted and dropped"},
 }}
 
 // Load reads the settings from flags, environment and settings file. The error lists every finding.
-func Load(role string, args, environ []string) (Options, int, error) {
+func LoadOptions(role string, args, environ []string) (Options, int, error) {
 	loaded := Settings.Load(args, environ)
 	if path := loaded.Values.Text("config"); path != "" {
 		pairs, err := loader.ReadFile(path)
@@ -52,45 +52,45 @@
 		loaded = Settings.Load(args, append(environ, pairs...))
 	}
 	if len(loaded.Findings) > 0 {
-		var all []error
+		var errs []error
 		for _, f := range loaded.Findings {
-			all = append(all, trace.BadParameter("%s", f.String()))
+			errs = append(errs, trace.BadParameter("%s", f.String()))
 		}
-		return Options{}, 0, trace.NewAggregate(all...)
+		return Options{}, 0, trace.NewAggregate(errs...)
 	}
-	v := loaded.Values
-	o := Options{
-		Name: v.Text("name"), Domain: v.Text("domain"), Store: v.Text("storeAddress"),
-		Address: net.JoinHostPort(v.Text("ip"), v.Text("internalPort")),
-		Weight:  uint64(v.Number("cores") * coreThousandths), Drain: v.Millis("drainMs"),
+	values := loaded.Values
+	options := Options{
+		Name: values.Text("name"), Domain: values.Text("domain"), StoreAddress: values.Text("storeAddress"),
+		Address: net.JoinHostPort(values.Text("ip"), values.Text("internalPort")),
+		Weight:  uint64(values.Number("cores") * millicoresPerCore), DrainTime: values.Millis("drainMs"),
 	}
-	o.Advertise = v.Text("advertise")
-	o.Partitions, o.Writes = uint64(v.Count("partitions")), uint64(v.Count("writes"))
-	if v.Count("metricsPort") != 0 {
-		o.Metrics = net.JoinHostPort(v.Text("ip"), v.Text("metricsPort"))
+	options.Advertise = values.Text("advertise")
+	options.Partitions, options.WritesPerSecond = uint64(values.Count("partitions")), uint64(values.Count("writes"))
+	if values.Count("metricsPort") != 0 {
+		options.MetricsAddress = net.JoinHostPort(values.Text("ip"), values.Text("metricsPort"))
 	}
-	for _, seed := range strings.Split(v.Text("seeds"), ",") {
+	for _, seed := range strings.Split(values.Text("seeds"), ",") {
 		if host, _, err := net.SplitHostPort(strings.TrimSpace(seed)); err == nil {
-			o.Seeds = append(o.Seeds, net.JoinHostPort(host, v.Text("internalPort")))
+			options.Seeds = append(options.Seeds, net.JoinHostPort(host, values.Text("internalPort")))
 		}
 	}
 	var missing string
 	switch role {
 	case roleEntry:
-		o.Callers, o.Ready = v.Text("callersAddress"), v.Text("readyAddress")
-		if o.Callers == "" {
+		options.CallersAddress, options.ReadyAddress = values.Text("callersAddress"), values.Text("readyAddress")
+		if options.CallersAddress == "" {
 			missing = "callersAddress"
 		}
 	case roleSidecar:
-		o.Announcements, o.Backend = v.Text("announceAddress"), v.Text("backendAddress")
-		if o.Announcements == "" || o.Backend == "" {
+		options.AnnounceAddress, options.BackendAddress = values.Text("announceAddress"), values.Text("backendAddress")
+		if options.AnnounceAddress == "" || options.BackendAddress == "" {
 			missing = "announceAddress and backendAddress"
 		}
 	default:
-		return o, 0, trace.BadParameter("role %q: want %s or %s", role, roleEntry, roleSidecar)
+		return options, 0, trace.BadParameter("role %q: want %s or %s", role, roleEntry, roleSidecar)
 	}
 	if missing != "" {
-		return o, 0, trace.BadParameter("role %s needs %s", role, missing)
+		return options, 0, trace.BadParameter("role %s needs %s", role, missing)
 	}
-	return o, int(v.Count("logLines")), nil
+	return options, int(values.Count("logLines")), nil
 }
--- a/conductor/writer.go
+++ b/conductor/writer.go
@@ -14,7 +14,7 @@
 
 const (
 	// writePause is the pause before a write is repeated after a failure.
-	writePause = 50 * time.Millisecond
+	writeRetryDelay = 50 * time.Millisecond
 	// maxWriteBytes bounds the records of one write. The store takes 2 MiB.
 	maxWriteBytes = 1 << 20
 )
@@ -23,11 +23,11 @@
 	// writer writes the records of one partition in their order. A write without an answer is repeated under the same
 	// number, which the store carries out once.
 	writer struct {
-		owner  *owner
-		number uint64 // of the partition
-		epoch  uint64
-		end    context.CancelFunc
-		wake   chan struct{}
+		owner     *partitionOwner
+		partition uint64 // of the partition
+		epoch     uint64
+		cancel    context.CancelFunc
+		wake      chan struct{}
 
 		mu    sync.Mutex
 		queue []queuedRecord
@@ -40,7 +40,7 @@
 )
 
 // add queues a record. It never blocks.
-func (w *writer) add(body []byte, done func(now timer.Millis, offset uint64)) {
+func (w *writer) enqueue(body []byte, done func(now timer.Millis, offset uint64)) {
 	w.mu.Lock()
 	w.queue = append(w.queue, queuedRecord{body, done})
 	w.mu.Unlock()
@@ -51,7 +51,7 @@
 }
 
 // take removes the records of the next write.
-func (w *writer) take() (batch []queuedRecord) {
+func (w *writer) nextBatch() (batch []queuedRecord) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	size := 0
@@ -75,14 +75,14 @@
 			return
 		case <-w.wake:
 		}
-		for batch := w.take(); len(batch) > 0; batch = w.take() {
+		for batch := w.nextBatch(); len(batch) > 0; batch = w.nextBatch() {
 			sequence++
-			if !w.write(ctx, sequence, batch) {
+			if !w.writeBatch(ctx, sequence, batch) {
 				return
 			}
 			select {
 			case <-ctx.Done():
-			case <-time.After(w.owner.budget.spend(time.Now())):
+			case <-time.After(w.owner.limiter.reserve(time.Now())):
 			}
 		}
 	}
@@ -91,37 +91,37 @@
 // acquire keeps earlier owners out, reads the records and hands the jobs to the core.
 func (w *writer) acquire(ctx context.Context) bool {
 	begin := queuedRecord{marshaler.Append(nil, &marshaler.OwnerRecord{Epoch: w.epoch}), func(timer.Millis, uint64) {}}
-	if !w.write(ctx, 1, []queuedRecord{begin}) {
+	if !w.writeBatch(ctx, 1, []queuedRecord{begin}) {
 		return false
 	}
 	for ctx.Err() == nil {
-		a, err := w.owner.replay(ctx, w.number)
+		archive, err := w.owner.replay(ctx, w.partition)
 		if err == nil {
-			taken, jobs := marshaler.Partition{Number: w.number, Epoch: w.epoch, Previous: a.Previous()}, a.Jobs()
-			w.owner.loop.do(ctx, func(now timer.Millis) {
+			partition, jobs := marshaler.Partition{Number: w.partition, Epoch: w.epoch, Previous: archive.Previous()}, archive.Jobs()
+			w.owner.loop.post(ctx, func(now timer.Millis) {
 				if ctx.Err() == nil {
-					w.owner.core.Acquire(now, taken, jobs)
+					w.owner.core.Acquire(now, partition, jobs)
 				}
 			})
 			return true
 		}
-		w.owner.logger.WithError(err).WithField("partition", w.number).Warn("owner: records cannot be read yet")
-		time.Sleep(writePause)
+		w.owner.logger.WithError(err).WithField("partition", w.partition).Warn("owner: records cannot be read yet")
+		time.Sleep(writeRetryDelay)
 	}
 	return false
 }
 
 // write writes a batch, again and again until the store has answered. It returns false once the partition is lost.
-func (w *writer) write(ctx context.Context, sequence uint64, batch []queuedRecord) bool {
+func (w *writer) writeBatch(ctx context.Context, sequence uint64, batch []queuedRecord) bool {
 	bodies := make([][]byte, len(batch))
 	for i := range batch {
 		bodies[i] = batch[i].body
 	}
 	for ctx.Err() == nil {
-		offset, err := w.owner.store.Write(ctx, w.number, w.epoch, sequence, bodies)
+		offset, err := w.owner.store.Write(ctx, w.partition, w.epoch, sequence, bodies)
 		switch {
 		case err == nil:
-			w.owner.loop.do(ctx, func(now timer.Millis) {
+			w.owner.loop.post(ctx, func(now timer.Millis) {
 				for i := range batch {
 					batch[i].done(now, offset+uint64(i))
 				}
@@ -130,11 +130,11 @@
 		case ctx.Err() != nil:
 			return false
 		case trace.IsCompareFailed(err):
-			w.owner.lost(ctx, w, err)
+			w.owner.onFenced(ctx, w, err)
 			return false
 		}
-		w.owner.logger.WithError(err).WithFields(log.Fields{"partition": w.number, "records": len(batch)}).Warn("owner: records are not stored yet")
-		time.Sleep(writePause)
+		w.owner.logger.WithError(err).WithFields(log.Fields{"partition": w.partition, "records": len(batch)}).Warn("owner: records are not stored yet")
+		time.Sleep(writeRetryDelay)
 	}
 	return false
 }
