--- a/conductor/await_test.go
+++ b/conductor/await_test.go
@@ -12,23 +12,23 @@
 	"github.com/crocuslb/crocuslb/timer"
 )
 
-// TestAwait guards against callers that are refused right after all processes were restarted, while the first
-// configuration is on its way, and against callers that wait for one without end.
+// TestAwait guards against rejecting callers right after a restart of all processes, when the first configuration has
+// not arrived yet, and against callers that wait for it forever.
 func TestAwait(t *testing.T) {
 	cases := []struct {
 		name           string
-		availableAfter time.Duration // of the configuration; 0 for never
-		canceledAfter  time.Duration // of the caller; 0 for never
-		waiters        int64         // other callers
+		availableAfter time.Duration // when the configuration arrives; 0 for never
+		canceledAfter  time.Duration // when the caller cancels; 0 for never
+		waiters        int64         // other callers in await
 		version        uint64
 		waited         timer.Millis
 	}{
-		{"there already", time.Nanosecond, 0, 0, 7, 0},
-		{"comes in time", 200 * time.Millisecond, 0, 0, 7, 200},
-		{"comes too late", 2 * time.Second, 0, 0, 0, 800},
-		{"never comes", 0, 0, 0, 0, 800},
-		{"caller leaves", 0, 100 * time.Millisecond, 0, 0, 100},
-		{"too many wait", 200 * time.Millisecond, 0, maxWaiters, 0, 0},
+		{"available already", time.Nanosecond, 0, 0, 7, 0},
+		{"arrives in time", 200 * time.Millisecond, 0, 0, 7, 200},
+		{"arrives too late", 2 * time.Second, 0, 0, 0, 800},
+		{"never arrives", 0, 0, 0, 0, 800},
+		{"caller cancels", 0, 100 * time.Millisecond, 0, 0, 100},
+		{"too many waiters", 200 * time.Millisecond, 0, maxWaiters, 0, 0},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -38,9 +38,9 @@
 					onChange: func(timer.Millis, router.Snapshot) {},
 				}
 				cfg.waiters.Store(c.waiters)
-				canceledAfter := make(chan struct{})
+				canceled := make(chan struct{})
 				if c.canceledAfter > 0 {
-					time.AfterFunc(c.canceledAfter, func() { close(canceledAfter) })
+					time.AfterFunc(c.canceledAfter, func() { close(canceled) })
 				}
 				if c.availableAfter > 0 {
 					time.AfterFunc(c.availableAfter, func() { cfg.activate(1, router.Snapshot{Version: 7, Offset: 1}, "store") })
@@ -48,11 +48,11 @@
 				if c.availableAfter == time.Nanosecond {
 					time.Sleep(time.Millisecond)
 				}
-				s, waited := cfg.await(timer.Clock{}, 800, canceledAfter)
+				s, waited := cfg.await(timer.Clock{}, 800, canceled)
 				if s.Version != c.version || waited != c.waited {
 					t.Errorf("got version %d after %d ms, want %d after %d ms", s.Version, waited, c.version, c.waited)
 				}
-				time.Sleep(3 * time.Second) // the configuration of a later time comes, too
+				time.Sleep(3 * time.Second) // let the late configuration arrive
 			})
 		})
 	}
--- a/conductor/budget.go
+++ b/conductor/budget.go
@@ -5,33 +5,33 @@
 	"time"
 )
 
-// burstTime is the time whose calls may be made at once after a pause.
+// burstWindow is the period of unused rate that may be spent as a burst.
 const burstWindow = 200 * time.Millisecond
 
-// budget spreads the store's write calls over the partitions, so that a busy entry writes more records with each call
-// instead of more calls. Its methods may be called concurrently.
+// writeLimiter limits the rate of an entry's write calls to the store, in proportion to its number of partitions. A
+// busy entry therefore writes more records per call rather than making more calls. Its methods may be called
+// concurrently.
 type writeLimiter struct {
-	rate float64 // calls a second for each partition
+	rate float64 // calls per second and partition
 
 	mu         sync.Mutex
 	partitions int
-	scheduled  time.Time // when all calls so far would have been made at the rate
+	scheduled  time.Time // time at which the calls so far would end if made at the configured rate
 }
 
-// setShares sets the number of partitions whose calls the budget covers.
-func (b *writeLimiter) setPartitions(n int) {
-	b.mu.Lock()
-	b.partitions = n
-	b.mu.Unlock()
+func (l *writeLimiter) setPartitions(n int) {
+	l.mu.Lock()
+	l.partitions = n
+	l.mu.Unlock()
 }
 
-// spend counts a call and returns the pause before the next one.
-func (b *writeLimiter) reserve(now time.Time) time.Duration {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	if earliest := now.Add(-burstWindow); b.scheduled.Before(earliest) {
-		b.scheduled = earliest
+// reserve counts a call and returns the delay before the next one.
+func (l *writeLimiter) reserve(now time.Time) time.Duration {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	if earliest := now.Add(-burstWindow); l.scheduled.Before(earliest) {
+		l.scheduled = earliest
 	}
-	b.scheduled = b.scheduled.Add(time.Duration(float64(time.Second) / (b.rate * float64(max(b.partitions, 1)))))
-	return max(b.scheduled.Sub(now), 0)
+	l.scheduled = l.scheduled.Add(time.Duration(float64(time.Second) / (l.rate * float64(max(l.partitions, 1)))))
+	return max(l.scheduled.Sub(now), 0)
 }
--- a/conductor/configuration.go
+++ b/conductor/configuration.go
@@ -14,27 +14,28 @@
 	"github.com/crocuslb/crocuslb/timer"
 )
 
-// maxWaiting bounds the callers that wait for the first configuration.
+// maxWaiters bounds the number of callers that wait for the first configuration.
 const maxWaiters = 2000
 
-// configuration keeps the configuration in force. It comes from the store or from another process, whichever is later.
-// Its methods are called by the loop, except current and follow.
+// configuration holds the active configuration, which is the latest one received from the store or from another
+// process. Its methods are called by the event loop, except await, current and follow.
 type configuration struct {
 	logger log.Interface
-	// changed is called with each later configuration.
+	// onChange is called with each new active configuration.
 	onChange func(now timer.Millis, s router.Snapshot)
 
-	processName string // of this process
+	processName string
 	relay       router.Relay
-	stored      router.Snapshot // from the store alone
+	stored      router.Snapshot // latest one from the store
 	active      router.Snapshot
 	published   atomic.Pointer[router.Snapshot]
-	available   chan struct{} // closed when there is a configuration
-	waiters     atomic.Int64  // callers
+	available   chan struct{} // closed once there is a configuration
+	waiters     atomic.Int64  // callers in await
 }
 
-// await returns the configuration in force, and how long it waited for the first one: at most until limit has passed or
-// gone is closed. Right after a start it is there within milliseconds if the store answers.
+// await returns the active configuration. If there is none yet, it waits for the first one until maxWait has passed or
+// canceled is closed, and also returns the time waited. After a start the first configuration arrives within
+// milliseconds if the store responds.
 func (c *configuration) await(clock timer.Clock, maxWait timer.Millis, canceled <-chan struct{}) (s *router.Snapshot, waited timer.Millis) {
 	if s = c.current(); s.Version > 0 || c.waiters.Load() >= maxWaiters {
 		return s, 0
@@ -52,7 +53,7 @@
 	return c.current(), clock.Now() - started
 }
 
-// current returns the configuration in force. It may be called by any goroutine.
+// current returns the active configuration. It may be called concurrently.
 func (c *configuration) current() *router.Snapshot {
 	if s := c.published.Load(); s != nil {
 		return s
@@ -60,35 +61,35 @@
 	return &router.Snapshot{}
 }
 
-// fold applies records of the store.
+// applyRecords applies records read from the store.
 func (c *configuration) applyRecords(now timer.Millis, p follower.Page, complete bool) {
 	next, err := platform.Fold(c.stored, p, complete)
 	if err != nil {
-		c.logger.WithError(err).Warn("config: unreadable records are left out")
+		c.logger.WithError(err).Warn("config: skipped records that cannot be decoded")
 	}
 	c.stored = next
 	c.activate(now, next, "store")
 }
 
-// receive takes the encoding of a configuration from another process.
+// receive decodes a configuration sent by another process and activates it if it is newer.
 func (c *configuration) receive(now timer.Millis, body []byte, from string) {
 	s, err := router.Decode(body)
 	if err != nil {
-		c.logger.WithError(err).WithField("from", from).Warn("config: unreadable configuration of another process")
+		c.logger.WithError(err).WithField("from", from).Warn("config: cannot decode a configuration sent by another process")
 		return
 	}
 	c.activate(now, s, from)
 }
 
-// passOn sends the configuration to a process that has had an older one for a while, for example because it started while
-// the store was away.
+// sendIfOutdated sends the configuration to a process that has lagged behind for a while, for example because it
+// started while the store was unavailable.
 func (c *configuration) sendIfOutdated(now timer.Millis, link *marshaler.Link, offset uint64) {
 	if offset < c.active.Offset && c.relay.Due(now, c.processName, link.Remote.Name, offset == 0) {
 		link.Send(&marshaler.Configuration{Body: c.active.Append(nil)})
 	}
 }
 
-// adopt puts a later configuration into force.
+// activate makes s the active configuration if it is newer.
 func (c *configuration) activate(now timer.Millis, s router.Snapshot, source string) {
 	if s.Offset <= c.active.Offset || s.Version < c.active.Version {
 		return
@@ -108,7 +109,7 @@
 	c.onChange(now, s)
 }
 
-// follow reads the operator's topic of the store until ctx ends.
+// follow reads the operator's topic in the store until ctx is canceled.
 func (c *configuration) follow(ctx context.Context, l *eventLoop, store *platform.Store) {
 	f := &follower.Follower{
 		Newest: func(ctx context.Context) (follower.Page, error) { return store.Newest(ctx, platform.TopicOperator) },
@@ -119,7 +120,7 @@
 			l.post(ctx, func(now timer.Millis) { c.applyRecords(now, p, complete) })
 		},
 		Lost:     func(err error) { c.logger.WithError(err).Warn("store: lost") },
-		Regained: func() { c.logger.Info("store: regained") },
+		Regained: func() { c.logger.Info("store: available again") },
 	}
 	f.Run(ctx)
 }
--- a/conductor/entries.go
+++ b/conductor/entries.go
@@ -14,25 +14,26 @@
 )
 
 const (
-	// registerPause is the pause before the address of an entry is written to the store again after a failure.
+	// registerRetryDelay is the delay before a failed write of this entry's address is retried.
 	registerRetryDelay = 300 * time.Millisecond
-	// keptMarker is the key of the record that says that kept jobs are in use. It is no name of an entry.
+	// durableJobsKey is the key of the record that marks durable jobs as in use. It cannot be the name of an entry.
 	durableJobsKey = "*kept"
 )
 
-// directory knows the addresses of the entries, from the store, from settings and from other processes, and keeps a
-// connection to each. Its methods may be called concurrently.
+// entryDirectory tracks the addresses of the entries, learned from the store, the settings and other processes, and
+// connects to them. Its methods may be called concurrently.
 type entryDirectory struct {
 	logger log.Interface
 	store  *platform.Store
-	// connect opens a session and keeps it open until ctx ends.
+	// connect opens a session and keeps it open until ctx is canceled.
 	connect func(ctx context.Context, address string)
-	// wanted says whether this process connects to an entry. Sidecars connect to all, entries to those before them, so
-	// that two entries have one session.
+	// shouldConnect reports whether this process opens the session to an entry. Sidecars connect to all entries. An entry
+	// connects only to entries with smaller names, so that two entries share one session.
 	shouldConnect func(p marshaler.Peer) bool
-	// self is this process as an entry; its Name is empty in a sidecar.
+	// self describes this entry. It is empty in a sidecar.
 	self marshaler.Peer
-	// kept is told whether kept jobs are in use, when that is first read and when it changes; nil in a sidecar.
+	// onDurableJobs is called with whether durable jobs are in use, on each complete read of the topic and when the marker
+	// appears. It is nil in a sidecar.
 	onDurableJobs func(inUse bool)
 
 	announcing atomic.Bool
@@ -42,7 +43,8 @@
 	cancel map[string]context.CancelFunc // by address
 }
 
-// add connects to entries that are not known yet.
+// addPeers adds entries that are not known yet and connects to them. It reports whether any entry is new or has a new
+// name.
 func (d *entryDirectory) addPeers(ctx context.Context, peers []marshaler.Peer) (added bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -60,13 +62,13 @@
 			connectionCtx, cancel := context.WithCancel(ctx)
 			d.cancel[p.Address] = cancel
 			d.connect(connectionCtx, p.Address)
-			d.logger.WithFields(log.Fields{"entry": p.Name, "address": p.Address}).Info("members: entry is known")
+			d.logger.WithFields(log.Fields{"entry": p.Name, "address": p.Address}).Info("members: added an entry")
 		}
 	}
 	return added
 }
 
-// addSeeds connects to addresses on machines that may run an entry.
+// addSeeds connects to addresses at which an entry may be running.
 func (d *entryDirectory) addSeeds(ctx context.Context, addresses []string) {
 	var seeds []marshaler.Peer
 	for _, address := range addresses {
@@ -75,7 +77,7 @@
 	d.addPeers(ctx, seeds)
 }
 
-// list returns the entries with a known name, and this process if it is one.
+// peers returns the entries whose names are known, including this process if it is an entry.
 func (d *entryDirectory) peers() (peers []marshaler.Peer) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -90,7 +92,7 @@
 	return peers
 }
 
-// keep drops the connection to an entry whose key has another address by now.
+// dropStaleAddresses removes former addresses of an entry and closes their connections.
 func (d *entryDirectory) dropStaleAddresses(name, address string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -101,12 +103,13 @@
 				cancel()
 				delete(d.cancel, oldAddress)
 			}
-			d.logger.WithFields(log.Fields{"entry": name, "address": oldAddress}).Info("members: entry has moved")
+			d.logger.WithFields(log.Fields{"entry": name, "address": oldAddress}).Info("members: removed a former address of an entry")
 		}
 	}
 }
 
-// follow reads the addresses of entries from the store until ctx ends, and keeps this entry's own address there.
+// follow reads the entries' addresses from the store until ctx is canceled, and keeps this entry registered there. It
+// calls onAdded after it has added entries.
 func (d *entryDirectory) follow(ctx context.Context, onAdded func()) {
 	registrationDue := make(chan struct{}, 1)
 	if d.self.Name != "" {
@@ -143,13 +146,13 @@
 				onAdded()
 			}
 		},
-		Lost:     func(err error) { d.logger.WithError(err).Warn("members: store is lost") },
-		Regained: func() { d.logger.Info("members: store is regained") },
+		Lost:     func(err error) { d.logger.WithError(err).Warn("members: store unavailable") },
+		Regained: func() { d.logger.Info("members: store available again") },
 	}
 	f.Run(ctx)
 }
 
-// announceKept writes to the store that kept jobs are in use. It never blocks.
+// announceDurableJobs records in the store that durable jobs are in use. It never blocks.
 func (d *entryDirectory) announceDurableJobs(ctx context.Context) {
 	if !d.announcing.CompareAndSwap(false, true) {
 		return
@@ -158,15 +161,15 @@
 		defer d.announcing.Store(false)
 		err := d.store.Append(ctx, platform.TopicEntries, follower.Record{Key: durableJobsKey, Value: []byte("1")})
 		if err != nil {
-			d.logger.WithError(err).Warn("members: use of kept jobs is not announced yet")
+			d.logger.WithError(err).Warn("members: cannot record that durable jobs are in use")
 			return
 		}
-		d.logger.Info("members: kept jobs are in use from now on")
+		d.logger.Info("members: durable jobs are in use")
 		d.onDurableJobs(true)
 	}()
 }
 
-// hasAddress reports whether the newest record of an entry in p has its address.
+// hasCurrentAddress reports whether the newest record of an entry in p contains its current address.
 func hasCurrentAddress(p follower.Page, self marshaler.Peer) (ok bool) {
 	for _, r := range p.Records {
 		if r.Key == self.Name {
@@ -176,7 +179,7 @@
 	return ok
 }
 
-// register writes this entry's address to the store, whenever due receives.
+// register writes this entry's address to the store each time it receives from due.
 func (d *entryDirectory) register(ctx context.Context, due <-chan struct{}) {
 	for {
 		select {
@@ -187,10 +190,10 @@
 		for ctx.Err() == nil {
 			err := d.store.Append(ctx, platform.TopicEntries, follower.Record{Key: d.self.Name, Value: []byte(d.self.Address)})
 			if err == nil {
-				d.logger.WithField("address", d.self.Address).Info("members: this entry is registered")
+				d.logger.WithField("address", d.self.Address).Info("members: registered this entry")
 				break
 			}
-			d.logger.WithError(err).Warn("members: this entry is not registered yet")
+			d.logger.WithError(err).Warn("members: cannot register this entry; retrying")
 			select {
 			case <-ctx.Done():
 			case <-time.After(registerRetryDelay):
--- a/conductor/entry.go
+++ b/conductor/entry.go
@@ -22,14 +22,14 @@
 )
 
 const (
-	// lingerTime is how long an entry that stops still takes requests on open connections, so that the load balancer
-	// and callers can turn away first.
+	// unreadyPeriod is how long a stopping entry reports itself as not ready but still accepts requests. It gives the load
+	// balancer and callers time to switch to other entries.
 	unreadyPeriod = 2500 * time.Millisecond
-	// closeTime is the part of the drain time that is left for answers after the last jobs were given up.
+	// responsePeriod is the part of the drain time reserved for sending responses after the remaining jobs are dropped.
 	responsePeriod = 300 * time.Millisecond
 )
 
-// Entry is an entry process on the users' platform.
+// Entry is the process that accepts jobs from callers and places their tasks.
 type Entry struct {
 	Options
 
@@ -40,12 +40,12 @@
 	owner     partitionOwner
 	node      carrier.Node
 	monitor   monitor
-	sessions  sessions
+	sessions  sessionHandler
 	ready     atomic.Bool
 	stopping  atomic.Bool
 }
 
-// Run serves until ctx ends, then finishes the work in flight within Options.Drain.
+// Run serves until ctx is canceled, then finishes in-flight work within Options.DrainTime.
 func (e *Entry) Run(ctx context.Context) error {
 	incarnation := uint64(time.Now().UnixMilli())
 	if e.Advertise == "" {
@@ -71,12 +71,12 @@
 		self:          marshaler.Peer{Name: e.Name, Address: e.Advertise, Incarnation: incarnation},
 		shouldConnect: func(p marshaler.Peer) bool { return p.Name < e.Name },
 	}
-	// The process outlives ctx by its drain time.
+	// The process keeps running for its drain time after ctx is canceled.
 	runCtx, cancel := context.WithCancel(context.WithoutCancel(ctx))
 	defer cancel()
 	e.directory.onDurableJobs = func(inUse bool) { e.setDurableJobsInUse(runCtx, inUse) }
 	e.core.WantKept = func() { e.directory.announceDurableJobs(runCtx) }
-	e.sessions = sessions{
+	e.sessions = sessionHandler{
 		loop: e.loop, config: &e.config, directory: &e.directory, onUp: e.core.OnUp, onDown: e.core.OnDown, onMessage: e.core.OnMessage,
 		onPanic: e.monitor.reportPanic,
 	}
@@ -114,7 +114,7 @@
 	return nil
 }
 
-// listen starts the HTTP servers. The first one serves callers.
+// startServers starts the HTTP servers. The first one serves callers.
 func (e *Entry) startServers(ctx context.Context) ([]*http.Server, error) {
 	callers := &platform.Callers{
 		Snapshot: func(deadline timer.Millis, canceled <-chan struct{}) (*router.Snapshot, timer.Millis) {
@@ -148,12 +148,12 @@
 	})
 }
 
-// ask calls f in the loop and waits for its result.
+// query calls f on the event loop and returns its result. It returns false if f panics or ctx is canceled.
 func (e *Entry) query(ctx context.Context, f func(now timer.Millis) bool) bool {
 	result := make(chan bool, 1)
 	e.loop.post(ctx, func(now timer.Millis) {
 		ok := false
-		defer func() { result <- ok }() // also when f panics
+		defer func() { result <- ok }() // also after a panic in f
 		ok = f(now)
 	})
 	select {
@@ -164,7 +164,7 @@
 	}
 }
 
-// call calls f in the loop and waits for the answer that follows, or until the caller leaves.
+// request calls f on the event loop and waits for the answer, or until the caller cancels the request.
 func (e *Entry) request(ctx context.Context, canceled <-chan struct{}, f func(now timer.Millis, answer func(a submitter.Answer))) submitter.Answer {
 	answer, deliver := newAnswerChannel()
 	e.loop.post(ctx, func(now timer.Millis) { e.runRecovering(deliver, func() { f(now, deliver) }) })
@@ -178,7 +178,7 @@
 	}
 }
 
-// newAnswer returns a channel that takes the first answer, and the function that gives it.
+// newAnswerChannel returns a channel that receives the first answer, and the function that delivers it.
 func newAnswerChannel() (answer chan submitter.Answer, deliver func(a submitter.Answer)) {
 	answer = make(chan submitter.Answer, 1)
 	return answer, func(a submitter.Answer) {
@@ -189,7 +189,8 @@
 	}
 }
 
-// guard calls f. If it panics, the caller is told that the job's outcome is open, because some of it may have run.
+// runRecovering calls f. If f panics, the caller is told that the outcome is unknown, because part of the job may have
+// run.
 func (e *Entry) runRecovering(deliver func(a submitter.Answer), f func()) {
 	if err := catcher.Catch(f); err != nil {
 		e.monitor.reportPanic("caller", err)
@@ -197,7 +198,8 @@
 	}
 }
 
-// useKept takes what the store says of kept jobs. This entry owns some of their partitions from then on.
+// setDurableJobsInUse applies the marker read from the store. Once durable jobs are in use, this entry starts to own
+// partitions.
 func (e *Entry) setDurableJobsInUse(ctx context.Context, inUse bool) {
 	e.loop.post(ctx, func(now timer.Millis) { e.core.SetKept(now, inUse) })
 	if inUse {
@@ -205,7 +207,8 @@
 	}
 }
 
-// submit passes a job to the core and waits for its answer.
+// submit passes a job to the core and waits for its answer. If the caller cancels the request, it drops the job, unless
+// the job is durable.
 func (e *Entry) submit(ctx context.Context, job submitter.Job, canceled <-chan struct{}) submitter.Answer {
 	answer, deliver := newAnswerChannel()
 	job.Answer = deliver
@@ -217,7 +220,7 @@
 		return submitter.Answer{Kind: submitter.AnswerGaveUp, Reason: "the entry ended"}
 	case <-canceled:
 	}
-	if job.Kind.Kept { // it may be in the store
+	if job.Kind.Kept { // the job may be stored already
 		return submitter.Answer{Kind: submitter.AnswerGaveUp, Reason: "caller left"}
 	}
 	e.loop.post(ctx, func(now timer.Millis) { e.runRecovering(deliver, func() { e.core.Drop(now, job.ID, "caller left") }) })
@@ -229,7 +232,8 @@
 	}
 }
 
-// drain ends the process: callers are turned away first, then the jobs in work end, then what is left is given up.
+// drain stops the entry in stages: it turns new callers away, then finishes the jobs in flight, and drops the remaining
+// jobs when the drain time is over.
 func (e *Entry) drain(ctx context.Context, servers []*http.Server) {
 	e.stopping.Store(true)
 	e.owner.leave(ctx)
@@ -243,7 +247,7 @@
 	err := servers[0].Shutdown(shutdownCtx)
 	if errors.Is(err, context.DeadlineExceeded) {
 		e.query(ctx, func(now timer.Millis) bool { e.core.DropAll(now, "the entry ends"); return true })
-		time.Sleep(responsePeriod) // the answers are on their way
+		time.Sleep(responsePeriod) // time to send the answers
 	}
 }
 
@@ -274,20 +278,19 @@
 	e.Logger.WithFields(fields).Info("entry: " + event.Kind)
 }
 
-// closeAll ends the servers of a process that has answered what it could.
+// closeServers closes the servers of a process that has sent all answers it could.
 func closeServers(servers []*http.Server) {
 	for _, server := range servers {
-		_ = server.Close() // the process ends in any case
+		_ = server.Close() // the process exits anyway
 	}
 }
 
-// endpoint is a listen address with its handler.
 type endpoint struct {
 	address string
 	handler http.Handler
 }
 
-// serveAll starts a server for each endpoint with an address.
+// startServers starts a server for each endpoint that has an address.
 func startServers(ctx context.Context, m *monitor, endpoints []endpoint) ([]*http.Server, error) {
 	var servers []*http.Server
 	for _, e := range endpoints {
@@ -302,7 +305,7 @@
 		servers = append(servers, server)
 		go func() {
 			if err := server.Serve(listener); !errors.Is(err, http.ErrServerClosed) {
-				m.logger.WithError(err).WithField("address", e.address).Error("http: listener ended")
+				m.logger.WithError(err).WithField("address", e.address).Error("http: server failed")
 			}
 		}()
 	}
--- a/conductor/kept_test.go
+++ b/conductor/kept_test.go
@@ -8,83 +8,84 @@
 	"time"
 )
 
-// keptBody is a kept job of two steps.
+// durableJobBody is the body of a durable job with two steps.
 const durableJobBody = `{"Spec":"%s","Steps":[{"Count":2,"Cpu":500,"EstimateMs":3000},{"Count":1,"Cpu":500,"EstimateMs":3000,"After":[0]}]}`
 
 func durableJobID(i int) string { return fmt.Sprintf("%016x", 0x9000+i) }
 
-// submitKept hands a kept job in until it is accepted.
-func (f *testCluster) submitDurableJob(at, id, spec string) {
-	f.t.Helper()
-	f.eventually("job "+id+" is accepted", func() bool {
-		status, _ := f.call("POST", at, "/a/"+id, fmt.Sprintf(durableJobBody, spec))
+// submitDurableJob submits a durable job until it is accepted.
+func (tc *testCluster) submitDurableJob(at, id, spec string) {
+	tc.t.Helper()
+	tc.eventually("job "+id+" is accepted", func() bool {
+		status, _ := tc.call("POST", at, "/a/"+id, fmt.Sprintf(durableJobBody, spec))
 		return status == http.StatusOK
 	})
 }
 
-func (f *testCluster) state(at, id string) string {
-	status, body := f.call("GET", at, "/a/"+id, "")
+func (tc *testCluster) state(at, id string) string {
+	status, body := tc.call("GET", at, "/a/"+id, "")
 	return fmt.Sprintf("%d %s", status, strings.TrimSpace(body))
 }
 
-func (f *testCluster) waitForState(id, want string) {
-	f.t.Helper()
-	for _, at := range f.entryAddresses {
-		f.eventually("state "+want+" of job "+id, func() bool { return strings.Contains(f.state(at, id), want) })
+func (tc *testCluster) waitForState(id, want string) {
+	tc.t.Helper()
+	for _, at := range tc.entryAddresses {
+		tc.eventually("state "+want+" of job "+id, func() bool { return strings.Contains(tc.state(at, id), want) })
 	}
 }
 
-// checkOnce guards against tasks that ran to their end more than once, or not at all.
-func (f *testCluster) checkRunOnce(id string) {
-	f.t.Helper()
-	f.mu.Lock()
-	defer f.mu.Unlock()
+// checkRunOnce fails the test unless each task of a job completed exactly once.
+func (tc *testCluster) checkRunOnce(id string) {
+	tc.t.Helper()
+	tc.mu.Lock()
+	defer tc.mu.Unlock()
 	for _, task := range []string{".0.0.0", ".0.0.1", ".0.1.0"} {
-		if got := f.completedRuns[id+task]; got != 1 {
-			f.t.Errorf("task %s%s: got %d runs that were done, want one", id, task, got)
+		if got := tc.completedRuns[id+task]; got != 1 {
+			tc.t.Errorf("task %s%s: got %d completed runs, want 1", id, task, got)
 		}
 	}
 }
 
-// TestKept serves kept jobs at entries that do not own them, and guards against states that differ between entries.
+// TestKept submits durable jobs to entries that do not own them, and guards against entries that report different
+// states.
 func TestKept(t *testing.T) {
-	f := newTestCluster(t, 3, 3)
-	if got := f.state(f.entryAddresses[0], durableJobID(0)); got != "410 {}" {
-		t.Errorf("before the first kept job: got %s, want 410", got)
+	tc := newTestCluster(t, 3, 3)
+	if got := tc.state(tc.entryAddresses[0], durableJobID(0)); got != "410 {}" {
+		t.Errorf("before the first durable job: got %s, want 410", got)
 	}
 	for i := range 12 {
-		f.submitDurableJob(f.entryAddresses[i%3], durableJobID(i), "20")
+		tc.submitDurableJob(tc.entryAddresses[i%3], durableJobID(i), "20")
 	}
 	for i := range 12 {
-		f.waitForState(durableJobID(i), "succeeded")
-		f.checkRunOnce(durableJobID(i))
+		tc.waitForState(durableJobID(i), "succeeded")
+		tc.checkRunOnce(durableJobID(i))
 	}
-	f.submitDurableJob(f.entryAddresses[1], durableJobID(3), "20") // a job that has ended stays one job
-	f.checkRunOnce(durableJobID(3))
-	f.submitDurableJob(f.entryAddresses[0], durableJobID(20), "4000")
-	for _, at := range f.entryAddresses {
-		if got := f.state(at, durableJobID(20)); !strings.Contains(got, "running") && !strings.Contains(got, "pending") {
-			t.Errorf("long job: got %s, want it in work", got)
+	tc.submitDurableJob(tc.entryAddresses[1], durableJobID(3), "20") // submitting a finished job again must not run it again
+	tc.checkRunOnce(durableJobID(3))
+	tc.submitDurableJob(tc.entryAddresses[0], durableJobID(20), "4000")
+	for _, at := range tc.entryAddresses {
+		if got := tc.state(at, durableJobID(20)); !strings.Contains(got, "running") && !strings.Contains(got, "pending") {
+			t.Errorf("long job: got %s, want running or pending", got)
 		}
 	}
-	if status, body := f.call("DELETE", f.entryAddresses[2], "/a/"+durableJobID(20), ""); status != http.StatusOK {
+	if status, body := tc.call("DELETE", tc.entryAddresses[2], "/a/"+durableJobID(20), ""); status != http.StatusOK {
 		t.Errorf("cancel: got %d %s, want 200", status, body)
 	}
-	f.waitForState(durableJobID(20), "cancelled")
-	f.submitDurableJob(f.entryAddresses[0], durableJobID(21), "0") // the double fails it
-	f.waitForState(durableJobID(21), "failed")
-	for _, at := range f.entryAddresses {
-		if got := f.state(at, durableJobID(22)); got != "410 {}" {
+	tc.waitForState(durableJobID(20), "cancelled")
+	tc.submitDurableJob(tc.entryAddresses[0], durableJobID(21), "0") // the fake backend server fails such a task
+	tc.waitForState(durableJobID(21), "failed")
+	for _, at := range tc.entryAddresses {
+		if got := tc.state(at, durableJobID(22)); got != "410 {}" {
 			t.Errorf("unknown job: got %s, want 410", got)
 		}
-		if status, body := f.call("DELETE", at, "/a/"+durableJobID(22), ""); status != http.StatusGone {
+		if status, body := tc.call("DELETE", at, "/a/"+durableJobID(22), ""); status != http.StatusGone {
 			t.Errorf("cancel of an unknown job: got %d %s, want 410", status, body)
 		}
 	}
-	f.eventually("no runs", func() bool {
-		f.mu.Lock()
-		defer f.mu.Unlock()
-		for _, n := range f.activeRuns {
+	tc.eventually("no runs", func() bool {
+		tc.mu.Lock()
+		defer tc.mu.Unlock()
+		for _, n := range tc.activeRuns {
 			if n > 0 {
 				return false
 			}
@@ -93,25 +94,25 @@
 	})
 }
 
-// TestKeptHandover guards against kept jobs that get lost, or tasks that run again, when entries stop one after the other
-// while the store deals partitions anew and is away for a while.
+// TestKeptHandover guards against lost durable jobs and repeated tasks when the store rebalances the partitions and an
+// entry stops while jobs are running.
 func TestKeptHandover(t *testing.T) {
-	f := newTestCluster(t, 3, 3)
-	f.submitDurableJob(f.entryAddresses[0], durableJobID(99), "10")
+	tc := newTestCluster(t, 3, 3)
+	tc.submitDurableJob(tc.entryAddresses[0], durableJobID(99), "10")
 	for i := range 30 {
-		f.submitDurableJob(f.entryAddresses[i%3], durableJobID(i), "60")
+		tc.submitDurableJob(tc.entryAddresses[i%3], durableJobID(i), "60")
 		switch i {
 		case 8:
-			f.store.Rebalance()
+			tc.store.Rebalance()
 		case 14:
-			f.stopProcess["entry-0"]()
-			f.entryAddresses = f.entryAddresses[1:]
-			f.entryAddresses = append(f.entryAddresses, f.entryAddresses[0])
+			tc.stopProcess["entry-0"]()
+			tc.entryAddresses = tc.entryAddresses[1:]
+			tc.entryAddresses = append(tc.entryAddresses, tc.entryAddresses[0])
 		}
 		time.Sleep(30 * time.Millisecond)
 	}
 	for i := range 30 {
-		f.waitForState(durableJobID(i), "succeeded")
-		f.checkRunOnce(durableJobID(i))
+		tc.waitForState(durableJobID(i), "succeeded")
+		tc.checkRunOnce(durableJobID(i))
 	}
 }
--- a/conductor/loop.go
+++ b/conductor/loop.go
@@ -1,5 +1,5 @@
-// Package conductor runs the processes of the path of restartable jobs: it connects the cores of an entry and of a
-// sidecar with sessions, the platform, timers, logs and metrics.
+// Package conductor runs the entry and sidecar processes on the users' platform. It connects their cores to sessions,
+// the platform's HTTP interfaces, timers, logs and metrics.
 package conductor
 
 import (
@@ -13,34 +13,35 @@
 )
 
 const (
-	// loopBuffer is the number of events that wait before their senders do.
+	// eventBuffer is the number of events that are queued before senders block.
 	eventBuffer = 4096
-	// tickPeriod is the resolution of time limits.
+	// tickPeriod is the resolution of timeouts.
 	tickPeriod = 25 * time.Millisecond
-	// maxEvents is the number of events after which the core acts on them, when more wait.
+	// maxBatchEvents is the number of further events handled in one batch before flush is called.
 	maxBatchEvents = 64
-	// maxFailedTicks is the number of ticks in a row that may panic, 1 s, before the loop gives up. Without ticks no time
-	// limit holds, and a restart clears the state.
+	// maxFailedTicks is the number of consecutive panicking ticks, 1 s, after which the loop returns an error. No timeout
+	// fires without ticks, and a restart of the process clears the state.
 	maxFailedTicks = 40
 )
 
-// loop is the one goroutine that owns a core's state. Other goroutines pass it functions to call.
+// eventLoop is the single goroutine that owns a core's state. Other goroutines post functions for it to call.
 type eventLoop struct {
 	clock  timer.Clock
 	events chan func(now timer.Millis)
-	// flush is called after each batch of events, tick every tickPeriod.
+	// flush is called after each batch of events, and tick every tickPeriod.
 	flush, tick func(now timer.Millis)
-	// panicked is told of a panic in an event, in flush or in tick. Only that call ends.
+	// onPanic is called after a panic in an event, flush or tick. The loop continues with the next call.
 	onPanic func(err error)
 
-	failedTicks int // in a row
+	failedTicks int // consecutive
 }
 
 func newEventLoop() *eventLoop {
 	return &eventLoop{clock: timer.Boot(), events: make(chan func(now timer.Millis), eventBuffer)}
 }
 
-// do passes a function to the loop. It blocks while too many events wait, and drops the function once ctx has ended.
+// post queues a function for the loop. It blocks while the queue is full, and may drop the function after ctx is
+// canceled.
 func (l *eventLoop) post(ctx context.Context, f func(now timer.Millis)) {
 	select {
 	case l.events <- f:
@@ -48,7 +49,8 @@
 	}
 }
 
-// run calls the functions until ctx ends. It returns an error when the ticks keep panicking.
+// run calls posted functions until ctx is canceled. It returns an error after maxFailedTicks consecutive panicking
+// ticks.
 func (l *eventLoop) run(ctx context.Context) error {
 	ticker := time.NewTicker(tickPeriod)
 	defer ticker.Stop()
@@ -62,13 +64,13 @@
 			if l.callRecovering(l.clock.Now(), l.tick) {
 				l.failedTicks = 0
 			} else if l.failedTicks++; l.failedTicks >= maxFailedTicks {
-				return trace.LimitExceeded("%d ticks in a row panicked", l.failedTicks)
+				return trace.LimitExceeded("%d consecutive ticks panicked", l.failedTicks)
 			}
 		}
 	}
 }
 
-// call calls f and reports whether it returned without a panic.
+// callRecovering calls f and reports whether it returned without panicking.
 func (l *eventLoop) callRecovering(now timer.Millis, f func(now timer.Millis)) bool {
 	err := catcher.Catch(func() { f(now) })
 	if err != nil && l.onPanic != nil {
--- a/conductor/memory.go
+++ b/conductor/memory.go
@@ -15,30 +15,31 @@
 )
 
 const (
-	// recallTime bounds the attempts to read what an earlier life of the sidecar knew. The backend server announces itself
-	// within about as long.
+	// loadTimeout bounds the attempts to read the descriptor stored by a previous run of the sidecar. The backend server
+	// announces itself within about the same time.
 	loadTimeout    = 2 * time.Second
 	loadRetryDelay = 100 * time.Millisecond
-	// rememberPause is the pause before a description is written again after a failure.
+	// storeRetryDelay is the delay before a failed write of a descriptor is retried.
 	storeRetryDelay = 500 * time.Millisecond
 )
 
-// memory keeps a backend server's description in the store, so that a sidecar that starts again need not wait for the next
-// announcement. What is recalled is in force only once the backend server has answered a call that names its identifier.
+// descriptorStore persists the backend server's descriptor in the store, so that a restarted sidecar does not have to
+// wait for the next announcement. A loaded descriptor takes effect only after the backend server has answered a call
+// that names its identifier.
 type descriptorStore struct {
 	logger log.Interface
 	store  *platform.Store
-	name   string // of the sidecar
+	name   string // of the sidecar; key of the record
 
-	queued  bool        // a description was given to the writer; owned by the loop, as latest is
-	latest  string      // the newest one
-	pending chan string // newest description that is not written yet
+	queued  bool        // a descriptor was queued; queued and latest are owned by the event loop
+	latest  string      // the newest descriptor
+	pending chan string // the newest descriptor that is not written yet
 
 	mu        sync.Mutex
-	persisted chan struct{} // closed when the newest description is stored; nil before the first one
+	persisted chan struct{} // closed when the newest descriptor is stored; nil before the first one
 }
 
-// describe encodes a description. It is empty for a backend server that leaves, which must not be recalled.
+// encodeDescriptor returns an empty string for a draining backend server, which must not be restored after a restart.
 func encodeDescriptor(b keeper.Backend) string {
 	if b.Draining || b.ID == "" {
 		return ""
@@ -46,75 +47,75 @@
 	return string(marshaler.Append(nil, &marshaler.Backend{ID: b.ID, Born: b.Born, Service: b.Service, Labels: b.Labels, Total: b.Total}))
 }
 
-// remember hands a changed description to the writer. It never blocks.
-func (m *descriptorStore) save(b keeper.Backend) {
+// save queues a changed descriptor for writeLoop. It never blocks.
+func (s *descriptorStore) save(b keeper.Backend) {
 	descriptor := encodeDescriptor(b)
-	if m.queued && descriptor == m.latest {
+	if s.queued && descriptor == s.latest {
 		return
 	}
-	m.queued, m.latest = true, descriptor
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	m.persisted = make(chan struct{})
+	s.queued, s.latest = true, descriptor
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.persisted = make(chan struct{})
 	select {
-	case <-m.pending:
+	case <-s.pending:
 	default:
 	}
-	m.pending <- descriptor // the loop is the only sender, so there is room
+	s.pending <- descriptor // does not block: the event loop is the only sender and the buffer was just emptied
 }
 
-// write writes descriptions to the store until ctx ends.
-func (m *descriptorStore) writeLoop(ctx context.Context) {
+// writeLoop writes queued descriptors to the store until ctx is canceled.
+func (s *descriptorStore) writeLoop(ctx context.Context) {
 	for {
 		var descriptor string
 		select {
 		case <-ctx.Done():
 			return
-		case descriptor = <-m.pending:
+		case descriptor = <-s.pending:
 		}
-		record := follower.Record{Key: m.name}
+		record := follower.Record{Key: s.name}
 		if descriptor != "" {
 			record.Value = []byte(descriptor)
 		}
 		for ctx.Err() == nil {
-			err := m.store.Append(ctx, platform.TopicBackends, record)
+			err := s.store.Append(ctx, platform.TopicBackends, record)
 			if err == nil {
-				m.markPersisted()
+				s.markPersisted()
 				break
 			}
-			m.logger.WithError(err).Warn("sidecar: description of the backend server is not stored yet")
+			s.logger.WithError(err).Warn("sidecar: cannot store the backend server's descriptor; retrying")
 			select {
 			case <-ctx.Done():
 			case <-time.After(storeRetryDelay):
 			}
-			if len(m.pending) > 0 {
-				break // a newer one waits
+			if len(s.pending) > 0 {
+				break // superseded by a newer descriptor
 			}
 		}
 	}
 }
 
-// stored notes that a description was written, unless a newer one waits.
-func (m *descriptorStore) markPersisted() {
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	if len(m.pending) > 0 {
+// markPersisted signals that the newest descriptor is stored, unless a newer one is pending.
+func (s *descriptorStore) markPersisted() {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if len(s.pending) > 0 {
 		return
 	}
 	select {
-	case <-m.persisted:
+	case <-s.persisted:
 	default:
-		close(m.persisted)
+		close(s.persisted)
 	}
 }
 
-// awaitStored reports whether the newest description is in the store, and waits for that at most for limit.
-func (m *descriptorStore) waitPersisted(ctx context.Context, maxWait time.Duration) bool {
-	m.mu.Lock()
-	persisted := m.persisted
-	m.mu.Unlock()
+// waitPersisted waits up to maxWait for the newest descriptor to be stored, and reports whether it was.
+func (s *descriptorStore) waitPersisted(ctx context.Context, maxWait time.Duration) bool {
+	s.mu.Lock()
+	persisted := s.persisted
+	s.mu.Unlock()
 	if persisted == nil {
-		return true // nothing was ever given to the store
+		return true // no descriptor was queued
 	}
 	timeout := time.NewTimer(maxWait)
 	defer timeout.Stop()
@@ -127,7 +128,7 @@
 	return false
 }
 
-// decode decodes a record. A panic is an error of the record.
+// decodeRecord returns a panic of the decoder as an error.
 func decodeRecord(body []byte) (message marshaler.Message, err error) {
 	if panicked := catcher.Catch(func() { message, err = marshaler.Decode(body) }); panicked != nil {
 		return nil, panicked
@@ -135,25 +136,25 @@
 	return message, err
 }
 
-// recall reads the description that an earlier life wrote. ok is false when there is none.
-func (m *descriptorStore) load(ctx context.Context) (b keeper.Backend, ok bool) {
+// load reads the descriptor stored by a previous run of the sidecar. ok is false if there is none.
+func (s *descriptorStore) load(ctx context.Context) (b keeper.Backend, ok bool) {
 	ctx, cancel := context.WithTimeout(ctx, loadTimeout)
 	defer cancel()
 	for ctx.Err() == nil {
-		page, err := m.store.Newest(ctx, platform.TopicBackends)
+		page, err := s.store.Newest(ctx, platform.TopicBackends)
 		if err != nil {
-			m.logger.WithError(err).Warn("sidecar: earlier description of the backend server cannot be read")
+			s.logger.WithError(err).Warn("sidecar: cannot read the stored descriptor of the backend server")
 			time.Sleep(loadRetryDelay)
 			continue
 		}
 		for _, r := range page.Records {
-			if r.Key != m.name {
+			if r.Key != s.name {
 				continue
 			}
 			message, err := decodeRecord(r.Value)
 			descriptor, isBackend := message.(*marshaler.Backend)
 			if err != nil || !isBackend {
-				m.logger.WithField("record", r.Key).Warn("sidecar: earlier description of the backend server is unreadable")
+				s.logger.WithField("record", r.Key).Warn("sidecar: cannot decode the stored descriptor of the backend server")
 				return b, false
 			}
 			return keeper.Backend{ID: descriptor.ID, Born: descriptor.Born, Service: descriptor.Service, Labels: descriptor.Labels, Total: descriptor.Total}, true
--- a/conductor/options.go
+++ b/conductor/options.go
@@ -16,20 +16,20 @@
 )
 
 const (
-	// configurationWait is how long a read of the configuration waits for a change. A connection that went silent is
-	// noticed after this and storeTimeout, within the time in which a configuration has to be in force.
+	// configurationPollTimeout is how long a long poll of the configuration waits for a change. A dead connection is
+	// detected after this time plus storeTimeout, within the time in which a configuration has to take effect.
 	configurationPollTimeout = 3 * time.Second
-	// sidecarConfigurationWait is the same for sidecars. Of a configuration they use the withdrawn domains only, and entries
-	// pass it on to sidecars that lag.
+	// sidecarConfigurationPollTimeout is the same for sidecars. It is longer because sidecars only use the withdrawn
+	// failure domains, and entries send the configuration to sidecars that lag behind.
 	sidecarConfigurationPollTimeout = 10 * time.Second
-	// entriesWait is how long a read of the entries' addresses waits for a change, the longest that the store allows. New
-	// entries are also heard of from others.
+	// entriesPollTimeout is how long a long poll of the entries' addresses waits for a change. It is the maximum that the
+	// store allows; new entries are also announced by other processes.
 	entriesPollTimeout = 30 * time.Second
 	storeTimeout       = 800 * time.Millisecond
-	// backendTimeout bounds a call to the backend server on the same machine, which answers within a few milliseconds.
-	// It leaves a task of 60 ms, whose start is lost, time to start elsewhere.
+	// backendTimeout bounds a call to the backend server on the same machine, which responds within a few milliseconds. It
+	// is short enough that a task of 60 ms whose start call is lost can still be started elsewhere.
 	backendTimeout = 40 * time.Millisecond
-	// headerTimeout and idleTimeout bound callers' connections without a request.
+	// headerTimeout and idleTimeout bound how long a connection may stay open without a complete request.
 	headerTimeout = 5 * time.Second
 	idleTimeout   = 2 * time.Minute
 )
@@ -38,33 +38,32 @@
 type Options struct {
 	Name    string
 	Domain  string
-	Address string // listen address of the sessions between processes, ip:port; entries only
-	// Advertise is the address at which other processes reach this one; Address when empty.
+	Address string // ip:port on which entries listen for sessions of other processes
+	// Advertise is the address at which other processes reach this one. It defaults to Address.
 	Advertise    string
 	StoreAddress string // address of the platform's store
-	// Callers, Ready and Announcements are listen addresses. An empty one is not served.
+	// CallersAddress, ReadyAddress, AnnounceAddress and MetricsAddress are listen addresses. An empty one is not served.
 	CallersAddress  string
 	ReadyAddress    string
 	AnnounceAddress string
 	MetricsAddress  string
-	// Backend is the address of the backend server beside a sidecar.
+	// BackendAddress is the address of the backend server beside a sidecar.
 	BackendAddress string
-	// Seeds are addresses of entries that may be out of date, for times in which the store does not answer.
+	// Seeds are possibly outdated addresses of entries, used to find entries while the store is unavailable.
 	Seeds []string
-	// Weight is the share of a processor that the process may use, in thousandths.
+	// Weight is the processor share that the process may use, in thousandths of a core.
 	Weight uint64
-	// Partitions is the number of partitions of the kept jobs, the same for all processes.
+	// Partitions is the number of partitions of durable jobs. It must be the same for all processes.
 	Partitions uint64
-	// Writes is the number of write calls a second that the store takes from all processes together.
+	// WritesPerSecond is the store's rate limit for write calls from all processes together.
 	WritesPerSecond uint64
-	// Drain bounds the time to finish the work in flight after SIGTERM.
+	// DrainTime bounds the time to finish in-flight work after SIGTERM.
 	DrainTime timer.Millis
 	Logger    log.Interface
-	// Dropped counts log lines that were not written.
+	// DroppedLogLines returns the number of log lines dropped by the rate limit.
 	DroppedLogLines func() uint64
 }
 
-// newClient returns an HTTP client that keeps connections open.
 func newClient(connections int) *http.Client {
 	return &http.Client{Transport: &http.Transport{
 		MaxIdleConnsPerHost: connections, MaxConnsPerHost: connections, DisableCompression: true,
@@ -77,16 +76,16 @@
 	return &platform.Store{Address: address, Timeout: storeTimeout, Wait: pollTimeout, Client: newClient(2)}
 }
 
-// monitor counts events and serves the counters.
+// monitor counts events and serves the metrics.
 type monitor struct {
 	metrics         reporter.Metrics
 	logger          log.Interface
-	droppedLogLines func() uint64 // log lines that were not written
+	droppedLogLines func() uint64
 	traffic         *carrier.Traffic
 }
 
-// panicked logs and counts a panic that ended only the handling of one event. from names the process whose message it
-// was, or the part of this process.
+// reportPanic logs and counts a recovered panic. source is the process that sent the message being handled, or a
+// component of this process.
 func (m *monitor) reportPanic(source string, err error) {
 	m.metrics.Count("crocuslb_panics_total{from=" + strconv.Quote(source) + "}")
 	m.logger.WithError(err).WithField("from", source).Error("process: the handling of an event panicked")
@@ -96,7 +95,7 @@
 	m.metrics.Count("crocuslb_events_total{kind=" + strconv.Quote(kind) + ",detail=" + strconv.Quote(detail) + "}")
 }
 
-// guarded returns the endpoint's handler. A panic in it ends its request with status 500.
+// recoverPanics wraps the endpoint's handler. A panic fails the request with status 500.
 func (m *monitor) recoverPanics(e endpoint) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if err := catcher.Catch(func() { e.handler.ServeHTTP(w, r) }); err != nil {
--- a/conductor/owner.go
+++ b/conductor/owner.go
@@ -18,49 +18,50 @@
 )
 
 const (
-	// memberTTL is the time without a sign of life after which the store deals an entry's partitions to others.
+	// memberTTL is the time without a heartbeat after which the store assigns an entry's partitions to other entries.
 	memberTTL = 1500 * timer.Millisecond
-	// leaseTime is how long after a successful call an entry holds itself for an owner. The rest of memberTTL covers
-	// clocks that differ in speed and the work until the partitions are given up.
+	// leaseDuration is how long after sending a successful heartbeat an entry considers itself the owner of its
+	// partitions. The remainder of memberTTL covers clock drift and the time needed to release the partitions.
 	leaseDuration = 1300 * timer.Millisecond
-	// joinPeriod is the time between two signs of life. Two may fail within the lease.
+	// heartbeatPeriod is the time between two heartbeats. Two of them may fail within a lease.
 	heartbeatPeriod = 400 * time.Millisecond
-	// nudgePause is the pause after another entry gave partitions up, until the store has heard of it, too.
+	// rebalanceDelay is the delay before a heartbeat that follows a release by another entry. It lets the store learn of
+	// the release first.
 	rebalanceDelay = 20 * time.Millisecond
-	// joinPause is the pause after a failed sign of life.
+	// heartbeatRetryDelay is the delay after a failed heartbeat.
 	heartbeatRetryDelay = 100 * time.Millisecond
-	// leaseCheck is the period in which the end of the lease is noticed.
+	// leaseCheckPeriod is the period at which the lease is checked for expiry.
 	leaseCheckPeriod = 50 * time.Millisecond
-	// writeShare is the share of the store's write calls that records of kept jobs may use.
+	// writeCallShare is the share of the store's write calls that records of durable jobs may use.
 	writeCallShare = 0.6
 )
 
-// owner owns partitions of the kept jobs as the store deals them, and writes their records. Use start once kept jobs are
-// in use.
+// partitionOwner owns the partitions of durable jobs that the store assigns to this entry, and writes their records.
+// Call start once durable jobs are in use.
 type partitionOwner struct {
 	logger     log.Interface
 	store      *platform.Store
 	loop       *eventLoop
 	core       *submitter.Submitter
 	memberName string
-	// budget bounds the writes of all partitions of this entry together.
+	// limiter bounds the write rate of all partitions of this entry together.
 	limiter writeLimiter
-	// nudges asks for a sign of life before its time.
+	// heartbeatDue triggers a heartbeat before the period has passed.
 	heartbeatDue chan struct{}
 
 	startOnce  sync.Once
 	cancel     context.CancelFunc
-	done       chan struct{} // closed when run has ended
-	generation uint64        // of run
-	// again says that the next sign of life begins a new membership, with new epochs.
+	done       chan struct{} // closed when run returns
+	generation uint64        // last one that the store assigned; owned by run
+	// rejoin makes the next heartbeat start a new membership, with new epochs.
 	rejoin atomic.Bool
 
 	mu       sync.Mutex
-	leaseEnd timer.Millis       // end of the lease
+	leaseEnd timer.Millis
 	writers  map[uint64]*writer // by partition
 }
 
-// start begins to own partitions until ctx ends. Further calls do nothing.
+// start begins to own partitions until ctx is canceled. Further calls do nothing.
 func (o *partitionOwner) start(ctx context.Context) {
 	o.startOnce.Do(func() {
 		ctx, o.cancel = context.WithCancel(ctx)
@@ -70,17 +71,17 @@
 	})
 }
 
-// leave hands all partitions over to other entries.
+// leave hands all partitions over to other entries and leaves the group.
 func (o *partitionOwner) leave(ctx context.Context) {
-	o.startOnce.Do(func() {}) // it must not start from now on
+	o.startOnce.Do(func() {}) // prevents a later start
 	if o.cancel == nil {
 		return
 	}
 	o.cancel()
 	<-o.done
-	o.releaseAll(ctx, false, "the entry stops")
+	o.releaseAll(ctx, false, "entry is stopping")
 	if err := o.store.LeaveGroup(ctx, o.memberName); err != nil {
-		o.logger.WithError(err).Warn("owner: the store was not told that this entry leaves")
+		o.logger.WithError(err).Warn("owner: cannot leave the group")
 	}
 }
 
@@ -92,10 +93,10 @@
 		changed, err := o.heartbeat(ctx)
 		switch {
 		case err != nil:
-			o.logger.WithError(err).Warn("owner: no answer to the sign of life")
+			o.logger.WithError(err).Warn("owner: heartbeat failed")
 			delay = heartbeatRetryDelay
 		case changed:
-			delay = 0 // the store waits for this before it deals the partitions to others
+			delay = 0 // the store assigns released partitions only after the next heartbeat
 		}
 		select {
 		case <-ctx.Done():
@@ -106,7 +107,7 @@
 	}
 }
 
-// nudge asks for a sign of life soon, because the store may deal partitions to this entry. It never blocks.
+// requestHeartbeat triggers an early heartbeat, because the store may assign partitions to this entry. It never blocks.
 func (o *partitionOwner) requestHeartbeat() {
 	select {
 	case o.heartbeatDue <- struct{}{}:
@@ -114,11 +115,12 @@
 	}
 }
 
-// join sends a sign of life and acts on the answer. changed says that partitions were given up.
+// heartbeat renews the membership and applies the returned assignment. changed reports whether partitions were
+// released.
 func (o *partitionOwner) heartbeat(ctx context.Context) (changed bool, err error) {
 	if o.rejoin.Swap(false) {
-		// An earlier life may have been a member under this name. Its epochs must not be used again.
-		o.releaseAll(ctx, true, "a new membership begins")
+		// A previous run of the process may have been a member under the same name. Its epochs must not be reused.
+		o.releaseAll(ctx, true, "membership restarted")
 		if err := o.store.LeaveGroup(ctx, o.memberName); err != nil {
 			o.rejoin.Store(true)
 			return false, err
@@ -130,7 +132,7 @@
 	if err != nil {
 		return false, err
 	}
-	if o.leaseExpired() { // before the answer came; the core has given its partitions up
+	if o.leaseExpired() { // expired before the response arrived; the core has released its partitions
 		o.expireLease(ctx)
 		return true, nil
 	}
@@ -141,7 +143,7 @@
 	o.generation = assignment.Generation
 	for _, partition := range o.ownedPartitions() {
 		if !slices.Contains(assignment.Partitions, partition) {
-			o.release(ctx, partition, false, "dealt to another entry")
+			o.release(ctx, partition, false, "assigned to another entry")
 			changed = true
 		}
 	}
@@ -151,7 +153,7 @@
 	return changed, nil
 }
 
-// watchLease gives all partitions up when the lease ends without a sign of life that the store took.
+// watchLease releases all partitions when the lease expires without a successful heartbeat.
 func (o *partitionOwner) watchLease(ctx context.Context) {
 	for ctx.Err() == nil {
 		select {
@@ -165,17 +167,17 @@
 	}
 }
 
-// leaseOver reports whether partitions are owned and the lease has ended.
+// leaseExpired reports whether partitions are owned and the lease has expired.
 func (o *partitionOwner) leaseExpired() bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	return len(o.writers) > 0 && o.loop.clock.Now() >= o.leaseEnd
 }
 
-// endLease gives all partitions up and begins a new membership.
+// expireLease releases all partitions. The next heartbeat starts a new membership.
 func (o *partitionOwner) expireLease(ctx context.Context) {
 	o.rejoin.Store(true)
-	o.releaseAll(ctx, true, "the lease has ended")
+	o.releaseAll(ctx, true, "lease expired")
 }
 
 func (o *partitionOwner) ownedPartitions() []uint64 {
@@ -195,7 +197,7 @@
 	}
 }
 
-// release stops the writer of a partition and tells the core.
+// release stops the writer of a partition and releases the partition in the core.
 func (o *partitionOwner) release(ctx context.Context, partition uint64, stop bool, reason string) {
 	o.mu.Lock()
 	w := o.writers[partition]
@@ -217,7 +219,7 @@
 	}
 }
 
-// acquire begins to own a partition, unless it is owned already.
+// acquire starts the writer of a partition, unless the partition is owned already.
 func (o *partitionOwner) acquire(ctx context.Context, partition, epoch uint64) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -234,25 +236,25 @@
 	go w.run(writerCtx)
 }
 
-// record hands a record to the writer of its partition. It never blocks; the loop calls it.
+// appendRecord queues a record with the writer of its partition. It never blocks and is called by the event loop.
 func (o *partitionOwner) appendRecord(partition, epoch uint64, body []byte, done func(now timer.Millis, offset uint64)) {
 	o.mu.Lock()
 	w := o.writers[partition]
 	o.mu.Unlock()
 	if w == nil || w.epoch != epoch {
-		return // the core is about to be told that the partition is lost
+		return // the release of the partition is on its way to the core
 	}
 	w.enqueue(body, done)
 }
 
-// lost takes the refusal of a writer's epoch.
+// onFenced handles the store's rejection of a writer's epoch.
 func (o *partitionOwner) onFenced(ctx context.Context, w *writer, err error) {
-	o.logger.WithError(err).WithFields(log.Fields{"partition": w.partition, "epoch": w.epoch}).Warn("owner: partition is lost")
+	o.logger.WithError(err).WithFields(log.Fields{"partition": w.partition, "epoch": w.epoch}).Warn("owner: epoch rejected by the store; releasing the partition")
 	o.rejoin.Store(true)
-	o.release(ctx, w.partition, true, "the store knows a later owner")
+	o.release(ctx, w.partition, true, "fenced by a later owner")
 }
 
-// replay reads a partition's records.
+// replay reads all records of a partition. Records that cannot be decoded are logged and skipped.
 func (o *partitionOwner) replay(ctx context.Context, partition uint64) (archiver.Archive, error) {
 	var archive archiver.Archive
 	for from := uint64(0); ; {
@@ -266,7 +268,7 @@
 				err = panicked
 			}
 			if err != nil {
-				o.logger.WithError(err).WithFields(log.Fields{"partition": partition, "offset": page.From + uint64(i)}).Warn("owner: unreadable record is left out")
+				o.logger.WithError(err).WithFields(log.Fields{"partition": partition, "offset": page.From + uint64(i)}).Warn("owner: skipped a record that cannot be decoded")
 			}
 		}
 		if from = page.Next; from >= page.End {
--- a/conductor/panic_test.go
+++ b/conductor/panic_test.go
@@ -23,14 +23,14 @@
 	return &monitor{logger: &log.Logger{Handler: h, Level: log.InfoLevel}}, h
 }
 
-func (m *monitor) text() string {
+func (m *monitor) metricsText() string {
 	w := httptest.NewRecorder()
 	m.metricsHandler().ServeHTTP(w, httptest.NewRequest(http.MethodGet, "/metrics", nil))
 	return w.Body.String()
 }
 
-// TestLoopPanics guards against a fault in one event that ends the process or the events after it, and against a process
-// that goes on without time limits.
+// TestLoopPanics guards against a panic in one event that ends the process or prevents later events, and against a
+// process that keeps running without timeouts because every tick panics.
 func TestLoopPanics(t *testing.T) {
 	m, _ := newMonitor()
 	l := newEventLoop()
@@ -55,9 +55,9 @@
 	}
 	cancel()
 	if err := <-ended; err != nil {
-		t.Errorf("got %v after %d failed ticks and a good one, want no error", err, maxFailedTicks-1)
+		t.Errorf("got %v after %d failed ticks and a successful one, want no error", err, maxFailedTicks-1)
 	}
-	if got, want := m.text(), `crocuslb_panics_total{from="loop"} 40`; !strings.Contains(got, want) {
+	if got, want := m.metricsText(), `crocuslb_panics_total{from="loop"} 40`; !strings.Contains(got, want) {
 		t.Errorf("got metrics %q, want %q", got, want)
 	}
 	badTicks.Store(1 << 30)
@@ -68,7 +68,8 @@
 	}
 }
 
-// TestMessagePanics guards against a message whose handling panics and takes the process, or the sessions of others, down.
+// TestMessagePanics guards against a panic while handling a message that ends the process or the sessions of other
+// senders.
 func TestMessagePanics(t *testing.T) {
 	ctx, cancel := context.WithCancel(t.Context())
 	m, logged := newMonitor()
@@ -76,7 +77,7 @@
 	l.flush, l.tick = func(timer.Millis) {}, func(timer.Millis) {}
 	go func() { _ = l.run(ctx) }() // its ticks do not panic
 	var handled, lost atomic.Int64
-	s := sessions{
+	s := sessionHandler{
 		loop: l, directory: &entryDirectory{}, onPanic: m.reportPanic,
 		onUp:   func(timer.Millis, *marshaler.Link) {},
 		onDown: func(timer.Millis, *marshaler.Link, error) { lost.Add(1) },
@@ -113,7 +114,7 @@
 	for _, n := range []*carrier.Node{&a, bad, good} {
 		n.Wait()
 	}
-	if got, want := m.text(), `crocuslb_panics_total{from="bad"}`; !strings.Contains(got, want) {
+	if got, want := m.metricsText(), `crocuslb_panics_total{from="bad"}`; !strings.Contains(got, want) {
 		t.Errorf("got metrics %q, want %q", got, want)
 	}
 	if len(logged.Entries) == 0 || !strings.Contains(logged.Entries[0].Fields.Get("error").(string), "injected") {
@@ -121,8 +122,8 @@
 	}
 }
 
-// TestCallerPanics guards against a caller that waits for ever, or is told that nothing ran, when the handling of its
-// request panics.
+// TestCallerPanics guards against a caller that waits forever, or is told that nothing ran, when handling its request
+// panics.
 func TestCallerPanics(t *testing.T) {
 	m, _ := newMonitor()
 	e := Entry{loop: newEventLoop()}
@@ -139,11 +140,11 @@
 		t.Errorf("got answer %v, want %v", a.Kind, submitter.AnswerGaveUp)
 	}
 	if e.query(t.Context(), func(timer.Millis) bool { panic("injected") }) {
-		t.Error("got true from a question that panicked, want false")
+		t.Error("got true from a query that panicked, want false")
 	}
 }
 
-// TestRequestPanics guards against a request to a listener that takes the process down.
+// TestRequestPanics guards against an HTTP request whose handler panics and ends the process.
 func TestRequestPanics(t *testing.T) {
 	m, _ := newMonitor()
 	h := m.recoverPanics(endpoint{"here", http.HandlerFunc(func(http.ResponseWriter, *http.Request) { panic("injected") })})
@@ -152,7 +153,7 @@
 	if w.Code != http.StatusInternalServerError {
 		t.Errorf("got status %d, want %d", w.Code, http.StatusInternalServerError)
 	}
-	if got, want := m.text(), `crocuslb_panics_total{from="http here"} 1`; !strings.Contains(got, want) {
+	if got, want := m.metricsText(), `crocuslb_panics_total{from="http here"} 1`; !strings.Contains(got, want) {
 		t.Errorf("got metrics %q, want %q", got, want)
 	}
 }
--- a/conductor/program.go
+++ b/conductor/program.go
@@ -20,14 +20,14 @@
 	exitUsage   = 2
 )
 
-// Program is one run of a process on the users' platform.
+// Program is one invocation of the platformnode command.
 type Program struct {
-	Args    []string // without the program's name; the first one is the role
+	Args    []string // without the program name; the first argument is the role
 	Environ []string
 	Stdout  io.Writer
 }
 
-// Run runs the role that the first argument names until ctx ends, and returns the exit status.
+// Run runs the role named by the first argument until ctx is canceled, and returns the exit status.
 func (p *Program) Run(ctx context.Context) int {
 	rec := &recorder.Recorder{Writer: p.Stdout}
 	logger := &log.Logger{Handler: rec, Level: log.InfoLevel}
@@ -45,14 +45,14 @@
 		role, args = args[0], args[1:]
 	}
 	if helpRequested(p.Args) {
-		_, _ = fmt.Fprintf(p.Stdout, "usage: platformnode %s|%s [flags]\n\nRuns a process of crocuslb on the users' platform (docs/PLATFORM.md).\n\n"+
-			"settings (flag, unit, default, variable, meaning):\n%s\nExit status: 0 success, 1 failure, 2 wrong settings.\n",
+		_, _ = fmt.Fprintf(p.Stdout, "usage: platformnode %s|%s [flags]\n\nRuns a crocuslb process on the users' platform (docs/PLATFORM.md).\n\n"+
+			"settings (flag, unit, default, variable, meaning):\n%s\nExit status: 0 success, 1 failure, 2 invalid settings.\n",
 			roleEntry, roleSidecar, Settings.Text())
 		return exitSuccess
 	}
 	options, logRate, err := LoadOptions(role, args, p.Environ)
 	if err != nil {
-		logger.WithError(err).Error("settings: cannot start")
+		logger.WithError(err).Error("settings: invalid, cannot start")
 		return exitUsage
 	}
 	rec.Rate = logRate
@@ -64,20 +64,21 @@
 		err = (&Sidecar{Options: options}).Run(ctx)
 	}
 	if err != nil {
-		logger.WithError(err).Error(role + ": ended with an error")
+		logger.WithError(err).Error(role + ": terminated with an error")
 		return exitFailure
 	}
 	return exitSuccess
 }
 
-// asksForHelp reports whether a run is for the list of settings.
+// helpRequested reports whether the arguments ask for the usage text. Running without arguments does too.
 func helpRequested(args []string) bool {
 	return len(args) == 0 || slices.ContainsFunc(args, func(a string) bool {
 		return a == "help" || a == "-h" || a == "-help" || a == "--help"
 	})
 }
 
-// reload checks the settings again at SIGHUP. All of them need a restart, so a change is only reported.
+// watchHangups validates the settings again on SIGHUP. All of them need a restart to take effect, so only the result of
+// the validation is logged.
 func (p *Program) watchHangups(ctx context.Context, logger *log.Logger, role string, args []string) {
 	hangup := make(chan os.Signal, 1)
 	signal.Notify(hangup, syscall.SIGHUP)
@@ -89,9 +90,9 @@
 		case <-hangup:
 		}
 		if _, _, err := LoadOptions(role, args, p.Environ); err != nil {
-			logger.WithError(err).Error("settings: reload found faults; the earlier ones stay in force")
+			logger.WithError(err).Error("settings: reload failed validation; keeping the current settings")
 			continue
 		}
-		logger.Info("settings: reloaded; addresses and names change at the next start only")
+		logger.Info("settings: reloaded; changes take effect at the next start")
 	}
 }
--- a/conductor/sessions.go
+++ b/conductor/sessions.go
@@ -12,23 +12,23 @@
 	"github.com/crocuslb/crocuslb/timer"
 )
 
-// sessions passes what happens on a process's connections to its core, through the loop.
-type sessions struct {
+// sessionHandler passes session events of a process to its core on the event loop.
+type sessionHandler struct {
 	loop      *eventLoop
 	config    *configuration
 	directory *entryDirectory
-	// up, down and message are the core's functions; the loop calls them.
+	// onUp, onDown and onMessage are called on the event loop.
 	onUp      func(now timer.Millis, link *marshaler.Link)
 	onDown    func(now timer.Millis, link *marshaler.Link, cause error)
 	onMessage func(now timer.Millis, link *marshaler.Link, m marshaler.Message)
-	// panicked is told of a panic in the handling of a message, with the name of its sender.
+	// onPanic is called after a panic while handling a message, with the name of its sender.
 	onPanic func(from string, err error)
 
 	links sync.Map // *carrier.Session to *marshaler.Link
 }
 
-// attach sets the functions of a node, which serves until ctx ends.
-func (s *sessions) attach(ctx context.Context, n *carrier.Node) {
+// attach sets the callbacks of a node. They stop posting events once ctx is canceled.
+func (s *sessionHandler) attach(ctx context.Context, n *carrier.Node) {
 	n.OnUp = func(c *carrier.Session) {
 		link := &marshaler.Link{Remote: c.Remote, Send: c.Send, Close: c.Close}
 		s.links.Store(c, link)
@@ -44,9 +44,9 @@
 				if err == nil {
 					continue
 				}
-				// Both ends compare what they know when the next session opens.
+				// Close the session, because both ends reconcile their state when the next one opens.
 				s.onPanic(c.Remote.Name, err)
-				c.Close(trace.BadParameter("the handling of %T panicked", m))
+				c.Close(trace.BadParameter("panic while handling %T", m))
 				return
 			}
 		})
@@ -59,9 +59,10 @@
 	}
 }
 
-// introduce tells a new session's other end which entries this process knows, and tells all others of an entry that was
-// not known. Processes that start while the store is away find each other in this way, through the seeds.
-func (s *sessions) exchangePeers(ctx context.Context, c *carrier.Session) {
+// exchangePeers sends the known entries to the remote end of a new session. If the remote end is a new entry, it sends
+// them on all sessions. Processes that start while the store is unavailable discover each other this way, starting from
+// the seeds.
+func (s *sessionHandler) exchangePeers(ctx context.Context, c *carrier.Session) {
 	remote := c.Remote
 	if remote.Role == marshaler.RoleEntry && s.directory.addPeers(ctx, []marshaler.Peer{{Name: remote.Name, Address: remote.Address, Incarnation: remote.Incarnation}}) {
 		s.broadcast(&marshaler.Peers{Peers: s.directory.peers()})
@@ -70,8 +71,8 @@
 	c.Send(&marshaler.Peers{Peers: s.directory.peers()})
 }
 
-// deliver handles the messages that concern the process, and passes on the others.
-func (s *sessions) dispatch(ctx context.Context, now timer.Millis, link *marshaler.Link, m marshaler.Message) {
+// dispatch handles peer and configuration messages, and passes all others to the core.
+func (s *sessionHandler) dispatch(ctx context.Context, now timer.Millis, link *marshaler.Link, m marshaler.Message) {
 	switch m := m.(type) {
 	case *marshaler.Peers:
 		s.directory.addPeers(ctx, m.Peers)
@@ -82,8 +83,7 @@
 	}
 }
 
-// sendAll sends a message on all sessions.
-func (s *sessions) broadcast(m marshaler.Message) {
+func (s *sessionHandler) broadcast(m marshaler.Message) {
 	s.links.Range(func(c, _ any) bool {
 		if session, ok := c.(*carrier.Session); ok {
 			session.Send(m)
--- a/conductor/settings.go
+++ b/conductor/settings.go
@@ -12,17 +12,16 @@
 const (
 	roleEntry   = "entry"
 	roleSidecar = "sidecar"
-	// metricsPort is the port of the metrics on the process's own address.
+	// defaultMetricsPort is the default metrics port on the process's own address.
 	defaultMetricsPort = "9464"
-	// coreThousandths is the number of thousandths in a core.
-	millicoresPerCore = 1000
+	millicoresPerCore  = 1000
 )
 
-// Settings declares the settings of both roles. Names of variables in a settings file are the same as in the
-// environment; the file goes first.
+// Settings declares the settings of both roles. A settings file uses the same variable names as the environment and
+// takes precedence over it.
 var Settings = loader.Set{Settings: []loader.Setting{
-	{Name: "config", Meaning: "path of a settings file with NAME=value lines; read again at SIGHUP"},
-	{Name: "name", Required: true, Meaning: "name of the process, unique in the installation"},
+	{Name: "config", Meaning: "path of a settings file with NAME=value lines; read again on SIGHUP"},
+	{Name: "name", Required: true, Meaning: "name of the process, unique in the deployment"},
 	{Name: "domain", Required: true, Meaning: "failure domain of the process"},
 	{Name: "ip", Required: true, Meaning: "IP address at which other processes reach this one"},
 	{Name: "internalPort", Unit: loader.UnitCount, Default: "7720", Min: 1, Max: 65535, Meaning: "TCP port of the sessions between processes, the same on all machines"},
@@ -32,16 +31,17 @@
 	{Name: "readyAddress", Unit: loader.UnitAddress, Meaning: "listen address for the load balancer's readiness checks; entries only"},
 	{Name: "announceAddress", Unit: loader.UnitAddress, Meaning: "listen address for the backend server's announcements; sidecars only"},
 	{Name: "backendAddress", Unit: loader.UnitAddress, Meaning: "address of the backend server; sidecars only"},
-	{Name: "partitions", Unit: loader.UnitCount, Default: "12", Min: 1, Max: 1024, Meaning: "partitions of the kept jobs; the same for all processes"},
-	{Name: "writes", Unit: loader.UnitCount, Default: "800", Min: 1, Max: 1_000_000, Meaning: "write calls a second that the platform's store takes from all processes together"},
+	{Name: "partitions", Unit: loader.UnitCount, Default: "12", Min: 1, Max: 1024, Meaning: "number of partitions of durable jobs; the same for all processes"},
+	{Name: "writes", Unit: loader.UnitCount, Default: "800", Min: 1, Max: 1_000_000, Meaning: "rate limit of the platform's store for write calls from all processes together, per second"},
 	{Name: "seeds", Unit: loader.UnitAddresses, Meaning: "addresses on machines that may run an entry; only their IP addresses are used"},
-	{Name: "cores", Unit: loader.UnitRatio, Default: "1", Meaning: "share of a processor that the process may use"},
-	{Name: "drainMs", Unit: loader.UnitMillis, Default: "5000", Min: 0, Max: 3_600_000, Meaning: "longest time to finish the work in flight after SIGTERM"},
-	{Name: "metricsPort", Unit: loader.UnitCount, Default: defaultMetricsPort, Min: 0, Max: 65535, Meaning: "port of the metrics; 0 for none"},
-	{Name: "logLines", Unit: loader.UnitCount, Default: "4000", Min: 1, Max: 1_000_000, Meaning: "log lines a second at most; further ones are counted and dropped"},
+	{Name: "cores", Unit: loader.UnitRatio, Default: "1", Meaning: "number of processor cores that the process may use"},
+	{Name: "drainMs", Unit: loader.UnitMillis, Default: "5000", Min: 0, Max: 3_600_000, Meaning: "maximum time to finish in-flight work after SIGTERM"},
+	{Name: "metricsPort", Unit: loader.UnitCount, Default: defaultMetricsPort, Min: 0, Max: 65535, Meaning: "port of the metrics endpoint; 0 disables it"},
+	{Name: "logLines", Unit: loader.UnitCount, Default: "4000", Min: 1, Max: 1_000_000, Meaning: "maximum number of log lines per second; the excess is dropped and counted"},
 }}
 
-// Load reads the settings from flags, environment and settings file. The error lists every finding.
+// LoadOptions reads the settings from flags, environment and settings file. It also returns the maximum number of log
+// lines per second. The error lists all invalid settings.
 func LoadOptions(role string, args, environ []string) (Options, int, error) {
 	loaded := Settings.Load(args, environ)
 	if path := loaded.Values.Text("config"); path != "" {
@@ -87,10 +87,10 @@
 			missing = "announceAddress and backendAddress"
 		}
 	default:
-		return options, 0, trace.BadParameter("role %q: want %s or %s", role, roleEntry, roleSidecar)
+		return options, 0, trace.BadParameter("unknown role %q: want %s or %s", role, roleEntry, roleSidecar)
 	}
 	if missing != "" {
-		return options, 0, trace.BadParameter("role %s needs %s", role, missing)
+		return options, 0, trace.BadParameter("role %s requires %s", role, missing)
 	}
 	return options, int(values.Count("logLines")), nil
 }
--- a/conductor/sidecar.go
+++ b/conductor/sidecar.go
@@ -17,25 +17,26 @@
 )
 
 const (
-	// busyWait and idleWait are how long a hold waits for an end. The progress of runs is seen every busyWait.
+	// busyHoldTimeout and idleHoldTimeout are how long a hold call waits on the backend server for a run to end. While
+	// tasks run, their progress is reported every busyHoldTimeout.
 	busyHoldTimeout = 60 * time.Millisecond
 	idleHoldTimeout = 250 * time.Millisecond
-	// unrecordedPause is the pause between two holds that do not wait, because ends are not recorded yet.
+	// unrecordedHoldDelay is the delay between hold calls that return at once because some ends are not recorded yet.
 	unrecordedHoldDelay = 10 * time.Millisecond
-	// holdPause is the pause after a hold that failed at once.
+	// holdRetryDelay is the delay after a hold call that failed without timing out.
 	holdRetryDelay = 20 * time.Millisecond
-	// backendConnections bounds the connections to the backend server.
+
 	maxBackendConnections = 10
-	// storedWait is how long the acknowledgement of a backend server that leaves waits for the store. The server waits for
-	// a second, and announces itself again.
+	// persistTimeout is how long the acknowledgement of a draining backend server waits for the store. The backend server
+	// waits one second for the acknowledgement and then announces itself again.
 	persistTimeout = 700 * time.Millisecond
-	// flushTime is left for the last messages of a process that ends.
+	// flushDelay is the time left to send the last messages before the process exits.
 	flushDelay = 100 * time.Millisecond
-	// drainCheck is the period in which a stopping sidecar looks whether its runs have ended.
+	// drainPollPeriod is the period at which a stopping sidecar checks whether its runs have ended.
 	drainPollPeriod = 20 * time.Millisecond
 )
 
-// Sidecar is the process beside a backend server on the users' platform.
+// Sidecar is the process that runs beside a backend server and starts tasks on it.
 type Sidecar struct {
 	Options
 
@@ -47,12 +48,12 @@
 	monitor      monitor
 	descriptors  descriptorStore
 	backend      platform.Backend
-	sessions     sessions
+	sessions     sessionHandler
 	holdRequests chan keeper.HoldRequest
-	holdPending  bool // a hold is under way or about to be; owned by the loop
+	holdPending  bool // a hold call is running or queued; owned by the event loop
 }
 
-// Run serves until ctx ends, then lets the runs end within Options.Drain.
+// Run serves until ctx is canceled, then waits up to Options.DrainTime for the runs to end.
 func (s *Sidecar) Run(ctx context.Context) error {
 	incarnation := uint64(time.Now().UnixMilli())
 	runCtx, cancel := context.WithCancel(context.WithoutCancel(ctx))
@@ -82,7 +83,7 @@
 	announcements := platform.Announcements{
 		Announce: func(b keeper.Backend) bool { return s.announce(runCtx, b) },
 		Leaves:   func(id string) { s.loop.post(runCtx, func(now timer.Millis) { s.core.Leaves(now, id) }) },
-		Refused:  func(err error) { s.Logger.WithError(err).Warn("sidecar: announcement refused") },
+		Refused:  func(err error) { s.Logger.WithError(err).Warn("sidecar: rejected an invalid announcement") },
 	}
 	servers, err := startServers(runCtx, &s.monitor, []endpoint{{s.AnnounceAddress, announcements.Handler()}, {s.MetricsAddress, s.monitor.metricsHandler()}})
 	if err != nil {
@@ -114,9 +115,9 @@
 	return nil
 }
 
-// attach connects the sessions to the core.
+// attachSessions connects the sessions to the core.
 func (s *Sidecar) attachSessions(ctx context.Context) {
-	s.sessions = sessions{
+	s.sessions = sessionHandler{
 		loop: s.loop, config: &s.config, directory: &s.directory, onPanic: s.monitor.reportPanic,
 		onUp: func(now timer.Millis, link *marshaler.Link) {
 			s.Logger.WithField("entry", link.Remote.Name).Info("sidecar: entry connected")
@@ -139,8 +140,9 @@
 	s.monitor.traffic = &s.node.Traffic
 }
 
-// announce passes on what the backend server says of itself. It returns once that is in force, and reports whether it may
-// be acknowledged: that a server leaves is known after a restart of this process, too.
+// announce applies an announcement of the backend server and returns once it has taken effect. It reports whether the
+// announcement may be acknowledged: draining is acknowledged only after it is stored, so that it survives a restart of
+// the sidecar.
 func (s *Sidecar) announce(ctx context.Context, b keeper.Backend) bool {
 	done := make(chan struct{})
 	s.loop.post(ctx, func(now timer.Millis) {
@@ -157,7 +159,8 @@
 	return !b.Draining || s.descriptors.waitPersisted(ctx, persistTimeout)
 }
 
-// recall announces the backend server as an earlier life of this process knew it, unless it has announced itself.
+// restoreBackend announces the backend server with the descriptor stored by a previous run of the sidecar, unless the
+// backend server has announced itself already.
 func (s *Sidecar) restoreBackend(ctx context.Context) {
 	b, ok := s.descriptors.load(ctx)
 	if !ok {
@@ -167,13 +170,13 @@
 		if s.core.Backend().ID != "" {
 			return
 		}
-		s.Logger.WithField("backend", b.ID).Info("sidecar: backend server is recalled from the store")
+		s.Logger.WithField("backend", b.ID).Info("sidecar: restored the backend server's descriptor from the store")
 		s.core.Announce(now, b)
 		s.scheduleHold(now)
 	})
 }
 
-// nextHold hands the next hold to its goroutine, unless one is under way. It is called by the loop.
+// scheduleHold passes the next hold call to runHolds, unless one is pending. It is called by the event loop.
 func (s *Sidecar) scheduleHold(now timer.Millis) {
 	if s.holdPending {
 		return
@@ -184,7 +187,7 @@
 	}
 }
 
-// hold keeps the lease of all runs and waits for their ends.
+// runHolds makes the hold calls, which renew the leases of all runs and wait for runs to end.
 func (s *Sidecar) runHolds(ctx context.Context) {
 	for {
 		var request keeper.HoldRequest
@@ -206,7 +209,7 @@
 		}
 		s.loop.post(ctx, func(now timer.Millis) {
 			s.holdPending = false
-			defer s.scheduleHold(now) // also when the core panics: the lease must not end with one listing
+			defer s.scheduleHold(now) // also after a panic in the core: one bad listing must not let the leases expire
 			if err != nil {
 				s.core.OnHoldFailed(now, platform.Gone(err), err.Error())
 			} else {
@@ -216,7 +219,7 @@
 	}
 }
 
-// callHold calls the backend server. A panic on its answer is an error of the call.
+// callHold makes a hold call to the backend server. A panic while handling the response is returned as an error.
 func (s *Sidecar) callHold(request keeper.HoldRequest, timeout time.Duration) (listing keeper.Listing, err error) {
 	panicked := catcher.Catch(func() { listing, err = s.backend.Hold(request, timeout) })
 	if panicked != nil {
@@ -226,7 +229,8 @@
 	return listing, err
 }
 
-// look asks for the lists of runs and ends at once, beside a hold that waits. It is called by the loop.
+// pollRuns requests the list of runs and ends without waiting, in parallel to a pending hold call. It is called by the
+// event loop.
 func (s *Sidecar) pollRuns(ctx context.Context) {
 	request, ok := s.core.BeginHold(s.loop.clock.Now())
 	if !ok {
@@ -235,7 +239,7 @@
 	go func() {
 		listing, err := s.callHold(request, 0)
 		if err != nil {
-			return // the next hold tells the same
+			return // the next hold call reports the same failure
 		}
 		s.loop.post(ctx, func(now timer.Millis) { s.core.OnListing(now, listing) })
 	}()
@@ -262,13 +266,13 @@
 			stopped, err = false, panicked
 		}
 		if err != nil {
-			s.Logger.WithError(err).WithField("job", r.Job).Warn("sidecar: no answer to a stop")
+			s.Logger.WithError(err).WithField("job", r.Job).Warn("sidecar: stop call to the backend server failed")
 		}
 		s.loop.post(ctx, func(now timer.Millis) { s.core.OnStopped(now, r, stopped, platform.Gone(err)) })
 	}()
 }
 
-// drain refuses new starts and waits until the runs have ended.
+// drain rejects new starts and waits up to Options.DrainTime for the runs to end.
 func (s *Sidecar) drain(ctx context.Context) {
 	s.Logger.WithField("drain", s.DrainTime.String()).Info("sidecar: stopping")
 	s.loop.post(ctx, s.core.Leave)
--- a/conductor/writer.go
+++ b/conductor/writer.go
@@ -13,18 +13,18 @@
 )
 
 const (
-	// writePause is the pause before a write is repeated after a failure.
+	// writeRetryDelay is the delay before a failed read or write is retried.
 	writeRetryDelay = 50 * time.Millisecond
-	// maxWriteBytes bounds the records of one write. The store takes 2 MiB.
+	// maxWriteBytes bounds the total size of the records in one write. The store accepts up to 2 MiB.
 	maxWriteBytes = 1 << 20
 )
 
 type (
-	// writer writes the records of one partition in their order. A write without an answer is repeated under the same
-	// number, which the store carries out once.
+	// writer writes the records of one partition in order. A write without a response is retried with the same sequence
+	// number, so that the store applies it only once.
 	writer struct {
 		owner     *partitionOwner
-		partition uint64 // of the partition
+		partition uint64
 		epoch     uint64
 		cancel    context.CancelFunc
 		wake      chan struct{}
@@ -39,7 +39,7 @@
 	}
 )
 
-// add queues a record. It never blocks.
+// enqueue adds a record to the queue. It never blocks.
 func (w *writer) enqueue(body []byte, done func(now timer.Millis, offset uint64)) {
 	w.mu.Lock()
 	w.queue = append(w.queue, queuedRecord{body, done})
@@ -50,7 +50,7 @@
 	}
 }
 
-// take removes the records of the next write.
+// nextBatch removes the records of the next write from the queue.
 func (w *writer) nextBatch() (batch []queuedRecord) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -63,7 +63,7 @@
 	return batch
 }
 
-// run takes the partition over, then writes until ctx ends or a later owner shows.
+// run acquires the partition, then writes queued records until ctx is canceled or a later owner fences this one.
 func (w *writer) run(ctx context.Context) {
 	if !w.acquire(ctx) {
 		return
@@ -88,7 +88,7 @@
 	}
 }
 
-// acquire keeps earlier owners out, reads the records and hands the jobs to the core.
+// acquire fences earlier owners, replays the partition's records and passes its jobs to the core.
 func (w *writer) acquire(ctx context.Context) bool {
 	begin := queuedRecord{marshaler.Append(nil, &marshaler.OwnerRecord{Epoch: w.epoch}), func(timer.Millis, uint64) {}}
 	if !w.writeBatch(ctx, 1, []queuedRecord{begin}) {
@@ -105,13 +105,14 @@
 			})
 			return true
 		}
-		w.owner.logger.WithError(err).WithField("partition", w.partition).Warn("owner: records cannot be read yet")
+		w.owner.logger.WithError(err).WithField("partition", w.partition).Warn("owner: cannot read the partition's records; retrying")
 		time.Sleep(writeRetryDelay)
 	}
 	return false
 }
 
-// write writes a batch, again and again until the store has answered. It returns false once the partition is lost.
+// writeBatch writes a batch and retries until the store responds. It returns false if ctx is canceled or the partition
+// is lost to a later owner.
 func (w *writer) writeBatch(ctx context.Context, sequence uint64, batch []queuedRecord) bool {
 	bodies := make([][]byte, len(batch))
 	for i := range batch {
