--- a/conductor/budget_test.go
+++ b/conductor/budget_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// TestBudget guards against exceeding the store's rate limit for writes, and against delays at low load.
-func TestBudget(t *testing.T) {
+// TestWriteLimiter guards against exceeding the store's rate limit for writes, and against delays at low load.
+func TestWriteLimiter(t *testing.T) {
 	cases := []struct {
 		name       string
 		partitions int
--- a/conductor/await_test.go
+++ b/conductor/configuration_test.go
@@ -12,9 +12,9 @@
 	"github.com/crocuslb/crocuslb/timer"
 )
 
-// TestAwait guards against rejecting callers right after a restart of all processes, when the first configuration has
-// not arrived yet, and against callers that wait for it forever.
-func TestAwait(t *testing.T) {
+// TestAwaitConfiguration guards against rejecting callers right after a restart of all processes, when the first
+// configuration has not arrived yet, and against callers that wait for it forever.
+func TestAwaitConfiguration(t *testing.T) {
 	cases := []struct {
 		name           string
 		availableAfter time.Duration // when the configuration arrives; 0 for never
--- a/conductor/path_test.go
+++ b/conductor/path_test.go
@@ -417,8 +417,8 @@
 	tc.eventually("draining is acknowledged once the store is available", acknowledged.Load)
 }
 
-// TestPlacerLost guards against jobs that wait for a placing entry that has stopped.
-func TestPlacerLost(t *testing.T) {
+// TestPlacingEntryLost guards against jobs that wait for a placing entry that has stopped.
+func TestPlacingEntryLost(t *testing.T) {
 	tc := newTestCluster(t, 2, 2)
 	tc.stopProcess["entry-0"]()
 	tc.eventually("remaining entry places jobs", func() bool {
@@ -427,8 +427,8 @@
 	})
 }
 
-// TestExplain guards against decisions that cannot be found in the logs by the job's identifier.
-func TestExplain(t *testing.T) {
+// TestDecisionsLogged guards against decisions that cannot be found in the logs by the job's identifier.
+func TestDecisionsLogged(t *testing.T) {
 	tc := newTestCluster(t, 1, 1)
 	const id = "0000000000000051"
 	tc.post(tc.entryAddresses[0], "/a/", id, 2, "20")
