--- a/conductor/panic_test.go
+++ b/conductor/panic_test.go
@@ -23,18 +23,18 @@
 	return &monitor{logger: &log.Logger{Handler: h, Level: log.InfoLevel}}, h
 }
 
-func (m *monitor) text() string {
+func (m *monitor) metricsText() string {
 	w := httptest.NewRecorder()
-	m.handler().ServeHTTP(w, httptest.NewRequest(http.MethodGet, "/metrics", nil))
+	m.metricsHandler().ServeHTTP(w, httptest.NewRequest(http.MethodGet, "/metrics", nil))
 	return w.Body.String()
 }
 
-// TestLoopPanics guards against a fault in one event that ends the process or the events after it, and against a process
-// that goes on without time limits.
+// TestLoopPanics guards against a panic in one event that ends the process or prevents later events, and against a
+// process that keeps running without timeouts because every tick panics.
 func TestLoopPanics(t *testing.T) {
 	m, _ := newMonitor()
-	l := newLoop()
-	l.panicked = func(err error) { m.panicked("loop", err) }
+	l := newEventLoop()
+	l.onPanic = func(err error) { m.reportPanic("loop", err) }
 	l.flush = func(timer.Millis) {}
 	var ticks, badTicks atomic.Int64
 	l.tick = func(timer.Millis) {
@@ -46,41 +46,42 @@
 	ctx, cancel := context.WithCancel(t.Context())
 	ended := make(chan error, 1)
 	go func() { ended <- l.run(ctx) }()
-	l.do(ctx, func(timer.Millis) { panic("event") })
+	l.post(ctx, func(timer.Millis) { panic("event") })
 	after := make(chan struct{})
-	l.do(ctx, func(timer.Millis) { close(after) })
+	l.post(ctx, func(timer.Millis) { close(after) })
 	<-after
 	for ticks.Load() < maxFailedTicks {
 		time.Sleep(time.Millisecond)
 	}
 	cancel()
 	if err := <-ended; err != nil {
-		t.Errorf("got %v after %d failed ticks and a good one, want no error", err, maxFailedTicks-1)
+		t.Errorf("got %v after %d failed ticks and a successful one, want no error", err, maxFailedTicks-1)
 	}
-	if got, want := m.text(), `crocuslb_panics_total{from="loop"} 40`; !strings.Contains(got, want) {
+	if got, want := m.metricsText(), `crocuslb_panics_total{from="loop"} 40`; !strings.Contains(got, want) {
 		t.Errorf("got metrics %q, want %q", got, want)
 	}
 	badTicks.Store(1 << 30)
-	l = newLoop()
+	l = newEventLoop()
 	l.flush, l.tick = func(timer.Millis) {}, func(timer.Millis) { panic("tick") }
 	if err := l.run(t.Context()); err == nil {
 		t.Error("got no error with ticks that always panic, want one")
 	}
 }
 
-// TestMessagePanics guards against a message whose handling panics and takes the process, or the sessions of others, down.
+// TestMessagePanics guards against a panic while handling a message that ends the process or the sessions of other
+// senders.
 func TestMessagePanics(t *testing.T) {
 	ctx, cancel := context.WithCancel(t.Context())
 	m, logged := newMonitor()
-	l := newLoop()
+	l := newEventLoop()
 	l.flush, l.tick = func(timer.Millis) {}, func(timer.Millis) {}
 	go func() { _ = l.run(ctx) }() // its ticks do not panic
 	var handled, lost atomic.Int64
-	s := sessions{
-		loop: l, members: &directory{}, panicked: m.panicked,
-		up:   func(timer.Millis, *marshaler.Link) {},
-		down: func(timer.Millis, *marshaler.Link, error) { lost.Add(1) },
-		message: func(_ timer.Millis, _ *marshaler.Link, m marshaler.Message) {
+	s := sessionHandler{
+		loop: l, directory: &entryDirectory{}, onPanic: m.reportPanic,
+		onUp:   func(timer.Millis, *marshaler.Link) {},
+		onDown: func(timer.Millis, *marshaler.Link, error) { lost.Add(1) },
+		onMessage: func(_ timer.Millis, _ *marshaler.Link, m marshaler.Message) {
 			if _, bad := m.(*marshaler.Withdraw); bad {
 				panic("injected")
 			}
@@ -113,7 +114,7 @@
 	for _, n := range []*carrier.Node{&a, bad, good} {
 		n.Wait()
 	}
-	if got, want := m.text(), `crocuslb_panics_total{from="bad"}`; !strings.Contains(got, want) {
+	if got, want := m.metricsText(), `crocuslb_panics_total{from="bad"}`; !strings.Contains(got, want) {
 		t.Errorf("got metrics %q, want %q", got, want)
 	}
 	if len(logged.Entries) == 0 || !strings.Contains(logged.Entries[0].Fields.Get("error").(string), "injected") {
@@ -121,11 +122,11 @@
 	}
 }
 
-// TestCallerPanics guards against a caller that waits for ever, or is told that nothing ran, when the handling of its
-// request panics.
+// TestCallerPanics guards against a caller that waits forever, or is told that nothing ran, when handling its request
+// panics.
 func TestCallerPanics(t *testing.T) {
 	m, _ := newMonitor()
-	e := Entry{loop: newLoop()}
+	e := Entry{loop: newEventLoop()}
 	e.monitor.logger = m.logger
 	e.loop.flush, e.loop.tick = func(timer.Millis) {}, func(timer.Millis) {}
 	go func() { _ = e.loop.run(t.Context()) }() // its ticks do not panic
@@ -138,21 +139,21 @@
 	if a.Kind != submitter.AnswerGaveUp {
 		t.Errorf("got answer %v, want %v", a.Kind, submitter.AnswerGaveUp)
 	}
-	if e.ask(t.Context(), func(timer.Millis) bool { panic("injected") }) {
-		t.Error("got true from a question that panicked, want false")
+	if e.query(t.Context(), func(timer.Millis) bool { panic("injected") }) {
+		t.Error("got true from a query that panicked, want false")
 	}
 }
 
-// TestRequestPanics guards against a request to a listener that takes the process down.
+// TestRequestPanics guards against an HTTP request whose handler panics and ends the process.
 func TestRequestPanics(t *testing.T) {
 	m, _ := newMonitor()
-	h := m.guarded(endpoint{"here", http.HandlerFunc(func(http.ResponseWriter, *http.Request) { panic("injected") })})
+	h := m.recoverPanics(endpoint{"here", http.HandlerFunc(func(http.ResponseWriter, *http.Request) { panic("injected") })})
 	w := httptest.NewRecorder()
 	h.ServeHTTP(w, httptest.NewRequest(http.MethodPost, "/", strings.NewReader("x")))
 	if w.Code != http.StatusInternalServerError {
 		t.Errorf("got status %d, want %d", w.Code, http.StatusInternalServerError)
 	}
-	if got, want := m.text(), `crocuslb_panics_total{from="http here"} 1`; !strings.Contains(got, want) {
+	if got, want := m.metricsText(), `crocuslb_panics_total{from="http here"} 1`; !strings.Contains(got, want) {
 		t.Errorf("got metrics %q, want %q", got, want)
 	}
 }
--- a/conductor/writer.go
+++ b/conductor/writer.go
@@ -13,21 +13,21 @@
 )
 
 const (
-	// writePause is the pause before a write is repeated after a failure.
-	writePause = 50 * time.Millisecond
-	// maxWriteBytes bounds the records of one write. The store takes 2 MiB.
+	// writeRetryDelay is the delay before a failed read or write is retried.
+	writeRetryDelay = 50 * time.Millisecond
+	// maxWriteBytes bounds the total size of the records in one write. The store accepts up to 2 MiB.
 	maxWriteBytes = 1 << 20
 )
 
 type (
-	// writer writes the records of one partition in their order. A write without an answer is repeated under the same
-	// number, which the store carries out once.
+	// writer writes the records of one partition in order. A write without a response is retried with the same sequence
+	// number, so that the store applies it only once.
 	writer struct {
-		owner  *owner
-		number uint64 // of the partition
-		epoch  uint64
-		end    context.CancelFunc
-		wake   chan struct{}
+		owner     *partitionOwner
+		partition uint64
+		epoch     uint64
+		cancel    context.CancelFunc
+		wake      chan struct{}
 
 		mu    sync.Mutex
 		queue []queuedRecord
@@ -39,8 +39,8 @@
 	}
 )
 
-// add queues a record. It never blocks.
-func (w *writer) add(body []byte, done func(now timer.Millis, offset uint64)) {
+// enqueue adds a record to the queue. It never blocks.
+func (w *writer) enqueue(body []byte, done func(now timer.Millis, offset uint64)) {
 	w.mu.Lock()
 	w.queue = append(w.queue, queuedRecord{body, done})
 	w.mu.Unlock()
@@ -50,8 +50,8 @@
 	}
 }
 
-// take removes the records of the next write.
-func (w *writer) take() (batch []queuedRecord) {
+// nextBatch removes the records of the next write from the queue.
+func (w *writer) nextBatch() (batch []queuedRecord) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	size := 0
@@ -63,7 +63,7 @@
 	return batch
 }
 
-// run takes the partition over, then writes until ctx ends or a later owner shows.
+// run acquires the partition, then writes queued records until ctx is canceled or a later owner fences this one.
 func (w *writer) run(ctx context.Context) {
 	if !w.acquire(ctx) {
 		return
@@ -75,53 +75,54 @@
 			return
 		case <-w.wake:
 		}
-		for batch := w.take(); len(batch) > 0; batch = w.take() {
+		for batch := w.nextBatch(); len(batch) > 0; batch = w.nextBatch() {
 			sequence++
-			if !w.write(ctx, sequence, batch) {
+			if !w.writeBatch(ctx, sequence, batch) {
 				return
 			}
 			select {
 			case <-ctx.Done():
-			case <-time.After(w.owner.budget.spend(time.Now())):
+			case <-time.After(w.owner.limiter.reserve(time.Now())):
 			}
 		}
 	}
 }
 
-// acquire keeps earlier owners out, reads the records and hands the jobs to the core.
+// acquire fences earlier owners, replays the partition's records and passes its jobs to the core.
 func (w *writer) acquire(ctx context.Context) bool {
 	begin := queuedRecord{marshaler.Append(nil, &marshaler.OwnerRecord{Epoch: w.epoch}), func(timer.Millis, uint64) {}}
-	if !w.write(ctx, 1, []queuedRecord{begin}) {
+	if !w.writeBatch(ctx, 1, []queuedRecord{begin}) {
 		return false
 	}
 	for ctx.Err() == nil {
-		a, err := w.owner.replay(ctx, w.number)
+		archive, err := w.owner.replay(ctx, w.partition)
 		if err == nil {
-			taken, jobs := marshaler.Partition{Number: w.number, Epoch: w.epoch, Previous: a.Previous()}, a.Jobs()
-			w.owner.loop.do(ctx, func(now timer.Millis) {
+			partition, jobs := marshaler.Partition{Number: w.partition, Epoch: w.epoch, Previous: archive.Previous()}, archive.Jobs()
+			w.owner.loop.post(ctx, func(now timer.Millis) {
 				if ctx.Err() == nil {
-					w.owner.core.Acquire(now, taken, jobs)
+					w.owner.core.Acquire(now, partition, jobs)
 				}
 			})
 			return true
 		}
-		w.owner.logger.WithError(err).WithField("partition", w.number).Warn("owner: records cannot be read yet")
-		time.Sleep(writePause)
+		w.owner.logger.WithError(err).WithField("partition", w.partition).Warn("owner: cannot read the partition's records; retrying")
+		time.Sleep(writeRetryDelay)
 	}
 	return false
 }
 
-// write writes a batch, again and again until the store has answered. It returns false once the partition is lost.
-func (w *writer) write(ctx context.Context, sequence uint64, batch []queuedRecord) bool {
+// writeBatch writes a batch and retries until the store responds. It returns false if ctx is canceled or the partition
+// is lost to a later owner.
+func (w *writer) writeBatch(ctx context.Context, sequence uint64, batch []queuedRecord) bool {
 	bodies := make([][]byte, len(batch))
 	for i := range batch {
 		bodies[i] = batch[i].body
 	}
 	for ctx.Err() == nil {
-		offset, err := w.owner.store.Write(ctx, w.number, w.epoch, sequence, bodies)
+		offset, err := w.owner.store.Write(ctx, w.partition, w.epoch, sequence, bodies)
 		switch {
 		case err == nil:
-			w.owner.loop.do(ctx, func(now timer.Millis) {
+			w.owner.loop.post(ctx, func(now timer.Millis) {
 				for i := range batch {
 					batch[i].done(now, offset+uint64(i))
 				}
@@ -130,11 +131,11 @@
 		case ctx.Err() != nil:
 			return false
 		case trace.IsCompareFailed(err):
-			w.owner.lost(ctx, w, err)
+			w.owner.onFenced(ctx, w, err)
 			return false
 		}
-		w.owner.logger.WithError(err).WithFields(log.Fields{"partition": w.number, "records": len(batch)}).Warn("owner: records are not stored yet")
-		time.Sleep(writePause)
+		w.owner.logger.WithError(err).WithFields(log.Fields{"partition": w.partition, "records": len(batch)}).Warn("owner: records are not stored yet")
+		time.Sleep(writeRetryDelay)
 	}
 	return false
 }
