--- a/submitter/answer.go
+++ b/submitter/answer.go
@@ -3,37 +3,39 @@
 import "github.com/crocuslb/crocuslb/timer"
 
 const (
-	// AnswerDone means that all tasks ended with success.
+	// AnswerDone means that all tasks succeeded.
 	AnswerDone AnswerKind = iota + 1
-	// AnswerFailed means that a task failed as often as its queue allows.
+	// AnswerFailed means that a task failed as many times as its queue allows.
 	AnswerFailed
-	// AnswerNotRun means that nothing of the job ran or will run.
+	// AnswerNotRun means that no task of the job ran or will run.
 	AnswerNotRun
-	// AnswerNoQueue means that the configuration has no such queue; nothing ran.
+	// AnswerNoQueue means that the configuration has no such queue. No task ran.
 	AnswerNoQueue
-	// AnswerGaveUp means that the job did not end in time. All its runs are being stopped.
+	// AnswerGaveUp means that the job was aborted because its deadline passed, it was cancelled or its caller
+	// disconnected; all its runs are being stopped. It also stands for an unknown outcome, when an entry or the store
+	// did not answer.
 	AnswerGaveUp
-	// AnswerMalformed means that the job cannot be understood; nothing ran.
+	// AnswerMalformed means that the job is invalid. No task ran.
 	AnswerMalformed
-	// AnswerAccepted means that a kept job is in the store.
+	// AnswerAccepted means that a durable job is in the store.
 	AnswerAccepted
-	// AnswerPending means that a kept job has not begun.
+	// AnswerPending means that no task of a durable job has started.
 	AnswerPending
-	// AnswerRunning means that a kept job has begun.
+	// AnswerRunning means that a task of a durable job has started.
 	AnswerRunning
-	// AnswerCancelled means that a job is cancelled, or had ended before.
+	// AnswerCancelled means that the job is cancelled or had ended before.
 	AnswerCancelled
-	// AnswerGone means that there is no such job.
+	// AnswerGone means that the job does not exist.
 	AnswerGone
-	// AnswerElsewhere is an answer between entries: the one that was asked does not own the job.
+	// AnswerElsewhere is only sent between entries: the receiver of the request does not own the job.
 	AnswerElsewhere
 )
 
 type (
-	// AnswerKind is the kind of an answer.
+	// AnswerKind classifies an Answer.
 	AnswerKind uint8
 
-	// Answer is the final answer to a job.
+	// Answer is the result of a request on a job.
 	Answer struct {
 		Kind       AnswerKind
 		Reason     string
@@ -41,7 +43,7 @@
 	}
 )
 
-// String names the kind as logs show it.
+// String returns the name of the kind as used in logs.
 func (k AnswerKind) String() string {
 	names := [...]string{
 		"none", "done", "failed", "notRun", "noQueue", "gaveUp", "malformed", "accepted", "pending", "running", "cancelled", "gone", "elsewhere",
--- a/submitter/callers.go
+++ b/submitter/callers.go
@@ -12,103 +12,107 @@
 )
 
 const (
-	// routeTime bounds the search for the owner of a kept job, in which a partition may change its owner.
-	routeTime = 3 * timer.Second
-	// submitRouteTime is the same for a job that is handed in, whose caller can come back.
-	submitRouteTime = 300 * timer.Millisecond
-	// ownerRetry is the time after which a caller may come back when a job's owner is not known.
-	ownerRetry = timer.Second
-	// stateWait is how long the answer about a job in work waits for its end. Callers often ask right after the last task
-	// has ended, while that end is on its way to the store, and ask again only after a longer pause.
-	stateWait = 150 * timer.Millisecond
-	// showPeriod is the time between two messages about the jobs that wait. Callers may get numbers that are 2 s old.
-	showPeriod = 500 * timer.Millisecond
+	// routeTimeout bounds the search for the owner of a durable job. It leaves time for a partition to change its
+	// owner.
+	routeTimeout = 3 * timer.Second
+	// submitRouteTimeout is the routing limit of submissions. It is shorter because their callers can retry.
+	submitRouteTimeout = 300 * timer.Millisecond
+	// ownerRetryAfter is the retry delay sent to callers when the owner of a job is unknown.
+	ownerRetryAfter = timer.Second
+	// stateWaitTimeout is how long a state request for an active job is held back in case the job ends. Callers often
+	// poll right after the last task has ended, while that end is still being written to the store, and poll again only
+	// after a longer pause.
+	stateWaitTimeout = 150 * timer.Millisecond
+	// waitingReportInterval is the interval between two broadcasts of the number of waiting jobs. Callers may get
+	// numbers that are up to 2 s old.
+	waitingReportInterval = 500 * timer.Millisecond
 )
 
-// operation is a caller's request on a kept job.
+// operation is a caller's request on a durable job.
 type operation struct {
-	verb   marshaler.Verb
-	job    Job // with its identifier alone, unless it is handed in
-	queue  string
-	answer func(a Answer)
-	until  timer.Millis
-	at     string // entry that it was sent to
-	sent   bool
-	// doubtful says that an entry that got the operation was lost without an answer. It may have carried it out.
-	doubtful bool
+	verb      marshaler.Verb
+	job       Job // only the ID is set, except with VerbSubmit
+	queue     string
+	answer    func(a Answer)
+	expiresAt timer.Millis
+	sentTo    string // name of the entry that it was sent to
+	sent      bool
+	// maybeExecuted means that an entry that received the operation was lost before it answered. It may have executed
+	// the operation.
+	maybeExecuted bool
 }
 
-// State asks for the state of a kept job.
+// State requests the state of a durable job.
 func (s *Submitter) State(now timer.Millis, queue, id string, answer func(a Answer)) {
-	s.at(now)
-	if !s.kept.inUse {
+	s.setNow(now)
+	if !s.durable.inUse {
 		answer(Answer{Kind: AnswerGone, Reason: "there are no kept jobs"})
 		return
 	}
-	s.route(&operation{verb: marshaler.VerbState, job: Job{ID: id}, queue: queue, answer: answer, until: now + routeTime})
+	s.route(&operation{verb: marshaler.VerbState, job: Job{ID: id}, queue: queue, answer: answer, expiresAt: now + routeTimeout})
 }
 
-// Cancel ends a job, wherever it is.
+// Cancel cancels a job, whichever entry owns it.
 func (s *Submitter) Cancel(now timer.Millis, queue, id string, answer func(a Answer)) {
-	s.at(now)
-	if j := s.jobs[id]; j != nil && j.keeping.partition == nil {
+	s.setNow(now)
+	if j := s.jobs[id]; j != nil && j.durability.partition == nil {
 		s.Drop(now, id, "cancelled by the caller")
 		answer(Answer{Kind: AnswerCancelled})
 		return
 	}
-	if !s.kept.inUse {
+	if !s.durable.inUse {
 		answer(Answer{Kind: AnswerGone, Reason: "no such job is in work here"})
 		return
 	}
-	s.route(&operation{verb: marshaler.VerbCancel, job: Job{ID: id}, queue: queue, answer: answer, until: now + routeTime})
+	s.route(&operation{verb: marshaler.VerbCancel, job: Job{ID: id}, queue: queue, answer: answer, expiresAt: now + routeTimeout})
 }
 
-// owner returns the entry that says with the highest epoch that it owns a partition, or nil.
+// owner returns the entry that claims a partition with the highest epoch, or nil.
 func (s *Submitter) owner(number uint64) (best *peer) {
 	var epoch uint64
 	for _, p := range marshaler.InOrder(s.peers) {
-		if p.link != nil && p.owned[number] > epoch {
-			best, epoch = p, p.owned[number]
+		if p.link != nil && p.ownedEpochs[number] > epoch {
+			best, epoch = p, p.ownedEpochs[number]
 		}
 	}
 	return best
 }
 
-// route carries an operation out here or passes it on to the owner of its job.
+// route executes an operation locally or forwards it to the owner of its job.
 func (s *Submitter) route(op *operation) {
 	number := s.partitionOf(op.job.ID)
-	if p := s.kept.owned[number]; p != nil {
+	if p := s.durable.owned[number]; p != nil {
 		s.serve(op, p)
 		return
 	}
 	p := s.owner(number)
 	if p == nil {
-		s.kept.waiting = append(s.kept.waiting, op)
+		s.durable.unrouted = append(s.durable.unrouted, op)
 		return
 	}
 	call := &marshaler.Call{Verb: op.verb, Job: op.job.ID, Queue: op.queue}
 	if op.verb == marshaler.VerbSubmit {
 		call.Body = marshaler.Append(nil, recordOf(&op.job))
 	}
-	s.kept.number++
-	call.Number = s.kept.number
-	op.at, op.sent = p.hello.Name, true
-	s.kept.calls[call.Number] = op
+	s.durable.lastCall++
+	call.Number = s.durable.lastCall
+	op.sentTo, op.sent = p.hello.Name, true
+	s.durable.calls[call.Number] = op
 	p.send(s.now, call)
 }
 
-// serve carries out an operation on a job of a partition that this entry owns.
+// serve executes an operation on a job of a partition that this entry owns.
 func (s *Submitter) serve(op *operation, p *partition) {
 	id := op.job.ID
 	switch op.verb {
 	case marshaler.VerbSubmit:
 		op.job.Answer = op.answer
-		s.submitKept(op.job, p)
+		s.submitDurable(op.job, p)
 	case marshaler.VerbState:
 		a := s.stateOf(id, op.queue)
 		if a.Kind == AnswerRunning || a.Kind == AnswerPending {
-			s.jobs[id].keeping.asked = append(s.jobs[id].keeping.asked, op)
-			op.until = s.now + stateWait
+			s.jobs[id].durability.stateRequests = append(s.jobs[id].durability.stateRequests, op)
+			op.expiresAt = s.now + stateWaitTimeout
 			return
 		}
 		op.answer(a)
@@ -117,10 +121,11 @@
 	}
 }
 
-// answerStates answers those who ask for the state of a job: all once it has ended, or those who have waited enough.
-func (s *Submitter) answerStates(j *job, all bool) {
-	j.keeping.asked = slices.DeleteFunc(j.keeping.asked, func(op *operation) bool {
-		if !all && s.now < op.until {
+// answerStateRequests answers the pending state requests of a job: all of them if all is set, otherwise those that have
+// waited for stateWaitTimeout.
+func (s *Submitter) answerStateRequests(j *job, all bool) {
+	j.durability.stateRequests = slices.DeleteFunc(j.durability.stateRequests, func(op *operation) bool {
+		if !all && s.now < op.expiresAt {
 			return false
 		}
 		op.answer(s.stateOf(j.ID, op.queue))
@@ -128,16 +133,16 @@
 	})
 }
 
-// stateOf returns the state of a job that this entry owns. What is not in the store yet is not shown.
+// stateOf returns the state of a job that this entry owns. A job is not visible before it is in the store.
 func (s *Submitter) stateOf(id, queue string) Answer {
-	if over := s.kept.over[id]; over != nil && over.record.Queue == queue {
-		return Answer{Kind: stateAnswer(over.state)}
+	if finished := s.durable.finished[id]; finished != nil && finished.record.Queue == queue {
+		return Answer{Kind: stateAnswer(finished.state)}
 	}
 	j := s.jobs[id]
 	switch {
-	case j == nil || !j.keeping.stored || j.keeping.record.Queue != queue:
+	case j == nil || !j.durability.stored || j.durability.record.Queue != queue:
 		return Answer{Kind: AnswerGone, Reason: "no such job"}
-	case j.begun():
+	case j.hasBegun():
 		return Answer{Kind: AnswerRunning}
 	}
 	return Answer{Kind: AnswerPending}
@@ -156,43 +161,43 @@
 	return AnswerRunning
 }
 
-// cancel ends a job that this entry owns. The answer follows once the cancellation is in the store.
+// cancel cancels a job that this entry owns. The answer is sent once the cancellation is in the store.
 func (s *Submitter) cancel(op *operation) {
 	id := op.job.ID
-	if over := s.kept.over[id]; over != nil && over.record.Queue == op.queue {
+	if finished := s.durable.finished[id]; finished != nil && finished.record.Queue == op.queue {
 		op.answer(Answer{Kind: AnswerCancelled, Reason: "the job had ended"})
 		return
 	}
 	j := s.jobs[id]
-	if j == nil || j.keeping.record == nil || j.keeping.record.Queue != op.queue || !j.keeping.storing {
+	if j == nil || j.durability.record == nil || j.durability.record.Queue != op.queue || !j.durability.storeRequested {
 		op.answer(Answer{Kind: AnswerGone, Reason: "no such job"})
 		return
 	}
-	j.keeping.cancels = append(j.keeping.cancels, op)
-	if len(j.keeping.cancels) > 1 {
+	j.durability.cancelRequests = append(j.durability.cancelRequests, op)
+	if len(j.durability.cancelRequests) > 1 {
 		return
 	}
-	if archiver.StateOf(j.keeping.record) == archiver.Open {
-		j.keeping.record.Cancelled = true
+	if archiver.StateOf(j.durability.record) == archiver.Open {
+		j.durability.record.Cancelled = true
 	}
-	j.keeping.unstored++
-	s.stopAll(j)
-	s.record(j, marshaler.Append(nil, &marshaler.CancelRecord{Job: id}), func(uint64) {
-		j.keeping.unstored--
-		s.settleKept(j)
-		for _, op := range j.keeping.cancels {
+	j.durability.pendingWrites++
+	s.stopTasks(j)
+	s.appendRecord(j, marshaler.Append(nil, &marshaler.CancelRecord{Job: id}), func(uint64) {
+		j.durability.pendingWrites--
+		s.finishDurable(j)
+		for _, op := range j.durability.cancelRequests {
 			op.answer(Answer{Kind: AnswerCancelled})
 		}
-		j.keeping.cancels = nil
+		j.durability.cancelRequests = nil
 	})
 }
 
-// onCall carries out the request of another entry's caller.
+// onCall executes a request that another entry forwarded.
 func (s *Submitter) onCall(from *peer, m *marshaler.Call) {
 	reply := func(a Answer) {
-		from.send(s.now, &marshaler.Reply{Number: m.Number, Kind: uint8(a.Kind), Reason: cut(a.Reason), RetryAfter: a.RetryAfter})
+		from.send(s.now, &marshaler.Reply{Number: m.Number, Kind: uint8(a.Kind), Reason: truncateReason(a.Reason), RetryAfter: a.RetryAfter})
 	}
-	p := s.kept.owned[s.partitionOf(m.Job)]
+	p := s.durable.owned[s.partitionOf(m.Job)]
 	if p == nil {
 		reply(Answer{Kind: AnswerElsewhere})
 		return
@@ -209,7 +214,7 @@
 	s.serve(op, p)
 }
 
-// decodeSubmission reads a job that another entry passes on.
+// decodeSubmission decodes a job that another entry forwarded.
 func (s *Submitter) decodeSubmission(m *marshaler.Call) (Job, error) {
 	message, err := marshaler.Decode(m.Body)
 	if err != nil {
@@ -219,123 +224,123 @@
 	if !ok || record.ID != m.Job {
 		return Job{}, trace.BadParameter("call %d has no job", m.Number)
 	}
-	j := keptJob(record).Job
+	j := jobFromRecord(record).Job
 	i := slices.IndexFunc(s.snapshot.Queues(), func(q router.Queue) bool { return q.Name == record.Queue })
 	if i >= 0 {
 		j.Queue = s.snapshot.Queues()[i]
 	}
-	if reason := j.malformed(); reason != "" {
+	if reason := j.invalidReason(); reason != "" {
 		return Job{}, trace.BadParameter("%s", reason)
 	}
 	return j, nil
 }
 
-// onReply answers a caller, or looks for another owner.
+// onReply answers the caller of a forwarded request, or routes the request again if the receiver was not the owner.
 func (s *Submitter) onReply(m *marshaler.Reply) {
-	op := s.kept.calls[m.Number]
+	op := s.durable.calls[m.Number]
 	if op == nil {
 		return
 	}
-	delete(s.kept.calls, m.Number)
+	delete(s.durable.calls, m.Number)
 	if AnswerKind(m.Kind) == AnswerElsewhere {
 		op.sent = false
-		s.kept.waiting = append(s.kept.waiting, op)
+		s.durable.unrouted = append(s.durable.unrouted, op)
 		return
 	}
-	s.report(Event{Kind: "reply", Job: op.job.ID, Queue: op.queue, Peer: op.at, Detail: AnswerKind(m.Kind).String() + " " + m.Reason})
+	s.report(Event{Kind: "reply", Job: op.job.ID, Queue: op.queue, Peer: op.sentTo, Detail: AnswerKind(m.Kind).String() + " " + m.Reason})
 	op.answer(Answer{Kind: AnswerKind(m.Kind), Reason: m.Reason, RetryAfter: m.RetryAfter})
 }
 
-// loseCalls looks for another owner for the operations that a lost entry did not answer. All are idempotent.
-func (s *Submitter) loseCalls(name string) {
-	for number, op := range marshaler.InOrder(s.kept.calls) {
-		if op.at == name {
-			delete(s.kept.calls, number)
-			op.doubtful = true
-			s.kept.waiting = append(s.kept.waiting, op)
+// rerouteCalls routes the operations again that a lost entry did not answer. All operations are idempotent.
+func (s *Submitter) rerouteCalls(name string) {
+	for number, op := range marshaler.InOrder(s.durable.calls) {
+		if op.sentTo == name {
+			delete(s.durable.calls, number)
+			op.maybeExecuted = true
+			s.durable.unrouted = append(s.durable.unrouted, op)
 		}
 	}
 }
 
-// routeWaiting tries the operations without a known owner again.
-func (s *Submitter) routeWaiting() {
-	waiting := s.kept.waiting
-	s.kept.waiting = nil
+// retryUnrouted routes the operations without a known owner again.
+func (s *Submitter) retryUnrouted() {
+	waiting := s.durable.unrouted
+	s.durable.unrouted = nil
 	for _, op := range waiting {
 		s.route(op)
 	}
 }
 
-// expireCalls answers the operations whose time is over.
-func (s *Submitter) expireCalls() {
-	s.routeWaiting()
-	s.kept.waiting = slices.DeleteFunc(s.kept.waiting, func(op *operation) bool {
-		if s.now < op.until {
+// expireOperations fails the operations whose time limit has passed.
+func (s *Submitter) expireOperations() {
+	s.retryUnrouted()
+	s.durable.unrouted = slices.DeleteFunc(s.durable.unrouted, func(op *operation) bool {
+		if s.now < op.expiresAt {
 			return false
 		}
-		s.giveUp(op)
+		s.failOperation(op)
 		return true
 	})
-	for number, op := range marshaler.InOrder(s.kept.calls) {
-		if s.now >= op.until+routeTime {
-			delete(s.kept.calls, number)
-			s.giveUp(op)
+	for number, op := range marshaler.InOrder(s.durable.calls) {
+		if s.now >= op.expiresAt+routeTimeout {
+			delete(s.durable.calls, number)
+			s.failOperation(op)
 		}
 	}
 }
 
-// giveUp answers an operation that no owner answered in time.
-func (s *Submitter) giveUp(op *operation) {
-	a := op.unanswered()
-	s.report(Event{Kind: "unanswered", Job: op.job.ID, Queue: op.queue, Peer: op.at, Detail: a.Kind.String() + " " + a.Reason})
+// failOperation answers an operation that no owner answered in time.
+func (s *Submitter) failOperation(op *operation) {
+	a := op.timeoutAnswer()
+	s.report(Event{Kind: "unanswered", Job: op.job.ID, Queue: op.queue, Peer: op.sentTo, Detail: a.Kind.String() + " " + a.Reason})
 	op.answer(a)
 }
 
-// unanswered returns the answer to an operation that no owner answered.
-func (op *operation) unanswered() Answer {
-	if op.sent || op.doubtful {
+// timeoutAnswer returns the answer to an operation that no owner answered.
+func (op *operation) timeoutAnswer() Answer {
+	if op.sent || op.maybeExecuted {
 		return Answer{Kind: AnswerGaveUp, Reason: "the job's owner did not answer"}
 	}
-	return Answer{Kind: AnswerNotRun, Reason: "the job has no owner at present", RetryAfter: ownerRetry + spread(op.job.ID)}
+	return Answer{Kind: AnswerNotRun, Reason: "the job has no owner at present", RetryAfter: ownerRetryAfter + jitter(op.job.ID)}
 }
 
-// sendOwned tells the other entries which partitions this one owns.
-func (s *Submitter) sendOwned() {
+// broadcastOwned tells the other entries which partitions this entry owns.
+func (s *Submitter) broadcastOwned() {
 	for _, p := range marshaler.InOrder(s.peers) {
 		p.send(s.now, &marshaler.Owned{Partitions: s.ownedPartitions()})
 	}
 }
 
 func (s *Submitter) onOwned(p *peer, m *marshaler.Owned) {
-	p.owned = map[uint64]uint64{}
+	p.ownedEpochs = map[uint64]uint64{}
 	for _, o := range m.Partitions {
-		p.owned[o.Number] = o.Epoch
+		p.ownedEpochs[o.Number] = o.Epoch
 	}
 	if s.Redealt != nil {
 		s.Redealt()
 	}
-	s.routeWaiting()
+	s.retryUnrouted()
 }
 
-// ownWaiting returns the number of this entry's kept jobs of each queue of which no task has started.
-func (s *Submitter) ownWaiting() map[string]uint64 {
+// localWaitingJobs returns the number of durable jobs of this entry that have not started a task, by queue.
+func (s *Submitter) localWaitingJobs() map[string]uint64 {
 	waiting := map[string]uint64{}
 	for _, j := range s.jobs {
-		if j.keeping.stored && !j.ran && j.unsettled == 0 {
+		if j.durability.stored && !j.hasRun && j.assigned == 0 {
 			waiting[j.Queue.Name]++
 		}
 	}
 	return waiting
 }
 
-// showWaiting tells the other entries how many kept jobs wait here.
-func (s *Submitter) showWaiting() {
-	if !s.kept.inUse || s.now-s.kept.shownAt < showPeriod {
+// broadcastWaiting tells the other entries how many durable jobs of this entry have not started a task.
+func (s *Submitter) broadcastWaiting() {
+	if !s.durable.inUse || s.now-s.durable.reportedAt < waitingReportInterval {
 		return
 	}
-	s.kept.shownAt = s.now
-	waiting := s.ownWaiting()
-	for queue := range s.kept.shown {
+	s.durable.reportedAt = s.now
+	waiting := s.localWaitingJobs()
+	for queue := range s.durable.reportedWaiting {
 		if _, ok := waiting[queue]; !ok {
 			waiting[queue] = 0
 		}
@@ -348,8 +353,8 @@
 			delete(waiting, queue)
 		}
 	}
-	s.kept.shown = waiting
+	s.durable.reportedWaiting = waiting
 }
 
-// cut shortens a text to what a message may carry.
-func cut(text string) string { return text[:min(len(text), marshaler.MaxName)] }
+// truncateReason truncates a text to the maximum length in a message.
+func truncateReason(text string) string { return text[:min(len(text), marshaler.MaxName)] }
--- a/submitter/callers_test.go
+++ b/submitter/callers_test.go
@@ -7,16 +7,16 @@
 	"github.com/crocuslb/crocuslb/timer"
 )
 
-// TestDoubtfulCall guards against a caller that is told that its kept job did not run although an entry that got it, and
+// TestDoubtfulCall guards against telling a caller that its durable job did not run when an entry that received it, and
 // was lost before it answered, may have stored it.
 func TestDoubtfulCall(t *testing.T) {
 	cases := []struct {
 		name   string
-		lost   bool // the first owner is lost after it got the job
+		lost   bool // the first owner is lost after it received the job
 		answer AnswerKind
 	}{
-		{"the first one says that it does not own the job", false, AnswerNotRun},
-		{"the first one is lost, the next one says that it does not own the job", true, AnswerGaveUp},
+		{"the first entry answers that it does not own the job", false, AnswerNotRun},
+		{"the first entry is lost, the next one answers that it does not own the job", true, AnswerGaveUp},
 	}
 	for _, c := range cases {
 		s := &Submitter{Name: "entry", Incarnation: 9, Weight: 1, Partitions: 1}
@@ -47,7 +47,7 @@
 			Steps: []marshaler.Step{{Tasks: 1, Room: marshaler.Room{CPU: 3000}, Estimate: 60}},
 		})
 		if c.lost {
-			s.OnDown(now, links["owner-a"], errSilent)
+			s.OnDown(now, links["owner-a"], errHeartbeatTimeout)
 			own("owner-b", 2)
 			s.Tick(now)
 		} else {
--- a/submitter/handover.go
+++ b/submitter/handover.go
@@ -2,22 +2,22 @@
 
 import "github.com/crocuslb/crocuslb/marshaler"
 
-// handOver tells the other entries which tasks of a partition may run or have an end that is not in the store yet. The
-// next owner need not wait for certainty about the others.
-func (s *Submitter) handOver(p *partition) {
+// sendHandover tells the other entries which tasks of a partition may be running or have an end that is not in the
+// store yet. The next owner can start the remaining tasks without waiting for runExpiry.
+func (s *Submitter) sendHandover(p *partition) {
 	m := &marshaler.Handover{Partition: marshaler.Partition{Number: p.number, Epoch: p.epoch, Previous: p.previous}}
 	for _, j := range marshaler.InOrder(s.jobs) {
-		if j.keeping.partition != p {
+		if j.durability.partition != p {
 			continue
 		}
-		noting := map[uint64]bool{}
-		for key := range j.keeping.noting {
-			noting[key.run.Index] = true
+		recording := map[uint64]bool{}
+		for key := range j.durability.recordingEnds {
+			recording[key.run.Index] = true
 		}
 		for n := range j.steps {
 			for i := range j.steps[n].tasks {
 				t := &j.steps[n].tasks[i]
-				if index := marshaler.TaskIndex(n, i); t.state == taskPlaced || t.state == taskUnknown || t.state == taskEnded || noting[index] {
+				if index := marshaler.TaskIndex(n, i); t.state == taskAssigned || t.state == taskUnknown || t.state == taskAborted || recording[index] {
 					m.Tasks = append(m.Tasks, marshaler.RunKey{Job: j.ID, Index: index})
 				}
 			}
@@ -28,19 +28,21 @@
 	}
 }
 
-// onHandover takes the message of a former owner, which may come before or after this entry owns the partition.
+// onHandover handles the message of a previous owner, which may arrive before or after this entry acquires the
+// partition.
 func (s *Submitter) onHandover(m *marshaler.Handover) {
-	if s.kept.handed == nil {
-		s.kept.handed = map[uint64]*marshaler.Handover{}
+	if s.durable.handovers == nil {
+		s.durable.handovers = map[uint64]*marshaler.Handover{}
 	}
-	s.kept.handed[m.Partition.Number] = m
-	if p := s.kept.owned[m.Partition.Number]; p != nil {
-		s.takeOver(p, m)
+	s.durable.handovers[m.Partition.Number] = m
+	if p := s.durable.owned[m.Partition.Number]; p != nil {
+		s.applyHandover(p, m)
 	}
 }
 
-// takeOver queues the tasks that the former owner surely did not start. The rest follows with the sidecars' answers.
-func (s *Submitter) takeOver(p *partition, m *marshaler.Handover) {
+// applyHandover queues the tasks that the previous owner is known not to have started. The others are resolved by the
+// sidecars' Census messages.
+func (s *Submitter) applyHandover(p *partition, m *marshaler.Handover) {
 	if p.recovered || p.previous != m.Partition.Epoch {
 		return
 	}
@@ -49,5 +51,5 @@
 		except[key] = true
 	}
 	s.report(Event{Kind: "takeOver", Detail: "partition", Value: int64(p.number), Count: int64(len(m.Tasks))})
-	s.recover(p, except)
+	s.requeueUnknown(p, except)
 }
--- a/submitter/kind.go
+++ b/submitter/kind.go
@@ -9,43 +9,43 @@
 )
 
 const (
-	// UnreadyRetry is the time after which a caller may come back to an entry that has no configuration yet.
+	// UnreadyRetry is the retry delay sent to callers of an entry that has no configuration yet.
 	UnreadyRetry = timer.Second
-	// unsupportedRetry keeps callers of jobs that are not supported from coming back soon.
-	unsupportedRetry = timer.Minute
-	// maxID is the longest identifier of a job in bytes. Callers use 16.
-	maxID = 64
+	// unsupportedRetryAfter is long because an unsupported job will not succeed on a retry soon.
+	unsupportedRetryAfter = timer.Minute
+	// maxIDLength bounds the length of a job ID in bytes. Callers use 16.
+	maxIDLength = 64
 	// maxEstimate bounds the estimated run time of a task.
 	maxEstimate = 24 * 60 * timer.Minute
-	// maxSteps and maxTasks bound a job.
+	// maxSteps and maxTasks bound the size of a job.
 	maxSteps = 100
 	maxTasks = 10_000
-	// retrySpread is the time over which the return of refused callers is spread.
-	retrySpread = 2 * timer.Second
+	// retryJitter is the interval over which the retries of refused callers are spread.
+	retryJitter = 2 * timer.Second
 )
 
-// Kind says what a job asks for beyond restartable tasks.
+// Kind holds the features that a job requests beyond restartable tasks.
 type Kind struct {
-	Kept     bool // the job and its state outlive its entry
-	Repeats  bool // occurrences at set times
-	Lasts    bool // tasks run until the job is cancelled
-	Fills    bool // tasks use what the others leave
-	Together bool // tasks work only together
+	Kept     bool // the job and its state survive the loss of its entry
+	Repeats  bool // recurs at scheduled times
+	Lasts    bool // tasks are long-running: they run until the job is cancelled
+	Fills    bool // tasks use only capacity that no other task needs
+	Together bool // gang scheduling: tasks only work if all of them run
 }
 
-// malformed returns what is wrong with a job that no entry can pass on, or an empty text.
-func (j *Job) malformed() string {
+// invalidReason returns why a job is invalid, or "". An invalid job must not be forwarded to other entries.
+func (j *Job) invalidReason() string {
 	switch {
-	case j.ID == "" || len(j.ID) > maxID || strings.ContainsAny(j.ID, "./"):
+	case j.ID == "" || len(j.ID) > maxIDLength || strings.ContainsAny(j.ID, "./"):
 		return "the identifier has no or too many bytes, or a dot or slash"
 	case len(j.Spec) > marshaler.MaxSpec:
 		return "the specification is too long"
 	}
-	return j.unsoundSteps()
+	return j.invalidStepsReason()
 }
 
-// unsupported returns what of the kind is not supported, or an empty text.
-func (j *Job) unsupported() string {
+// unsupportedReason returns which requested feature is not supported, or "".
+func (j *Job) unsupportedReason() string {
 	k := &j.Kind
 	switch {
 	case k.Repeats:
@@ -60,9 +60,9 @@
 	return ""
 }
 
-// spread returns a part of retrySpread that differs between jobs.
-func spread(id string) timer.Millis {
+// jitter returns a delay below retryJitter that is derived from the job ID.
+func jitter(id string) timer.Millis {
 	h := fnv.New32a()
-	_, _ = h.Write([]byte(id)) // a hash accepts all bytes
-	return timer.Millis(h.Sum32() % uint32(retrySpread))
+	_, _ = h.Write([]byte(id)) // hash.Hash never returns an error
+	return timer.Millis(h.Sum32() % uint32(retryJitter))
 }
--- a/submitter/liveness.go
+++ b/submitter/liveness.go
@@ -5,85 +5,88 @@
 	"github.com/crocuslb/crocuslb/timer"
 )
 
-// askMemory is how long the session of two entries stays active after one asked the other for room.
-const askMemory = 2 * timer.Second
+// requestActiveTime is how long the session between two entries stays active after one of them requested capacity from
+// the other.
+const requestActiveTime = 2 * timer.Second
 
-// liveness is what is known of the signs of life on a session. An active one carries frequent heartbeats, because its loss
-// has to be noticed soon; an idle one is only kept open. Both ends are active for the same reasons.
+// liveness tracks the heartbeats of a session. An active session carries frequent heartbeats, because its loss has to
+// be detected soon; an idle one is only kept open. Both ends apply the same rules to decide whether it is active.
 type liveness struct {
-	heard  timer.Millis // latest sign of life of the other end
-	sent   timer.Millis // latest one to it
-	active bool
-	// since is the time at which the session became active. Until then the other end sent heartbeats rarely.
-	since timer.Millis
+	lastReceived timer.Millis // time of the latest message from the peer
+	lastSent     timer.Millis // time of the latest message to the peer
+	active       bool
+	// activeSince is the time at which the session became active. Before it the peer sent heartbeats at the idle
+	// interval.
+	activeSince timer.Millis
 }
 
-// wake makes a session active.
-func (l *liveness) wake(now timer.Millis) {
+// activate makes a session active.
+func (l *liveness) activate(now timer.Millis) {
 	if !l.active {
-		l.active, l.since = true, now
+		l.active, l.activeSince = true, now
 	}
 }
 
-// expected returns the time from which on the other end owes signs of life.
-func (l *liveness) expected() timer.Millis {
+// heartbeatDueSince returns the time from which the heartbeat timeout counts.
+func (l *liveness) heartbeatDueSince() timer.Millis {
 	if l.active {
-		return max(l.heard, l.since)
+		return max(l.lastReceived, l.activeSince)
 	}
-	return l.heard
+	return l.lastReceived
 }
 
-func (l *liveness) silence(now timer.Millis) timer.Millis { return now - l.expected() }
+func (l *liveness) silence(now timer.Millis) timer.Millis { return now - l.heartbeatDueSince() }
 
-// silenceLimit returns the silence after which the other end is held for lost.
-func (l *liveness) silenceLimit() timer.Millis {
+// heartbeatTimeout returns the time without messages after which the peer is considered lost.
+func (l *liveness) heartbeatTimeout() timer.Millis {
 	if l.active {
 		return SilenceLimit
 	}
 	return marshaler.IdleSilenceLimit
 }
 
-func (l *liveness) beatPeriod() timer.Millis {
+func (l *liveness) heartbeatInterval() timer.Millis {
 	if l.active {
-		return beatPeriod
+		return heartbeatInterval
 	}
 	return marshaler.IdleBeatPeriod
 }
 
-// set makes a session active or idle.
-func (l *liveness) set(now timer.Millis, active bool) {
+// setActive makes a session active or idle.
+func (l *liveness) setActive(now timer.Millis, active bool) {
 	if active {
-		l.wake(now)
+		l.activate(now)
 	} else {
 		l.active = false
 	}
 }
 
-// checkActivity finds the sessions that need frequent heartbeats: with sidecars that run tasks of this entry or report to
-// it as the placing one, with entries when one asks the other for room, and all of them while kept jobs may be in use.
-func (s *Submitter) checkActivity() {
+// updateActivity marks the sessions that need frequent heartbeats: those with sidecars that run tasks of this entry or
+// that this entry is subscribed to as the scheduling entry, those with entries while one requests capacity from the
+// other, and all of them while durable jobs may be in use.
+func (s *Submitter) updateActivity() {
 	for _, sc := range s.sidecars {
-		sc.set(s.now, s.mayKeep() || sc.subscribed || len(sc.placed) > 0)
+		sc.setActive(s.now, s.mayHaveDurable() || sc.subscribed || len(sc.assignedRuns) > 0)
 	}
 	for _, p := range s.peers {
-		asks := p.askedAt != 0 && s.now-p.askedAt < askMemory
-		p.set(s.now, asks || p.mayKeep && s.mayKeep())
+		asks := p.requestedAt != 0 && s.now-p.requestedAt < requestActiveTime
+		p.setActive(s.now, asks || p.mayHaveDurable && s.mayHaveDurable())
 	}
 }
 
-// mayKeep reports whether kept jobs may be in use, as the heartbeats say.
-func (s *Submitter) mayKeep() bool { return s.kept.inUse || !s.kept.known }
+// mayHaveDurable reports whether durable jobs may be in use. Heartbeats carry it.
+func (s *Submitter) mayHaveDurable() bool { return s.durable.inUse || !s.durable.known }
 
-// noticePause acts on the time limits that passed while this process stood still, before it handles anything that came
-// meanwhile: a grant for a job whose caller has left must start nothing, and sessions that both ends gave up take no
-// orders.
-func (s *Submitter) noticePause() {
-	pause := s.now - s.beganTick
-	if s.beganTick == 0 || pause < marshaler.PauseLimit {
+// handlePause applies the time limits that expired while this process was suspended, before any message that arrived
+// meanwhile is handled: a grant for a job whose caller has left must not start a task, and sessions that both ends have
+// timed out must not carry starts.
+func (s *Submitter) handlePause() {
+	pause := s.now - s.lastTick
+	if s.lastTick == 0 || pause < marshaler.PauseLimit {
 		return
 	}
-	s.beganTick = s.now
+	s.lastTick = s.now
 	s.report(Event{Kind: "paused", Value: int64(pause)})
-	s.checkSilence()
+	s.checkTimeouts()
 	s.expireJobs()
 }
--- a/submitter/outcome_test.go
+++ b/submitter/outcome_test.go
@@ -8,63 +8,63 @@
 	"github.com/crocuslb/crocuslb/timer"
 )
 
-// bench is an entry that places for itself on two sidecars, with what it sends to them.
-type bench struct {
-	s      *Submitter
-	now    timer.Millis
-	links  map[string]*marshaler.Link
-	starts []started
-	stops  int
-	answer []Answer
+// fixture is an entry that schedules for itself on two sidecars. It records what the entry sends to them.
+type fixture struct {
+	core    *Submitter
+	now     timer.Millis
+	links   map[string]*marshaler.Link
+	starts  []startOrder
+	stops   int
+	answers []Answer
 }
 
-type started struct {
+type startOrder struct {
 	sidecar string
 	run     marshaler.RunKey
 }
 
-func newBench() *bench {
-	b := &bench{s: &Submitter{Name: "entry", Incarnation: 1}, now: 1000, links: map[string]*marshaler.Link{}}
-	b.s.SetSnapshot(b.now, testSnapshot())
+func newFixture() *fixture {
+	f := &fixture{core: &Submitter{Name: "entry", Incarnation: 1}, now: 1000, links: map[string]*marshaler.Link{}}
+	f.core.SetSnapshot(f.now, testSnapshot())
 	for _, name := range []string{"side-a", "side-b"} {
-		b.links[name] = &marshaler.Link{
+		f.links[name] = &marshaler.Link{
 			Remote: marshaler.Hello{Role: marshaler.RoleSidecar, Name: name, Incarnation: 1, Session: 1}, Close: func(error) {},
 			Send: func(m marshaler.Message) {
 				switch m := m.(type) {
 				case *marshaler.Start:
-					b.starts = append(b.starts, started{name, m.Run})
+					f.starts = append(f.starts, startOrder{name, m.Run})
 				case *marshaler.Stop:
-					b.stops++
+					f.stops++
 				}
 			},
 		}
-		b.s.OnUp(b.now, b.links[name])
-		b.s.OnMessage(b.now, b.links[name], &marshaler.Backend{ID: name, Service: "svc", Total: marshaler.Room{CPU: 9000}})
-		b.load(name)
+		f.core.OnUp(f.now, f.links[name])
+		f.core.OnMessage(f.now, f.links[name], &marshaler.Backend{ID: name, Service: "svc", Total: marshaler.Room{CPU: 9000}})
+		f.load(name)
 	}
-	return b
+	return f
 }
 
-func (b *bench) load(name string) {
-	speed := map[string]uint64{"side-a": 1200, "side-b": 1000}[name] // side-a is preferred
-	b.s.OnMessage(b.now, b.links[name], &marshaler.Load{Accepting: true, Free: marshaler.Room{CPU: 9000}, Clock: 5, Speed: speed, Seen: []string{"job"}})
+func (f *fixture) load(name string) {
+	speed := map[string]uint64{"side-a": 1200, "side-b": 1000}[name] // the faster side-a is preferred
+	f.core.OnMessage(f.now, f.links[name], &marshaler.Load{Accepting: true, Free: marshaler.Room{CPU: 9000}, Clock: 5, Speed: speed, Seen: []string{"job"}})
 }
 
-func (b *bench) submit(tasks int) {
-	b.s.Submit(b.now, Job{
+func (f *fixture) submit(tasks int) {
+	f.core.Submit(f.now, Job{
 		ID: "job", Queue: testQueue, Steps: []marshaler.Step{{Tasks: uint64(tasks), Room: marshaler.Room{CPU: 3000}, Estimate: 100}}, Deadline: 2000,
-		Answer: func(a Answer) { b.answer = append(b.answer, a) },
+		Answer: func(a Answer) { f.answers = append(f.answers, a) },
 	})
-	b.s.Flush(b.now)
+	f.core.Flush(f.now)
 }
 
-// TestOutcomes guards against attempts that are repeated wrongly: on the worker that failed them, under an old number,
-// or after the job is over.
+// TestOutcomes guards against wrong retries: on the worker that failed the task, under an old attempt number, or after
+// the end of the job.
 func TestOutcomes(t *testing.T) {
 	cases := []struct {
 		name     string
-		statuses []marshaler.Status // of the latest attempt, in turn
-		sidecars []string           // of all attempts
+		statuses []marshaler.Status // status of the latest attempt, one after the other
+		sidecars []string           // sidecars of all attempts
 		attempts []uint64
 		answer   AnswerKind
 	}{
@@ -74,27 +74,27 @@
 		{"stalled", []marshaler.Status{marshaler.StatusStalled, marshaler.StatusDone}, []string{"side-a", "side-b"}, []uint64{1, 2}, AnswerDone},
 		{"lost", []marshaler.Status{marshaler.StatusLost, marshaler.StatusLost, marshaler.StatusLost, marshaler.StatusDone}, []string{"side-a", "side-a", "side-a", "side-a"}, []uint64{1, 2, 3, 4}, AnswerDone},
 		{"refused", []marshaler.Status{marshaler.StatusRefused, marshaler.StatusDone}, []string{"side-a", "side-a"}, []uint64{1, 2}, AnswerDone},
-		{"known under a later number", []marshaler.Status{marshaler.StatusOld, marshaler.StatusDone}, []string{"side-a", "side-a"}, []uint64{1, 2 + attemptGap}, AnswerDone},
+		{"known under a later attempt number", []marshaler.Status{marshaler.StatusOld, marshaler.StatusDone}, []string{"side-a", "side-a"}, []uint64{1, 2 + attemptGap}, AnswerDone},
 	}
 	for _, c := range cases {
-		b := newBench()
-		b.submit(1)
+		f := newFixture()
+		f.submit(1)
 		for _, status := range c.statuses {
-			latest := b.starts[len(b.starts)-1]
-			b.now++
-			b.s.OnMessage(b.now, b.links[latest.sidecar], &marshaler.Outcome{Run: latest.run, Status: status})
-			b.load("side-a")
-			b.load("side-b")
-			b.s.Flush(b.now)
+			latest := f.starts[len(f.starts)-1]
+			f.now++
+			f.core.OnMessage(f.now, f.links[latest.sidecar], &marshaler.Outcome{Run: latest.run, Status: status})
+			f.load("side-a")
+			f.load("side-b")
+			f.core.Flush(f.now)
 		}
-		if len(b.answer) != 1 || b.answer[0].Kind != c.answer {
-			t.Errorf("%s: got answers %v, want one of kind %s", c.name, b.answer, c.answer)
+		if len(f.answers) != 1 || f.answers[0].Kind != c.answer {
+			t.Errorf("%s: got answers %v, want one of kind %s", c.name, f.answers, c.answer)
 		}
-		if len(b.starts) != len(c.sidecars) {
-			t.Errorf("%s: got starts %v, want %d", c.name, b.starts, len(c.sidecars))
+		if len(f.starts) != len(c.sidecars) {
+			t.Errorf("%s: got starts %v, want %d", c.name, f.starts, len(c.sidecars))
 			continue
 		}
-		for i, s := range b.starts {
+		for i, s := range f.starts {
 			if s.sidecar != c.sidecars[i] || s.run.Attempt != c.attempts[i] {
 				t.Errorf("%s, start %d: got %s with attempt %d, want %s with %d", c.name, i, s.sidecar, s.run.Attempt, c.sidecars[i], c.attempts[i])
 			}
@@ -102,34 +102,34 @@
 	}
 }
 
-// TestEndOfJob guards against runs that go on after their job is over.
+// TestEndOfJob guards against runs that continue after their job has ended.
 func TestEndOfJob(t *testing.T) {
 	cases := []struct {
 		name   string
-		end    func(b *bench)
+		end    func(f *fixture)
 		answer AnswerKind
 	}{
-		{"caller leaves", func(b *bench) { b.s.Drop(b.now, "job", "caller left") }, AnswerGaveUp},
-		{"deadline", func(b *bench) {
-			for end := b.now + 2100; b.now < end; b.now += 100 {
-				b.load("side-a")
-				b.load("side-b")
-				b.s.Tick(b.now)
+		{"caller disconnects", func(f *fixture) { f.core.Drop(f.now, "job", "caller left") }, AnswerGaveUp},
+		{"deadline", func(f *fixture) {
+			for end := f.now + 2100; f.now < end; f.now += 100 {
+				f.load("side-a")
+				f.load("side-b")
+				f.core.Tick(f.now)
 			}
 		}, AnswerGaveUp},
-		{"entry stops", func(b *bench) { b.s.DropAll(b.now, "the entry ends") }, AnswerGaveUp},
+		{"entry shuts down", func(f *fixture) { f.core.DropAll(f.now, "the entry ends") }, AnswerGaveUp},
 	}
 	for _, c := range cases {
-		b := newBench()
-		b.submit(2)
-		c.end(b)
-		if len(b.answer) != 1 || b.answer[0].Kind != c.answer || b.stops != 2 || b.s.Active() != 0 {
-			t.Errorf("%s: got answers %v, %d stops, %d jobs, want one of kind %s, 2 and 0", c.name, b.answer, b.stops, b.s.Active(), c.answer)
+		f := newFixture()
+		f.submit(2)
+		c.end(f)
+		if len(f.answers) != 1 || f.answers[0].Kind != c.answer || f.stops != 2 || f.core.Active() != 0 {
+			t.Errorf("%s: got answers %v, %d stops, %d jobs, want one of kind %s, 2 and 0", c.name, f.answers, f.stops, f.core.Active(), c.answer)
 		}
 	}
 }
 
-// TestKinds guards against jobs that are half done because a part of what they ask for is not supported.
+// TestKinds guards against jobs that run although a feature that they request is not supported.
 func TestKinds(t *testing.T) {
 	cases := []struct {
 		name string
@@ -140,76 +140,76 @@
 		{"lasts", Kind{Lasts: true}, false}, {"fills", Kind{Fills: true}, false}, {"together", Kind{Together: true}, false},
 	}
 	for _, c := range cases {
-		b := newBench()
-		b.s.Submit(b.now, Job{ID: "job", Kind: c.kind, Queue: testQueue, Steps: []marshaler.Step{{Tasks: 1, Room: marshaler.Room{CPU: 1}, Estimate: 10}}, Answer: func(a Answer) { b.answer = append(b.answer, a) }})
-		b.s.Flush(b.now)
-		if got := len(b.starts) == 1; got != c.ok {
+		f := newFixture()
+		f.core.Submit(f.now, Job{ID: "job", Kind: c.kind, Queue: testQueue, Steps: []marshaler.Step{{Tasks: 1, Room: marshaler.Room{CPU: 1}, Estimate: 10}}, Answer: func(a Answer) { f.answers = append(f.answers, a) }})
+		f.core.Flush(f.now)
+		if got := len(f.starts) == 1; got != c.ok {
 			t.Errorf("%s: got started %v, want %v", c.name, got, c.ok)
 		}
-		if !c.ok && (len(b.answer) != 1 || b.answer[0].Kind != AnswerNotRun || b.answer[0].RetryAfter == 0) {
-			t.Errorf("%s: got answers %+v, want one that it did not run, with a time to come back", c.name, b.answer)
+		if !c.ok && (len(f.answers) != 1 || f.answers[0].Kind != AnswerNotRun || f.answers[0].RetryAfter == 0) {
+			t.Errorf("%s: got answers %+v, want one of kind notRun with a retry delay", c.name, f.answers)
 		}
 	}
 }
 
-// TestMalformed guards against jobs that other processes cannot read, or that add to a worker's room.
+// TestMalformed guards against jobs that other processes cannot decode, or that increase a worker's free capacity.
 func TestMalformed(t *testing.T) {
-	sound := marshaler.Step{Tasks: 1, Room: marshaler.Room{CPU: 1}, Estimate: 10}
+	valid := marshaler.Step{Tasks: 1, Room: marshaler.Room{CPU: 1}, Estimate: 10}
 	cases := []struct {
 		name   string
 		change func(j *Job)
 	}{
-		{"no identifier", func(j *Job) { j.ID = "" }}, {"long identifier", func(j *Job) { j.ID = strings.Repeat("x", maxID+1) }},
+		{"no identifier", func(j *Job) { j.ID = "" }}, {"long identifier", func(j *Job) { j.ID = strings.Repeat("x", maxIDLength+1) }},
 		{"dot in the identifier", func(j *Job) { j.ID = "a.0.0.1" }}, {"slash in the identifier", func(j *Job) { j.ID = "a/b" }},
 		{"long specification", func(j *Job) { j.Spec = strings.Repeat("x", marshaler.MaxSpec+1) }},
-		{"negative processor", func(j *Job) { j.Steps[0].Room.CPU = -1 }}, {"negative memory", func(j *Job) { j.Steps[0].Room.MemoryMB = -1 }},
+		{"negative CPU", func(j *Job) { j.Steps[0].Room.CPU = -1 }}, {"negative memory", func(j *Job) { j.Steps[0].Room.MemoryMB = -1 }},
 		{"negative accelerators", func(j *Job) { j.Steps[0].Room.Accelerators = -1 }}, {"negative estimate", func(j *Job) { j.Steps[0].Estimate = -1 }},
-		{"endless estimate", func(j *Job) { j.Steps[0].Estimate = maxEstimate + 1 }},
+		{"estimate above the limit", func(j *Job) { j.Steps[0].Estimate = maxEstimate + 1 }},
 		{"no steps", func(j *Job) { j.Steps = nil }}, {"too many steps", func(j *Job) { j.Steps = make([]marshaler.Step, maxSteps+1) }},
-		{"no tasks", func(j *Job) { j.Steps[0].Tasks = 0 }}, {"endless tasks", func(j *Job) { j.Steps = []marshaler.Step{sound, sound}; j.Steps[1].Tasks = 1<<64 - 1 }}, {"too many tasks", func(j *Job) { j.Steps[0].Tasks = maxTasks + 1 }},
+		{"no tasks", func(j *Job) { j.Steps[0].Tasks = 0 }}, {"number of tasks that overflows", func(j *Job) { j.Steps = []marshaler.Step{valid, valid}; j.Steps[1].Tasks = 1<<64 - 1 }}, {"too many tasks", func(j *Job) { j.Steps[0].Tasks = maxTasks + 1 }},
 		{"long label", func(j *Job) { j.Steps[0].Label = strings.Repeat("x", marshaler.MaxName+1) }},
 		{"long rack", func(j *Job) { j.Steps[0].Rack = strings.Repeat("x", marshaler.MaxName+1) }},
-		{"step that waits for itself", func(j *Job) { j.Steps[0].After = []uint64{0} }},
-		{"step that waits for a later one", func(j *Job) { j.Steps = append(j.Steps, sound); j.Steps[0].After = []uint64{1} }},
+		{"step that depends on itself", func(j *Job) { j.Steps[0].After = []uint64{0} }},
+		{"step that depends on a later one", func(j *Job) { j.Steps = append(j.Steps, valid); j.Steps[0].After = []uint64{1} }},
 	}
 	for _, c := range cases {
-		b := newBench()
-		j := Job{ID: "job", Queue: testQueue, Steps: []marshaler.Step{sound}}
-		j.Answer = func(a Answer) { b.answer = append(b.answer, a) }
+		f := newFixture()
+		j := Job{ID: "job", Queue: testQueue, Steps: []marshaler.Step{valid}}
+		j.Answer = func(a Answer) { f.answers = append(f.answers, a) }
 		c.change(&j)
-		b.s.Submit(b.now, j)
-		b.s.Flush(b.now)
-		if len(b.starts) != 0 || len(b.answer) != 1 || b.answer[0].Kind != AnswerMalformed || b.s.Active() != 0 {
-			t.Errorf("%s: got %d starts and answers %+v, want none and one that it is malformed", c.name, len(b.starts), b.answer)
+		f.core.Submit(f.now, j)
+		f.core.Flush(f.now)
+		if len(f.starts) != 0 || len(f.answers) != 1 || f.answers[0].Kind != AnswerMalformed || f.core.Active() != 0 {
+			t.Errorf("%s: got %d starts and answers %+v, want none and one of kind malformed", c.name, len(f.starts), f.answers)
 		}
 	}
 }
 
-// TestHeld guards against an order that is taken for lost because the list of a session was made before it arrived.
+// TestHeld guards against a start that is considered lost because the sidecar listed its runs before the start arrived.
 func TestHeld(t *testing.T) {
 	cases := []struct {
 		name    string
-		session uint64 // of the list; the order went out on session 1
+		session uint64 // session of the list; the start was sent on session 1
 		starts  int
 	}{
-		{"list of the order's own session", 1, 1}, {"list of a later session", 2, 2},
+		{"list of the start's own session", 1, 1}, {"list of a later session", 2, 2},
 	}
 	for _, c := range cases {
-		b := newBench()
-		b.submit(1)
-		current := b.links["side-a"]
+		f := newFixture()
+		f.submit(1)
+		current := f.links["side-a"]
 		if c.session > 1 {
 			later := *current
 			later.Remote.Session = c.session
 			current = &later
-			b.s.OnUp(b.now, current)
-			b.load("side-b")
+			f.core.OnUp(f.now, current)
+			f.load("side-b")
 		}
-		b.s.OnMessage(b.now, current, &marshaler.Held{})
-		b.s.Flush(b.now)
-		b.s.Flush(b.now) // the first grant names the sidecar that has not reported on its new session
-		if len(b.starts) != c.starts {
-			t.Errorf("%s: got %d starts, want %d", c.name, len(b.starts), c.starts)
+		f.core.OnMessage(f.now, current, &marshaler.Held{})
+		f.core.Flush(f.now)
+		f.core.Flush(f.now) // the first grant names the sidecar that has not reported on its new session
+		if len(f.starts) != c.starts {
+			t.Errorf("%s: got %d starts, want %d", c.name, len(f.starts), c.starts)
 		}
 	}
 }
--- a/submitter/pause_test.go
+++ b/submitter/pause_test.go
@@ -7,18 +7,18 @@
 	"github.com/crocuslb/crocuslb/timer"
 )
 
-// TestPausedEntry guards against orders that an entry gives after a pause on permissions that ran out meanwhile: a grant
-// for a job whose deadline has passed, and a session that its sidecar gave up.
+// TestPausedEntry guards against starts that an entry sends after a pause although its permission expired meanwhile: by
+// a grant for a job whose deadline has passed, or on a session that its sidecar has dropped.
 func TestPausedEntry(t *testing.T) {
 	cases := []struct {
-		name   string
-		pause  timer.Millis
-		again  bool // the sidecar opens a new session before the grant is read
-		starts int
+		name       string
+		pause      timer.Millis
+		reconnects bool // the sidecar opens a new session before the grant is handled
+		starts     int
 	}{
 		{"no pause", 10, false, 1},
 		{"short pause", 200, false, 1},
-		{"sidecars have given the entry up", 600, false, 0},
+		{"sidecars have dropped the session", 600, false, 0},
 		{"deadline has passed", 2500, false, 0},
 		{"deadline has passed, new session", 2500, true, 0},
 	}
@@ -27,7 +27,7 @@
 		now := timer.Millis(1000)
 		s.SetSnapshot(now, testSnapshot())
 		starts := 0
-		up := func(session uint64) {
+		openSession := func(session uint64) {
 			link := &marshaler.Link{
 				Remote: marshaler.Hello{Role: marshaler.RoleSidecar, Name: "side", Incarnation: 1, Session: session}, Close: func(error) {},
 				Send: func(m marshaler.Message) {
@@ -40,22 +40,22 @@
 			s.OnMessage(now, link, &marshaler.Backend{ID: "i", Service: "svc", Total: marshaler.Room{CPU: 9000}})
 			s.OnMessage(now, link, &marshaler.Load{Accepting: true, Free: marshaler.Room{CPU: 9000}, Clock: 5, Speed: 1000})
 		}
-		placing := &marshaler.Link{
+		scheduler := &marshaler.Link{
 			Remote: marshaler.Hello{Role: marshaler.RoleEntry, Name: "placing", Incarnation: 1, Weight: 9}, Close: func(error) {},
 			Send: func(marshaler.Message) {},
 		}
-		s.OnUp(now, placing)
-		up(1)
+		s.OnUp(now, scheduler)
+		openSession(1)
 		s.Tick(now)
 		s.Submit(now, Job{
 			ID: "job", Queue: testQueue, Deadline: 2000, Answer: func(Answer) {},
 			Steps: []marshaler.Step{{Tasks: 1, Room: marshaler.Room{CPU: 3000}, Estimate: 100}},
 		})
 		now += c.pause
-		if c.again {
-			up(2)
+		if c.reconnects {
+			openSession(2)
 		}
-		s.OnMessage(now, placing, &marshaler.Grant{Job: "job", Sidecars: []string{"side"}})
+		s.OnMessage(now, scheduler, &marshaler.Grant{Job: "job", Sidecars: []string{"side"}})
 		s.Tick(now)
 		if starts != c.starts {
 			t.Errorf("%s: got %d starts, want %d", c.name, starts, c.starts)
--- a/submitter/recovery.go
+++ b/submitter/recovery.go
@@ -7,106 +7,106 @@
 	"github.com/crocuslb/crocuslb/timer"
 )
 
-// Acquire takes a partition with its jobs. The store lets no other entry write there under a lower epoch.
+// Acquire takes ownership of a partition with its jobs. The store rejects writes to it under a lower epoch.
 func (s *Submitter) Acquire(now timer.Millis, taken marshaler.Partition, jobs []*marshaler.JobRecord) {
-	s.at(now)
-	if now >= s.kept.until {
-		return // the process is about to begin a new membership
+	s.setNow(now)
+	if now >= s.durable.leaseUntil {
+		return // the lease has expired; the process is about to start a new membership
 	}
-	p := &partition{number: taken.Number, epoch: taken.Epoch, previous: taken.Previous, certain: now + certainAfter}
-	s.kept.owned[p.number] = p
+	p := &partition{number: taken.Number, epoch: taken.Epoch, previous: taken.Previous, runsExpireAt: now + runExpiry}
+	s.durable.owned[p.number] = p
 	open := 0
 	for _, record := range jobs {
 		if state := archiver.StateOf(record); state != archiver.Open {
-			s.kept.over[record.ID] = &overJob{record: record, state: state, since: now}
+			s.durable.finished[record.ID] = &finishedJob{record: record, state: state, since: now}
 			continue
 		}
 		open++
-		j := keptJob(record)
-		j.arrived, j.latest, j.until = now, now, now
-		j.keeping.partition, j.keeping.stored, j.keeping.storing, j.keeping.writtenAt = p, true, true, now
-		j.resume()
+		j := jobFromRecord(record)
+		j.arrived, j.targetStart, j.expiresAt = now, now, now
+		j.durability.partition, j.durability.stored, j.durability.storeRequested, j.durability.writtenAt = p, true, true, now
+		j.restoreTasks()
 		s.jobs[record.ID] = j
 	}
 	s.report(Event{Kind: "acquire", Detail: "partition", Value: int64(p.number), Count: int64(open)})
-	s.claim([]marshaler.Partition{taken})
-	if h := s.kept.handed[p.number]; h != nil {
-		s.takeOver(p, h)
+	s.sendClaim([]marshaler.Partition{taken})
+	if h := s.durable.handovers[p.number]; h != nil {
+		s.applyHandover(p, h)
 	}
-	s.sendOwned()
-	s.routeWaiting()
+	s.broadcastOwned()
+	s.retryUnrouted()
 }
 
-// keptJob makes a job in work of its record.
-func keptJob(record *marshaler.JobRecord) *job {
+// jobFromRecord returns an active job for a record.
+func jobFromRecord(record *marshaler.JobRecord) *job {
 	return &job{
 		Job: Job{
 			ID: record.ID, Kind: Kind{Kept: true}, Spec: record.Spec, Steps: record.Steps,
 			Queue: router.Queue{Name: record.Queue, Service: record.Service, Attempts: record.Attempts, Priority: record.Priority},
 		},
-		steps:   newSteps(record.Steps),
-		keeping: keeping{record: record, noting: map[noteKey]bool{}},
+		steps:      newSteps(record.Steps),
+		durability: durableState{record: record, recordingEnds: map[endKey]bool{}},
 	}
 }
 
-// resume sets the tasks of a job as its record has them. The others may run or have ended.
-func (j *job) resume() {
+// restoreTasks sets the task states from the job's record. Tasks without a record may be running or have ended.
+func (j *job) restoreTasks() {
 	for n := range j.steps {
 		st := &j.steps[n]
 		for i := range st.tasks {
 			st.tasks[i].state = taskUnknown
 		}
 	}
-	for _, r := range j.keeping.record.Tasks {
+	for _, r := range j.durability.record.Tasks {
 		step, index := (marshaler.RunKey{Index: r.Index}).Task()
 		if step >= len(j.steps) || index >= len(j.steps[step].tasks) {
 			continue
 		}
 		st := &j.steps[step]
 		t := &st.tasks[index]
-		t.attempt, t.recorded, t.failures = r.Attempt, r.Attempt, r.Failures
-		j.ran = true
+		t.attempt, t.recordedAttempt, t.failures = r.Attempt, r.Attempt, r.Failures
+		j.hasRun = true
 		if r.Done {
 			t.state = taskDone
 			st.done++
 		}
 	}
 	for n := range j.steps {
-		if j.steps[n].complete() {
+		if j.steps[n].isComplete() {
 			j.done++
 		}
 	}
 }
 
-func (st *step) complete() bool { return st.done == len(st.tasks) }
+func (st *step) isComplete() bool { return st.done == len(st.tasks) }
 
-// recover queues the tasks of a partition that surely do not run: those of which nothing is known, but for the excepted
-// ones.
-func (s *Submitter) recover(p *partition, except map[marshaler.RunKey]bool) {
+// requeueUnknown queues the tasks of a partition whose state is unknown, except the given ones. The caller ensures that
+// they are not running.
+func (s *Submitter) requeueUnknown(p *partition, except map[marshaler.RunKey]bool) {
 	for _, j := range marshaler.InOrder(s.jobs) {
-		if j.keeping.partition != p {
+		if j.durability.partition != p {
 			continue
 		}
 		for n := range j.steps {
 			st := &j.steps[n]
-			found := 0
+			requeued := 0
 			for i := range st.tasks {
 				if t := &st.tasks[i]; t.state == taskUnknown && !except[marshaler.RunKey{Job: j.ID, Index: marshaler.TaskIndex(n, i)}] {
 					t.state = taskQueued
 					t.attempt += attemptGap
-					found++
+					requeued++
 				}
 			}
-			if found > 0 && j.ready(n) {
-				st.begun = true
-				s.ask(j, n, found)
+			if requeued > 0 && j.stepReady(n) {
+				st.hasBegun = true
+				s.requestCapacity(j, n, requeued)
 			}
 		}
 	}
 }
 
-// claim tells the sidecars which partitions this entry owns.
-func (s *Submitter) claim(partitions []marshaler.Partition) {
+// sendClaim tells the sidecars which partitions this entry owns.
+func (s *Submitter) sendClaim(partitions []marshaler.Partition) {
 	for _, sc := range marshaler.InOrder(s.sidecars) {
 		if sc.link != nil {
 			sc.link.Send(&marshaler.Claim{Partitions: partitions})
@@ -114,57 +114,57 @@
 	}
 }
 
-// ownedPartitions returns the partitions of this entry in order.
+// ownedPartitions returns the owned partitions, ordered by number.
 func (s *Submitter) ownedPartitions() (list []marshaler.Partition) {
-	for number, p := range marshaler.InOrder(s.kept.owned) {
+	for number, p := range marshaler.InOrder(s.durable.owned) {
 		list = append(list, marshaler.Partition{Number: number, Epoch: p.epoch, Previous: p.previous})
 	}
 	return list
 }
 
-// onCensus takes what a sidecar has of a partition.
+// onCensus handles a sidecar's list of the runs and ends of a partition.
 func (s *Submitter) onCensus(sc *sidecar, m *marshaler.Census) {
-	p := s.kept.owned[m.Partition.Number]
+	p := s.durable.owned[m.Partition.Number]
 	if p == nil || p.epoch != m.Partition.Epoch {
 		return
 	}
 	for i := range m.Ends {
-		s.onKeptEnd(sc, &m.Ends[i])
+		s.onDurableEnd(sc, &m.Ends[i])
 	}
-	held := map[marshaler.RunKey]bool{}
+	listed := map[marshaler.RunKey]bool{}
 	for _, key := range m.Runs {
-		held[key] = true
-		if sc.placed[key] == 0 && !s.adopt(sc, key) {
+		listed[key] = true
+		if sc.assignedRuns[key] == 0 && !s.adoptRun(sc, key) {
 			sc.link.Send(&marshaler.Stop{Run: key})
 		}
 	}
-	for _, key := range marshaler.RunsInOrder(sc.placed) {
-		if !held[key] && sc.placed[key] < sc.session && s.partitionOf(key.Job) == p.number && s.isKept(key.Job) {
+	for _, key := range marshaler.RunsInOrder(sc.assignedRuns) {
+		if !listed[key] && sc.assignedRuns[key] < sc.session && s.partitionOf(key.Job) == p.number && s.isDurable(key.Job) {
 			s.onOutcome(sc, &marshaler.Outcome{Run: key, Status: marshaler.StatusLost, Reason: "not held by the sidecar"})
 		}
 	}
 }
 
-func (s *Submitter) isKept(job string) bool {
+func (s *Submitter) isDurable(job string) bool {
 	j := s.jobs[job]
-	return j != nil && j.keeping.partition != nil
+	return j != nil && j.durability.partition != nil
 }
 
-// adopt takes over a run of an earlier owner. It returns false for one that must end.
-func (s *Submitter) adopt(sc *sidecar, key marshaler.RunKey) bool {
+// adoptRun takes over a run of a previous owner. It returns false if the run must be stopped.
+func (s *Submitter) adoptRun(sc *sidecar, key marshaler.RunKey) bool {
 	j := s.jobs[key.Job]
 	step, index := key.Task()
-	if j == nil || j.keeping.partition == nil || step >= len(j.steps) || index >= len(j.steps[step].tasks) {
+	if j == nil || j.durability.partition == nil || step >= len(j.steps) || index >= len(j.steps[step].tasks) {
 		return false
 	}
 	t := &j.steps[step].tasks[index]
 	if t.state != taskUnknown || key.Attempt <= t.attempt {
 		return false
 	}
-	t.state, t.attempt, t.ordered, t.sidecar, t.sidecarN = taskPlaced, key.Attempt, key.Attempt, sc.name, sc.incarnation
-	j.unsettled++
-	j.steps[step].begun = true
-	sc.placed[key] = sc.session
+	t.state, t.attempt, t.issuedAttempt, t.sidecar, t.sidecarIncarnation = taskAssigned, key.Attempt, key.Attempt, sc.name, sc.incarnation
+	j.assigned++
+	j.steps[step].hasBegun = true
+	sc.assignedRuns[key] = sc.session
 	s.report(Event{Kind: "adopt", Job: j.ID, Queue: j.Queue.Name, Peer: sc.name, Value: int64(key.Index)})
 	return true
 }
--- a/submitter/sessions.go
+++ b/submitter/sessions.go
@@ -7,143 +7,145 @@
 	"github.com/crocuslb/crocuslb/timer"
 )
 
-var errSilent = trace.ConnectionProblem(nil, "the other end is silent")
+var errHeartbeatTimeout = trace.ConnectionProblem(nil, "heartbeat timeout: no message from the peer")
 
-// OnUp takes a new session of a sidecar or of another entry.
+// OnUp handles a new session of a sidecar or of another entry.
 func (s *Submitter) OnUp(now timer.Millis, link *marshaler.Link) {
-	s.at(now)
+	s.setNow(now)
 	if link.Remote.Role == marshaler.RoleEntry {
-		s.onPeerUp(link)
+		s.onPeerSession(link)
 		return
 	}
 	h := link.Remote
 	sc := s.sidecars[h.Name]
 	if sc == nil {
-		sc = &sidecar{name: h.Name, placed: map[marshaler.RunKey]uint64{}}
+		sc = &sidecar{name: h.Name, assignedRuns: map[marshaler.RunKey]uint64{}}
 		s.sidecars[h.Name] = sc
 	}
-	if sc.incarnation == h.Incarnation && h.Session < sc.remote {
-		link.Close(trace.CompareFailed("a later session of %s is known", h.Name))
+	if sc.incarnation == h.Incarnation && h.Session < sc.remoteSession {
+		link.Close(trace.CompareFailed("a newer session of %s exists", h.Name))
 		return
 	}
-	sc.remote = h.Session
+	sc.remoteSession = h.Session
 	if sc.link != nil {
 		sc.link.Close(trace.ConnectionProblem(nil, "replaced by a newer session"))
 	}
 	sc.session++
-	sc.link, sc.incarnation, sc.domain, sc.heard, sc.sent, sc.clockAt, sc.subscribed = link, h.Incarnation, h.Domain, now, 0, 0, false
+	sc.link, sc.incarnation, sc.domain, sc.lastReceived, sc.lastSent, sc.clockAt, sc.subscribed = link, h.Incarnation, h.Domain, now, 0, 0, false
 	s.report(Event{Kind: "sidecarUp", Peer: h.Name})
 	s.relay.Up(now, h.Name)
-	if len(s.kept.owned) > 0 {
+	if len(s.durable.owned) > 0 {
 		link.Send(&marshaler.Claim{Partitions: s.ownedPartitions()})
 	}
-	if s.placing() == s.Name {
+	if s.schedulingEntry() == s.Name {
 		s.subscribe(sc)
 	}
 }
 
-func (s *Submitter) onPeerUp(link *marshaler.Link) {
+func (s *Submitter) onPeerSession(link *marshaler.Link) {
 	h := link.Remote
 	p := s.peers[h.Name]
 	if p != nil && p.hello.Incarnation > h.Incarnation {
-		link.Close(trace.CompareFailed("a later life of %s is known", h.Name))
+		link.Close(trace.CompareFailed("a newer incarnation of %s exists", h.Name))
 		return
 	}
 	if p != nil && p.hello.Incarnation < h.Incarnation {
-		s.losePeer(p, "restarted")
+		s.onPeerLost(p, "restarted")
 	}
 	if p == nil || p.hello.Incarnation < h.Incarnation {
 		p = &peer{}
 		s.peers[h.Name] = p
 	}
 	// Two entries may dial each other at the same time. The newest session is used for sending; both are read.
-	p.hello, p.link, p.heard, p.leaving, p.suspect = h, link, s.now, false, false
+	p.hello, p.link, p.lastReceived, p.leaving, p.suspect = h, link, s.now, false, false
 	s.report(Event{Kind: "entryUp", Peer: h.Name})
 	s.relay.Up(s.now, h.Name)
-	p.send(s.now, s.newBeat())
-	if s.kept.inUse {
+	p.send(s.now, s.newHeartbeat())
+	if s.durable.inUse {
 		p.send(s.now, &marshaler.Owned{Partitions: s.ownedPartitions()})
 	}
 }
 
-// newBeat returns a sign of life.
-func (s *Submitter) newBeat() *marshaler.Beat {
-	return &marshaler.Beat{Offset: s.snapshot.Offset, Leaving: s.leaving, Kept: s.mayKeep()}
+// newHeartbeat returns a heartbeat message.
+func (s *Submitter) newHeartbeat() *marshaler.Beat {
+	return &marshaler.Beat{Offset: s.snapshot.Offset, Leaving: s.leaving, Kept: s.mayHaveDurable()}
 }
 
-// OnDown takes the end of a session.
+// OnDown handles the end of a session.
 func (s *Submitter) OnDown(now timer.Millis, link *marshaler.Link, cause error) {
-	s.at(now)
+	s.setNow(now)
 	if link.Remote.Role == marshaler.RoleEntry {
 		if p := s.peers[link.Remote.Name]; p != nil && p.link == link {
-			s.losePeer(p, cause.Error())
+			s.onPeerLost(p, cause.Error())
 		}
 		return
 	}
 	if sc := s.sidecars[link.Remote.Name]; sc != nil && sc.link == link {
-		s.loseSidecar(sc, cause.Error())
+		s.onSidecarLost(sc, cause.Error())
 	}
 }
 
-// losePeer takes the loss of another entry. Its requests are dropped, and requests that it held go to the next one.
-func (s *Submitter) losePeer(p *peer, cause string) {
-	p.link, p.owned, p.waiting = nil, nil, nil
+// onPeerLost handles the loss of another entry. Its requests are dropped, and requests that it held go to the next
+// scheduling entry.
+func (s *Submitter) onPeerLost(p *peer, cause string) {
+	p.link, p.ownedEpochs, p.waitingJobs = nil, nil, nil
 	s.relay.Down(p.hello.Name)
 	s.report(Event{Kind: "entryLost", Peer: p.hello.Name, Detail: cause})
 	s.placer.Forget(p.hello.Name)
-	s.askAgain(p.hello.Name)
-	s.loseCalls(p.hello.Name)
+	s.rerouteRequests(p.hello.Name)
+	s.rerouteCalls(p.hello.Name)
 }
 
-// loseSidecar takes the loss of a session with a sidecar. What was placed there is settled by the next session, or by
-// time.
-func (s *Submitter) loseSidecar(sc *sidecar, cause string) {
+// onSidecarLost handles the loss of a session with a sidecar. The fate of its runs is settled by the next session or by
+// runExpiry.
+func (s *Submitter) onSidecarLost(sc *sidecar, cause string) {
 	sc.link, sc.clockAt = nil, 0
 	s.relay.Down(sc.name)
-	if !sc.doubtful {
-		sc.doubtful, sc.certainAt = true, sc.expected()+certainAfter
+	if !sc.runsUnconfirmed {
+		sc.runsUnconfirmed, sc.runsExpireAt = true, sc.heartbeatDueSince()+runExpiry
 	}
 	s.placer.SetAccepting(sc.name, false)
-	s.report(Event{Kind: "sidecarLost", Peer: sc.name, Detail: cause, Value: int64(len(sc.placed))})
+	s.report(Event{Kind: "sidecarLost", Peer: sc.name, Detail: cause, Value: int64(len(sc.assignedRuns))})
 }
 
-// checkSilence ends sessions without a sign of life, and settles runs on lost sidecars.
-func (s *Submitter) checkSilence() {
+// checkTimeouts closes sessions whose heartbeat timeout has expired, and ends the runs on lost sidecars once they have
+// expired.
+func (s *Submitter) checkTimeouts() {
 	for _, p := range marshaler.InOrder(s.peers) {
-		if p.link != nil && p.silence(s.now) >= p.silenceLimit() {
+		if p.link != nil && p.silence(s.now) >= p.heartbeatTimeout() {
 			link := p.link
-			s.losePeer(p, "silent")
-			link.Close(errSilent)
-		} else if p.link != nil && !p.suspect && p.active && p.silence(s.now) >= suspectLimit {
+			s.onPeerLost(p, "silent")
+			link.Close(errHeartbeatTimeout)
+		} else if p.link != nil && !p.suspect && p.active && p.silence(s.now) >= suspectTimeout {
 			p.suspect = true
-			s.report(Event{Kind: "entrySuspect", Peer: p.hello.Name, Value: int64(s.now - p.heard)})
-			s.askAgain(p.hello.Name)
+			s.report(Event{Kind: "entrySuspect", Peer: p.hello.Name, Value: int64(s.now - p.lastReceived)})
+			s.rerouteRequests(p.hello.Name)
 		}
 	}
 	for name, sc := range marshaler.InOrder(s.sidecars) {
-		if sc.link != nil && sc.silence(s.now) >= sc.silenceLimit() {
+		if sc.link != nil && sc.silence(s.now) >= sc.heartbeatTimeout() {
 			link := sc.link
-			s.loseSidecar(sc, "silent")
-			link.Close(errSilent)
+			s.onSidecarLost(sc, "silent")
+			link.Close(errHeartbeatTimeout)
 		}
-		if sc.link == nil && s.now >= sc.certainAt {
+		if sc.link == nil && s.now >= sc.runsExpireAt {
 			delete(s.sidecars, name)
 			s.placer.RemoveWorker(name)
-			s.settle(sc, "sidecar was lost")
+			s.endLostRuns(sc, "sidecar was lost")
 		}
 	}
 }
 
-// settle ends all attempts on a sidecar that surely do not run any more.
-func (s *Submitter) settle(sc *sidecar, reason string) {
-	for _, key := range marshaler.RunsInOrder(sc.placed) {
+// endLostRuns ends all attempts on a sidecar whose runs are guaranteed to have ended.
+func (s *Submitter) endLostRuns(sc *sidecar, reason string) {
+	for _, key := range marshaler.RunsInOrder(sc.assignedRuns) {
 		s.onOutcome(sc, &marshaler.Outcome{Run: key, Status: marshaler.StatusLost, Reason: reason})
 	}
 }
 
-// OnMessage takes a message of a session.
+// OnMessage handles a message of a session.
 func (s *Submitter) OnMessage(now timer.Millis, link *marshaler.Link, m marshaler.Message) {
-	s.at(now)
+	s.setNow(now)
 	if link.Remote.Role == marshaler.RoleEntry {
 		if p := s.peers[link.Remote.Name]; p != nil && p.hello.Incarnation == link.Remote.Incarnation {
 			s.onPeerMessage(p, link, m)
@@ -151,26 +153,26 @@
 		return
 	}
 	if sc := s.sidecars[link.Remote.Name]; sc != nil && sc.link == link {
-		sc.heard = now
+		sc.lastReceived = now
 		s.onSidecarMessage(sc, m)
 	}
 }
 
 func (s *Submitter) onPeerMessage(p *peer, link *marshaler.Link, m marshaler.Message) {
-	p.heard, p.suspect = s.now, false
+	p.lastReceived, p.suspect = s.now, false
 	if p.link == nil {
 		p.link = link
 	}
 	switch m := m.(type) {
 	case *marshaler.Beat:
-		p.offset, p.mayKeep = m.Offset, m.Kept
+		p.offset, p.mayHaveDurable = m.Offset, m.Kept
 		if m.Leaving && !p.leaving {
 			s.report(Event{Kind: "entryLeaving", Peer: p.hello.Name})
 		}
 		p.leaving = m.Leaving
 	case *marshaler.Ask:
-		p.askedAt = s.now
-		p.wake(s.now)
+		p.requestedAt = s.now
+		p.activate(s.now)
 		s.subscribeAll()
 		s.placer.Ask(s.now, p.hello.Name, p.hello.Domain, m)
 	case *marshaler.Withdraw:
@@ -190,10 +192,10 @@
 	case *marshaler.Reply:
 		s.onReply(m)
 	case *marshaler.Waiting:
-		if p.waiting == nil {
-			p.waiting = map[string]uint64{}
+		if p.waitingJobs == nil {
+			p.waitingJobs = map[string]uint64{}
 		}
-		p.waiting[m.Queue] = m.Jobs
+		p.waitingJobs[m.Queue] = m.Jobs
 	}
 }
 
@@ -217,25 +219,25 @@
 	}
 }
 
-// onHeld compares what a sidecar has with what was ordered there on earlier sessions. Orders of this session may be on
-// their way.
+// onHeld compares the runs that a sidecar lists with those started on earlier sessions. Starts of the current session
+// may still be in flight.
 func (s *Submitter) onHeld(sc *sidecar, m *marshaler.Held) {
-	sc.doubtful = false
-	held := map[marshaler.RunKey]bool{}
+	sc.runsUnconfirmed = false
+	listed := map[marshaler.RunKey]bool{}
 	for _, key := range m.Runs {
-		held[key] = true
-		if sc.placed[key] == 0 {
+		listed[key] = true
+		if sc.assignedRuns[key] == 0 {
 			sc.link.Send(&marshaler.Stop{Run: key})
 		}
 	}
-	for _, key := range marshaler.RunsInOrder(sc.placed) {
-		if !held[key] && sc.placed[key] < sc.session && !s.isKept(key.Job) { // a Census tells of kept jobs
+	for _, key := range marshaler.RunsInOrder(sc.assignedRuns) {
+		if !listed[key] && sc.assignedRuns[key] < sc.session && !s.isDurable(key.Job) { // a Census covers durable jobs
 			s.onOutcome(sc, &marshaler.Outcome{Run: key, Status: marshaler.StatusLost, Reason: "not held by the sidecar"})
 		}
 	}
 }
 
-// subscribeAll asks all sidecars for prompt reports, because this entry places.
+// subscribeAll subscribes to the load reports of all sidecars, because this entry schedules.
 func (s *Submitter) subscribeAll() {
 	for _, sc := range marshaler.InOrder(s.sidecars) {
 		s.subscribe(sc)
@@ -245,12 +247,12 @@
 func (s *Submitter) subscribe(sc *sidecar) {
 	if sc.link != nil && !sc.subscribed {
 		sc.subscribed = true
-		sc.wake(s.now)
+		sc.activate(s.now)
 		sc.link.Send(&marshaler.Subscribe{On: true})
 	}
 }
 
-// unsubscribe ends prompt reports once another entry places and nothing is queued here.
+// unsubscribe ends the subscriptions. It is called when another entry schedules and the local queue is empty.
 func (s *Submitter) unsubscribe() {
 	for _, sc := range marshaler.InOrder(s.sidecars) {
 		if sc.link != nil && sc.subscribed {
@@ -260,62 +262,62 @@
 	}
 }
 
-// Leave makes the entry refuse to place, hand its queue over, and ask callers to go elsewhere.
+// Leave drains the entry: it stops scheduling, hands its queue over and directs callers to other entries.
 func (s *Submitter) Leave(now timer.Millis) {
-	s.at(now)
+	s.setNow(now)
 	s.leaving = true
-	s.beatAll()
+	s.sendAllHeartbeats()
 	s.placer.Leave()
 }
 
-func (s *Submitter) beat() {
-	if s.placing() != s.Name && s.placer.Queued() == 0 && s.now-s.ticked >= timer.Second {
-		s.ticked = s.now
+func (s *Submitter) sendDueHeartbeats() {
+	if s.schedulingEntry() != s.Name && s.placer.Queued() == 0 && s.now-s.subscriptionsCheckedAt >= timer.Second {
+		s.subscriptionsCheckedAt = s.now
 		s.unsubscribe()
 	}
 	for _, sc := range marshaler.InOrder(s.sidecars) {
-		if sc.link != nil && s.now-sc.sent >= sc.beatPeriod() {
-			s.beatSidecar(sc)
+		if sc.link != nil && s.now-sc.lastSent >= sc.heartbeatInterval() {
+			s.sendSidecarHeartbeat(sc)
 		}
 	}
 	for _, p := range marshaler.InOrder(s.peers) {
-		if p.link != nil && s.now-p.sent >= p.beatPeriod() {
-			s.beatPeer(p)
+		if p.link != nil && s.now-p.lastSent >= p.heartbeatInterval() {
+			s.sendPeerHeartbeat(p)
 		}
 	}
 }
 
-func (s *Submitter) beatAll() {
+func (s *Submitter) sendAllHeartbeats() {
 	for _, sc := range marshaler.InOrder(s.sidecars) {
 		if sc.link != nil {
-			s.beatSidecar(sc)
+			s.sendSidecarHeartbeat(sc)
 		}
 	}
 	for _, p := range marshaler.InOrder(s.peers) {
 		if p.link != nil {
-			s.beatPeer(p)
+			s.sendPeerHeartbeat(p)
 		}
 	}
 }
 
-// beatSidecar sends a sign of life, and the configuration to a process that has had an older one for a while.
-func (s *Submitter) beatSidecar(sc *sidecar) {
+// sendSidecarHeartbeat sends a heartbeat, and the configuration if the sidecar has had an older one for a while.
+func (s *Submitter) sendSidecarHeartbeat(sc *sidecar) {
 	if sc.offset < s.snapshot.Offset && s.relay.Due(s.now, s.Name, sc.name, sc.offset == 0) {
 		sc.link.Send(&marshaler.Configuration{Body: s.snapshot.Append(nil)})
 	}
-	sc.sent = s.now
-	sc.link.Send(s.newBeat())
+	sc.lastSent = s.now
+	sc.link.Send(s.newHeartbeat())
 }
 
-func (s *Submitter) beatPeer(p *peer) {
+func (s *Submitter) sendPeerHeartbeat(p *peer) {
 	if p.offset < s.snapshot.Offset && s.relay.Due(s.now, s.Name, p.hello.Name, p.offset == 0) {
 		p.link.Send(&marshaler.Configuration{Body: s.snapshot.Append(nil)})
 	}
-	p.send(s.now, s.newBeat())
+	p.send(s.now, s.newHeartbeat())
 }
 
 func (p *peer) send(now timer.Millis, m marshaler.Message) {
-	p.sent = now
+	p.lastSent = now
 	if p.link != nil {
 		p.link.Send(m)
 	}
--- /dev/null
+++ b/submitter/sim_test.go
@@ -0,0 +1,640 @@
+package submitter
+
+import (
+	"errors"
+	"fmt"
+	"math/rand/v2"
+	"slices"
+	"strings"
+	"testing"
+
+	"github.com/crocuslb/crocuslb/keeper"
+	"github.com/crocuslb/crocuslb/marshaler"
+	"github.com/crocuslb/crocuslb/router"
+	"github.com/crocuslb/crocuslb/timer"
+)
+
+var errConnectionCut = errors.New("connection cut")
+
+type (
+	// simulation runs real entry and sidecar cores in virtual time, with fake sessions and backend servers.
+	simulation struct {
+		t        *testing.T
+		random   *rand.Rand
+		now      timer.Millis
+		events   []event
+		sequence int
+		entries  []*fakeEntry
+		sidecars []*fakeSidecar
+		// activeRuns is the number of current runs by task, over all live backend servers.
+		activeRuns  map[string]int
+		answers     map[string][]Answer
+		startedRuns map[string]int // number of started runs, by job
+		// lostShare is the share of calls to backend servers that are not answered. executeLate makes the backend
+		// server execute them later.
+		lostShare   float64
+		executeLate bool
+		faults      []string
+		links       []*fakeLink
+		jobs        map[string]fakeJob
+		resubmitted map[string]bool
+		// decisions holds the events of each job, and of processes under the empty name.
+		decisions map[string][]string
+		// store and durable are only set in simulations with durable jobs.
+		store   *fakeStore
+		durable *durableChecker
+	}
+
+	// fakeLink is an open session between an entry and a sidecar. A cut delays its messages, as TCP does.
+	fakeLink struct {
+		end      func(error)
+		cutUntil timer.Millis
+	}
+
+	fakeJob struct {
+		entry    *fakeEntry
+		tasks    int
+		estimate timer.Millis
+	}
+
+	event struct {
+		time timer.Millis
+		seq  int
+		run  func()
+	}
+
+	process struct {
+		alive       bool
+		pausedUntil timer.Millis
+	}
+
+	fakeEntry struct {
+		process
+		name        string
+		incarnation uint64
+		core        *Submitter
+	}
+
+	fakeSidecar struct {
+		process
+		name        string
+		incarnation uint64
+		core        *keeper.Keeper
+		backend     *fakeBackend
+	}
+
+	// fakeBackend is a backend server that enforces its capacity and runs tasks under a lease.
+	fakeBackend struct {
+		w              *simulation
+		up             bool
+		id             string
+		startedAt      uint64
+		room           marshaler.Room
+		leaseUntil     timer.Millis
+		runs           map[marshaler.RunKey]*fakeRun
+		ended          []keeper.End
+		highestEnded   map[string]uint64 // highest attempt that was stopped or has ended, by task
+		number         uint64
+		holdWaiters    []func() // hold requests that wait for an end
+		stalledUntil   timer.Millis
+		slowdown       float64
+		leaseExpiredAt timer.Millis            // latest time without a valid lease
+		endedAt        map[uint64]timer.Millis // by number
+	}
+
+	fakeRun struct {
+		room       marshaler.Room
+		begin, end timer.Millis
+	}
+)
+
+const (
+	linkDelay = 2
+	// resubmitDelay is how long callers wait before they resubmit a job after a lost connection.
+	resubmitDelay = 1300
+)
+
+func newSimulation(t *testing.T, seed uint64, entries, sidecars int) *simulation {
+	w := &simulation{
+		t: t, random: rand.New(rand.NewPCG(seed, 1)), now: 100_000, activeRuns: map[string]int{}, answers: map[string][]Answer{}, jobs: map[string]fakeJob{}, resubmitted: map[string]bool{}, decisions: map[string][]string{},
+		startedRuns: map[string]int{},
+	}
+	w.startProcesses(entries, sidecars)
+	return w
+}
+
+// startProcesses starts the sidecars and entries.
+func (w *simulation) startProcesses(entries, sidecars int) {
+	for i := range sidecars {
+		s := &fakeSidecar{name: fmt.Sprintf("side-%d", i)}
+		s.backend = &fakeBackend{w: w, id: s.name + "-server", room: marshaler.Room{CPU: 32_000, MemoryMB: 64_000}, slowdown: 1}
+		w.sidecars = append(w.sidecars, s)
+		s.backend.restart()
+		w.startSidecar(s)
+	}
+	for i := range entries {
+		e := &fakeEntry{name: fmt.Sprintf("entry-%d", i)}
+		w.entries = append(w.entries, e)
+		w.startEntry(e)
+	}
+}
+
+func (w *simulation) schedule(d timer.Millis, do func()) {
+	w.sequence++
+	w.events = append(w.events, event{w.now + d, w.sequence, do})
+}
+
+// advance advances the virtual time by d.
+func (w *simulation) advance(d timer.Millis) {
+	for until := w.now + d; w.now < until; w.now++ {
+		for {
+			next := -1
+			for i, e := range w.events {
+				if e.time <= w.now && (next < 0 || e.time < w.events[next].time || e.time == w.events[next].time && e.seq < w.events[next].seq) {
+					next = i
+				}
+			}
+			if next < 0 {
+				break
+			}
+			do := w.events[next].run
+			w.events = slices.Delete(w.events, next, next+1)
+			do()
+		}
+		for _, s := range w.sidecars {
+			s.backend.tick()
+		}
+	}
+}
+
+// runOn runs do on a process if it is alive, after its pause if it is paused.
+func (w *simulation) runOn(p *process, current func() bool, do func()) {
+	switch {
+	case !p.alive || !current():
+	case p.pausedUntil > w.now:
+		w.schedule(p.pausedUntil-w.now, func() { w.runOn(p, current, do) })
+	default:
+		do()
+	}
+}
+
+// delayTick delays the first tick after a pause by up to a tick's interval, so that messages that arrived meanwhile may
+// be handled before it.
+func (w *simulation) delayTick(p *process, tick func()) bool {
+	if p.pausedUntil <= w.now {
+		return false
+	}
+	w.schedule(p.pausedUntil-w.now+timer.Millis(w.random.IntN(25)), tick)
+	return true
+}
+
+func (w *simulation) startEntry(e *fakeEntry) {
+	e.incarnation++
+	e.alive, e.pausedUntil = true, 0
+	e.core = &Submitter{Name: e.name, Incarnation: e.incarnation, Weight: 400, Report: func(v Event) {
+		w.decisions[v.Job] = append(w.decisions[v.Job], fmt.Sprintf("%d %s %s %s %s %d", w.now, e.name, v.Kind, v.Peer, v.Detail, v.Value))
+	}}
+	e.core.SetSnapshot(w.now, testSnapshot())
+	if w.store != nil {
+		w.startMembership(e)
+	} else {
+		e.core.SetKept(w.now, false) // lets sessions become idle
+	}
+	incarnation := e.incarnation
+	var tick func()
+	tick = func() {
+		if w.delayTick(&e.process, tick) {
+			return
+		}
+		w.runOn(&e.process, func() bool { return e.incarnation == incarnation }, func() {
+			e.core.Tick(w.now)
+			w.schedule(25, tick)
+		})
+	}
+	w.schedule(1, tick)
+	for _, s := range w.sidecars {
+		w.connect(e, s)
+	}
+	for _, o := range w.entries {
+		if o != e {
+			w.connectEntries(e, o)
+		}
+	}
+}
+
+func (w *simulation) startSidecar(s *fakeSidecar) {
+	s.incarnation++
+	s.alive, s.pausedUntil = true, 0
+	incarnation := s.incarnation
+	current := func() bool { return s.incarnation == incarnation }
+	k := &keeper.Keeper{Partitions: testPartitions, Report: func(v keeper.Event) {
+		w.decisions[v.Run.Job] = append(w.decisions[v.Run.Job], fmt.Sprintf("%d %s %s %s task %d.%d %s", w.now, s.name, v.Kind, v.Entry, v.Run.Index, v.Run.Attempt, v.Detail))
+	}}
+	s.core = k
+	k.Start = func(m marshaler.Start) {
+		s.backend.call(func(answered bool) {
+			started := s.backend.start(m)
+			if !answered {
+				return
+			}
+			w.runOn(&s.process, current, func() { k.OnStarted(w.now, started) })
+		}, func() {
+			w.runOn(&s.process, current, func() {
+				k.OnStarted(w.now, keeper.Started{Run: m.Run, Status: keeper.StartUnknown, Reason: "timeout"})
+			})
+		})
+	}
+	k.Stop = func(r marshaler.RunKey) {
+		s.backend.call(func(answered bool) {
+			s.backend.stop(r)
+			if answered {
+				w.runOn(&s.process, current, func() { k.OnStopped(w.now, r, true, false) })
+			}
+		}, func() { w.runOn(&s.process, current, func() { k.OnStopped(w.now, r, false, !s.backend.up) }) })
+	}
+	hold := func(wait timer.Millis, done func()) {
+		h, ok := k.BeginHold(w.now)
+		if !ok {
+			done()
+			return
+		}
+		pause := timer.Millis(0)
+		if h.Unrecorded && wait > 0 {
+			pause = 10
+		}
+		w.schedule(pause, func() {
+			s.backend.hold(h, wait, func(l keeper.Listing, err error) {
+				w.runOn(&s.process, current, func() {
+					if err != nil {
+						k.OnHoldFailed(w.now, !s.backend.up, err.Error())
+					} else {
+						k.OnListing(w.now, l)
+					}
+					done()
+				})
+			})
+		})
+	}
+	k.Look = func() { hold(0, func() {}) }
+	var loop, tick, announce func()
+	loop = func() { hold(60, func() { w.schedule(1, loop) }) }
+	tick = func() {
+		if w.delayTick(&s.process, tick) {
+			return
+		}
+		w.runOn(&s.process, current, func() {
+			k.Tick(w.now)
+			w.schedule(25, tick)
+		})
+	}
+	sequence := uint64(0)
+	announce = func() {
+		w.runOn(&s.process, current, func() {
+			if s.backend.up {
+				sequence++
+				k.Announce(w.now, keeper.Backend{ID: s.backend.id, Born: s.backend.startedAt, Sequence: sequence, Service: "svc", Total: s.backend.room})
+			}
+			w.schedule(100, announce)
+		})
+	}
+	w.schedule(1, loop)
+	w.schedule(2, tick)
+	w.schedule(3, announce)
+	for _, e := range w.entries {
+		w.connect(e, s)
+	}
+}
+
+// connect opens a session between an entry and a sidecar, and a new one after it ends.
+func (w *simulation) connect(e *fakeEntry, s *fakeSidecar) {
+	entryIncarnation, sidecarIncarnation := e.incarnation, s.incarnation
+	entryCurrent := func() bool { return e.incarnation == entryIncarnation }
+	sidecarCurrent := func() bool { return s.incarnation == sidecarIncarnation }
+	ended := false
+	var atEntry, atSidecar *marshaler.Link
+	session := &fakeLink{}
+	w.links = append(w.links, session)
+	// A message is never handled before its session is open at the receiver.
+	upAtEntry, upAtSidecar := false, false
+	var deliver func(up *bool, do func())
+	deliver = func(up *bool, do func()) {
+		switch {
+		case ended:
+		case session.cutUntil > w.now:
+			w.schedule(session.cutUntil-w.now, func() { deliver(up, do) })
+		case !*up:
+			w.schedule(1, func() { deliver(up, do) })
+		default:
+			do()
+		}
+	}
+	end := func(error) {
+		if ended {
+			return
+		}
+		ended = true
+		w.schedule(1, func() {
+			w.runOn(&e.process, entryCurrent, func() { e.core.OnDown(w.now, atEntry, errConnectionCut) })
+			w.runOn(&s.process, sidecarCurrent, func() { s.core.OnDown(atSidecar) })
+		})
+		reconnectDelay := max(session.cutUntil-w.now, 0) + 50
+		w.schedule(reconnectDelay+timer.Millis(w.random.IntN(50)), func() {
+			if e.incarnation == entryIncarnation && s.incarnation == sidecarIncarnation {
+				w.connect(e, s)
+			}
+		})
+	}
+	atEntry = &marshaler.Link{
+		Remote: marshaler.Hello{Role: marshaler.RoleSidecar, Name: s.name, Incarnation: s.incarnation, Session: uint64(len(w.links))}, Close: end,
+		Send: func(m marshaler.Message) {
+			w.schedule(linkDelay, func() {
+				deliver(&upAtSidecar, func() {
+					w.runOn(&s.process, sidecarCurrent, func() { s.core.OnMessage(w.now, atSidecar, m) })
+				})
+			})
+		},
+	}
+	atSidecar = &marshaler.Link{
+		Remote: marshaler.Hello{Role: marshaler.RoleEntry, Name: e.name, Incarnation: e.incarnation}, Close: end,
+		Send: func(m marshaler.Message) {
+			w.schedule(linkDelay, func() {
+				deliver(&upAtEntry, func() {
+					w.runOn(&e.process, entryCurrent, func() {
+						e.core.OnMessage(w.now, atEntry, m)
+						e.core.Flush(w.now)
+					})
+				})
+			})
+		},
+	}
+	session.end = end
+	w.schedule(linkDelay, func() {
+		w.runOn(&e.process, entryCurrent, func() {
+			upAtEntry = true
+			e.core.OnUp(w.now, atEntry)
+		})
+		w.runOn(&s.process, sidecarCurrent, func() {
+			upAtSidecar = true
+			s.core.OnUp(w.now, atSidecar)
+		})
+	})
+}
+
+func (w *simulation) connectEntries(a, b *fakeEntry) {
+	aIncarnation, bIncarnation := a.incarnation, b.incarnation
+	ended := false
+	var atA, atB *marshaler.Link
+	end := func(error) {
+		if ended {
+			return
+		}
+		ended = true
+		w.schedule(1, func() {
+			w.runOn(&a.process, func() bool { return a.incarnation == aIncarnation }, func() { a.core.OnDown(w.now, atA, errConnectionCut) })
+			w.runOn(&b.process, func() bool { return b.incarnation == bIncarnation }, func() { b.core.OnDown(w.now, atB, errConnectionCut) })
+		})
+		w.schedule(60, func() {
+			if a.incarnation == aIncarnation && b.incarnation == bIncarnation {
+				w.connectEntries(a, b)
+			}
+		})
+	}
+	link := func(from, to *fakeEntry, toIncarnation uint64, at func() *marshaler.Link) *marshaler.Link {
+		return &marshaler.Link{
+			Remote: marshaler.Hello{Role: marshaler.RoleEntry, Name: to.name, Incarnation: toIncarnation, Weight: 400}, Close: end,
+			Send: func(m marshaler.Message) {
+				w.schedule(linkDelay, func() {
+					w.runOn(&to.process, func() bool { return to.incarnation == toIncarnation && !ended }, func() {
+						to.core.OnMessage(w.now, at(), m)
+						to.core.Flush(w.now)
+					})
+				})
+			},
+		}
+	}
+	atA = link(a, b, bIncarnation, func() *marshaler.Link { return atB })
+	atB = link(b, a, aIncarnation, func() *marshaler.Link { return atA })
+	w.schedule(linkDelay, func() {
+		w.runOn(&a.process, func() bool { return a.incarnation == aIncarnation }, func() { a.core.OnUp(w.now, atA) })
+		w.runOn(&b.process, func() bool { return b.incarnation == bIncarnation }, func() { b.core.OnUp(w.now, atB) })
+	})
+}
+
+func (w *simulation) killEntry(e *fakeEntry, restartAfter timer.Millis) {
+	e.alive = false
+	e.incarnation++
+	w.schedule(restartAfter, func() { w.startEntry(e) })
+	for id, j := range marshaler.InOrder(w.jobs) { // callers resubmit restartable jobs
+		if j.entry != e || len(w.answers[id]) > 0 {
+			continue
+		}
+		delete(w.jobs, id)
+		w.schedule(resubmitDelay, func() {
+			other := w.entries[w.random.IntN(len(w.entries))]
+			if other.alive {
+				w.resubmitted[id] = true
+				w.submit(other, id, j.tasks, j.estimate)
+			}
+		})
+	}
+}
+
+func (w *simulation) killSidecar(s *fakeSidecar, restartAfter timer.Millis) {
+	s.alive = false
+	s.incarnation++
+	w.schedule(restartAfter, func() { w.startSidecar(s) })
+}
+
+// submit submits a job to an entry. If the entry is killed, killEntry resubmits it elsewhere, as callers do.
+func (w *simulation) submit(e *fakeEntry, id string, tasks int, estimate timer.Millis) {
+	incarnation := e.incarnation
+	w.jobs[id] = fakeJob{e, tasks, estimate}
+	w.runOn(&e.process, func() bool { return e.incarnation == incarnation }, func() {
+		e.core.Submit(w.now, Job{
+			ID: id, Queue: testQueue, Steps: []marshaler.Step{{Tasks: uint64(tasks), Room: marshaler.Room{CPU: 3000, MemoryMB: 64}, Estimate: estimate}}, Deadline: 2000,
+			Answer: func(a Answer) {
+				if e.incarnation == incarnation {
+					w.answers[id] = append(w.answers[id], a)
+				}
+			},
+		})
+		e.core.Flush(w.now)
+	})
+}
+
+var testQueue = router.Queue{Name: "q", Host: "h", Prefix: "/q/", Service: "svc", Attempts: 3, Stretch: 1.6, Target: 60}
+
+func testSnapshot() router.Snapshot {
+	return router.Snapshot{}.WithConfiguration(1, []router.Queue{testQueue}, []router.Service{{Name: "svc", Guarded: true}}, router.Limits{}).WithOffset(1)
+}
+
+// call executes a call to the backend server, loses its answer, or executes it seconds late.
+func (b *fakeBackend) call(do func(answered bool), onLost func()) {
+	w := b.w
+	if w.random.Float64() < w.lostShare {
+		if w.executeLate {
+			w.schedule(2000+timer.Millis(w.random.IntN(4000)), func() { do(false) })
+		} else if w.random.IntN(2) == 0 {
+			w.schedule(1, func() { do(false) })
+		}
+		w.schedule(40, onLost)
+		return
+	}
+	w.schedule(1, func() {
+		if b.up {
+			do(true)
+		} else {
+			onLost()
+		}
+	})
+}
+
+func (b *fakeBackend) restart() {
+	b.crash()
+	b.up, b.startedAt = true, uint64(b.w.now)
+	b.runs, b.highestEnded = map[marshaler.RunKey]*fakeRun{}, map[string]uint64{}
+	b.ended, b.number, b.leaseUntil, b.endedAt = nil, 0, 0, map[uint64]timer.Millis{}
+}
+
+func (b *fakeBackend) crash() {
+	for _, key := range marshaler.RunsInOrder(b.runs) {
+		b.w.activeRuns[taskOf(key)]--
+	}
+	b.up, b.runs = false, nil
+}
+
+func taskOf(r marshaler.RunKey) string { return fmt.Sprintf("%s.%d", r.Job, r.Index) }
+
+func (b *fakeBackend) start(m marshaler.Start) keeper.Started {
+	out := keeper.Started{Run: m.Run, Status: keeper.StartRefused}
+	free := b.room
+	for _, r := range b.runs {
+		free = free.Sub(r.room)
+	}
+	switch {
+	case !b.up:
+	case m.NotAfter <= int64(b.w.now):
+		out.Reason = "late"
+	case b.highestEnded[taskOf(m.Run)] >= m.Run.Attempt:
+		out.Status = keeper.StartOld
+	case b.runs[m.Run] != nil:
+		out.Status = keeper.StartDone
+	case !free.Holds(m.Room):
+		out.Reason = "room"
+	default:
+		b.leaseUntil = max(b.leaseUntil, timer.Millis(m.NotAfter))
+		length := timer.Millis(float64(m.Estimate) * (0.7 + 0.6*b.w.random.Float64()) * b.slowdown)
+		b.runs[m.Run] = &fakeRun{room: m.Room, begin: b.w.now, end: b.w.now + max(length, 1)}
+		task := taskOf(m.Run)
+		b.w.activeRuns[task]++
+		b.w.startedRuns[m.Run.Job]++
+		if b.w.durable != nil {
+			b.w.durable.onStart(b.w, task)
+		}
+		if b.w.activeRuns[task] > 1 {
+			b.w.t.Errorf("at %d ms, task %s has %d concurrent runs, the last on %s; faults: %v; decisions: %s", b.w.now, task, b.w.activeRuns[task], b.id, b.w.faults,
+				strings.Join(b.w.decisions[m.Run.Job], "\n"))
+		}
+		out.Status = keeper.StartDone
+	}
+	return out
+}
+
+func (b *fakeBackend) stop(key marshaler.RunKey) {
+	if !b.up {
+		return
+	}
+	b.highestEnded[taskOf(key)] = max(b.highestEnded[taskOf(key)], key.Attempt)
+	if b.runs[key] != nil {
+		b.w.schedule(timer.Millis(1+b.w.random.IntN(45)), func() { b.finish(key, marshaler.StatusStopped) })
+	}
+}
+
+func (b *fakeBackend) finish(key marshaler.RunKey, status marshaler.Status) {
+	if !b.up || b.runs[key] == nil {
+		return
+	}
+	delete(b.runs, key)
+	b.w.activeRuns[taskOf(key)]--
+	b.highestEnded[taskOf(key)] = max(b.highestEnded[taskOf(key)], key.Attempt)
+	b.number++
+	b.ended = append(b.ended, keeper.End{Number: b.number, Run: key, Status: status})
+	b.endedAt[b.number] = b.w.now
+	for _, wake := range b.holdWaiters {
+		b.w.schedule(0, wake)
+	}
+	b.holdWaiters = nil
+}
+
+// tick ends runs that are due, and all runs once the lease has expired.
+func (b *fakeBackend) tick() {
+	if b.leaseUntil <= b.w.now {
+		b.leaseExpiredAt = b.w.now
+	}
+	due := false
+	for _, r := range b.runs {
+		due = due || b.leaseUntil <= b.w.now || b.stalledUntil > b.w.now || r.end <= b.w.now
+	}
+	if !due {
+		return
+	}
+	for _, key := range marshaler.RunsInOrder(b.runs) {
+		r := b.runs[key]
+		switch {
+		case b.leaseUntil <= b.w.now:
+			b.finish(key, marshaler.StatusLost)
+		case b.stalledUntil > b.w.now:
+			r.end++
+		case r.end <= b.w.now && b.w.durable != nil && b.w.random.IntN(12) == 0:
+			b.finish(key, marshaler.StatusFailed)
+		case r.end <= b.w.now:
+			b.finish(key, marshaler.StatusDone)
+		}
+	}
+}
+
+func (b *fakeBackend) hold(h keeper.HoldRequest, wait timer.Millis, answer func(l keeper.Listing, err error)) {
+	failed := func() { answer(keeper.Listing{}, errors.New("no answer")) }
+	b.call(func(answered bool) {
+		if !b.up {
+			return
+		}
+		if h.Until != 0 {
+			b.leaseUntil = max(b.leaseUntil, min(timer.Millis(h.Until), b.w.now+1000))
+		}
+		if h.Born == b.startedAt {
+			b.ended = slices.DeleteFunc(b.ended, func(e keeper.End) bool {
+				if e.Number <= h.Processed && b.w.durable != nil && e.Status == marshaler.StatusDone {
+					b.w.durable.onRecordedEnd(b.w, taskOf(e.Run), b.endedAt[e.Number], b.leaseExpiredAt)
+				}
+				return e.Number <= h.Processed
+			})
+		}
+		if !answered {
+			return
+		}
+		done := false
+		reply := func() {
+			if done {
+				return
+			}
+			done = true
+			if !b.up {
+				failed()
+				return
+			}
+			l := keeper.Listing{Number: h.Number, Born: b.startedAt, Clock: int64(b.w.now), Ended: slices.Clone(b.ended)}
+			for _, key := range marshaler.RunsInOrder(b.runs) {
+				r := b.runs[key]
+				l.Running = append(l.Running, keeper.Row{Run: key, Percent: int(100 * (b.w.now - r.begin) / max(r.end-r.begin, 1))})
+			}
+			b.w.schedule(1, func() { answer(l, nil) })
+		}
+		if len(b.ended) > 0 || wait == 0 {
+			reply()
+			return
+		}
+		b.holdWaiters = append(b.holdWaiters, reply)
+		b.w.schedule(wait, reply)
+	}, failed)
+}
--- a/submitter/steps.go
+++ b/submitter/steps.go
@@ -7,15 +7,15 @@
 	"github.com/crocuslb/crocuslb/timer"
 )
 
-// step is a step in work.
+// step is the state of one step of an active job.
 type step struct {
 	marshaler.Step
-	tasks   []task
-	done    int
-	begun   bool // room was requested
-	asked   int  // tasks with an open request
-	askedAt string
-	since   timer.Millis // of the latest request
+	tasks         []task
+	done          int
+	hasBegun      bool // capacity was requested
+	requested     int  // tasks with an open capacity request
+	requestedFrom string
+	requestedAt   timer.Millis // time of the latest request
 }
 
 func newSteps(steps []marshaler.Step) []step {
@@ -29,8 +29,8 @@
 	return all
 }
 
-// queued returns the number of tasks that are not placed.
-func (st *step) queued() (n int) {
+// queuedTasks returns the number of tasks that wait for a grant.
+func (st *step) queuedTasks() (n int) {
 	for i := range st.tasks {
 		if st.tasks[i].state == taskQueued {
 			n++
@@ -39,34 +39,34 @@
 	return n
 }
 
-// placed returns the sidecars that have a task of a step whose number on one backend server is bounded, one element for
-// each task.
-func (st *step) placed() (names []string) {
+// assignedSidecars returns the sidecar of each running task of a step that has a limit of tasks per backend server. A
+// sidecar occurs once for each task.
+func (st *step) assignedSidecars() (names []string) {
 	if st.PerServer == 0 {
 		return nil
 	}
 	for i := range st.tasks {
-		if st.tasks[i].state == taskPlaced {
+		if st.tasks[i].state == taskAssigned {
 			names = append(names, st.tasks[i].sidecar)
 		}
 	}
 	return names
 }
 
-// ready reports whether all steps that a step waits for are done.
-func (j *job) ready(n int) bool {
+// stepReady reports whether all steps that step n depends on are done.
+func (j *job) stepReady(n int) bool {
 	return !slices.ContainsFunc(j.steps[n].After, func(before uint64) bool {
 		return j.steps[before].done < len(j.steps[before].tasks)
 	})
 }
 
-// asking reports whether a request for room is open.
-func (j *job) asking() bool {
-	return slices.ContainsFunc(j.steps, func(st step) bool { return st.asked > 0 })
+// hasOpenRequest reports whether a capacity request is open.
+func (j *job) hasOpenRequest() bool {
+	return slices.ContainsFunc(j.steps, func(st step) bool { return st.requested > 0 })
 }
 
-// longestChain returns the estimated run time of the longest chain of steps that wait for each other.
-func (j *Job) longestChain() (longest timer.Millis) {
+// criticalPath returns the estimated run time of the longest chain of dependent steps.
+func (j *Job) criticalPath() (longest timer.Millis) {
 	ends := make([]timer.Millis, len(j.Steps))
 	for n := range j.Steps {
 		for _, before := range j.Steps[n].After {
@@ -78,8 +78,8 @@
 	return longest
 }
 
-// unsoundSteps returns what is wrong with the steps of a job, or an empty text.
-func (j *Job) unsoundSteps() string {
+// invalidStepsReason returns why the steps of a job are invalid, or "".
+func (j *Job) invalidStepsReason() string {
 	if len(j.Steps) == 0 || len(j.Steps) > maxSteps {
 		return "the job has no or too many steps"
 	}
--- a/submitter/steps_test.go
+++ b/submitter/steps_test.go
@@ -6,13 +6,13 @@
 	"github.com/crocuslb/crocuslb/marshaler"
 )
 
-// TestStepOrder guards against tasks that start before the steps that they wait for are done.
+// TestStepOrder guards against tasks that start before the steps that they depend on are done.
 func TestStepOrder(t *testing.T) {
 	room := marshaler.Room{CPU: 1000}
 	cases := []struct {
 		name  string
 		steps []marshaler.Step
-		// waves has the steps whose tasks run at the same time, in turn.
+		// waves lists the steps of the tasks that run at the same time, in order.
 		waves [][]int
 	}{
 		{"one", []marshaler.Step{{Tasks: 2, Room: room}}, [][]int{{0, 0}}},
@@ -23,76 +23,76 @@
 		}, [][]int{{0}, {1, 1, 2}, {3}}},
 	}
 	for _, c := range cases {
-		b := newBench()
-		b.s.Submit(b.now, Job{ID: "job", Queue: testQueue, Steps: c.steps, Deadline: 2000, Answer: func(a Answer) { b.answer = append(b.answer, a) }})
-		b.s.Flush(b.now)
+		f := newFixture()
+		f.core.Submit(f.now, Job{ID: "job", Queue: testQueue, Steps: c.steps, Deadline: 2000, Answer: func(a Answer) { f.answers = append(f.answers, a) }})
+		f.core.Flush(f.now)
 		for n, wave := range c.waves {
 			wave = append([]int(nil), wave...)
 			for len(wave) > 0 {
-				if len(b.starts) != len(wave) {
-					t.Fatalf("%s: wave %d: got %d starts, want %d", c.name, n, len(b.starts), len(wave))
+				if len(f.starts) != len(wave) {
+					t.Fatalf("%s: wave %d: got %d starts, want %d", c.name, n, len(f.starts), len(wave))
 				}
-				first := b.starts[0]
+				first := f.starts[0]
 				if step, _ := first.run.Task(); step != wave[0] {
 					t.Fatalf("%s: wave %d: got a start of step %d, want %d", c.name, n, step, wave[0])
 				}
-				b.starts, wave = b.starts[1:], wave[1:]
-				b.s.OnMessage(b.now, b.links[first.sidecar], &marshaler.Outcome{Run: first.run, Status: marshaler.StatusDone})
-				b.s.Flush(b.now)
-				if len(wave) > 0 && len(b.starts) != len(wave) {
-					t.Fatalf("%s: wave %d: got %d starts before its last task was done, want %d", c.name, n, len(b.starts), len(wave))
+				f.starts, wave = f.starts[1:], wave[1:]
+				f.core.OnMessage(f.now, f.links[first.sidecar], &marshaler.Outcome{Run: first.run, Status: marshaler.StatusDone})
+				f.core.Flush(f.now)
+				if len(wave) > 0 && len(f.starts) != len(wave) {
+					t.Fatalf("%s: wave %d: got %d starts before its last task was done, want %d", c.name, n, len(f.starts), len(wave))
 				}
 			}
 		}
-		if len(b.answer) != 1 || b.answer[0].Kind != AnswerDone {
-			t.Errorf("%s: got answers %v, want done", c.name, b.answer)
+		if len(f.answers) != 1 || f.answers[0].Kind != AnswerDone {
+			t.Errorf("%s: got answers %v, want done", c.name, f.answers)
 		}
 	}
 }
 
-// TestLongestChain guards against jobs of several steps that are refused as late after the time of one.
-func TestLongestChain(t *testing.T) {
+// TestCriticalPath guards against refusing jobs of several steps as late, by the estimate of a single step.
+func TestCriticalPath(t *testing.T) {
 	j := Job{Steps: []marshaler.Step{{Estimate: 100}, {Estimate: 50, After: []uint64{0}}, {Estimate: 500}, {Estimate: 70, After: []uint64{0, 1}}}}
-	if got := j.longestChain(); got != 500 {
+	if got := j.criticalPath(); got != 500 {
 		t.Errorf("got %d ms, want 500", got)
 	}
 	j.Steps[3].Estimate = 400
-	if got := j.longestChain(); got != 550 {
+	if got := j.criticalPath(); got != 550 {
 		t.Errorf("got %d ms, want 550", got)
 	}
 }
 
-// TestRepeat guards against a job that waits for ever, because the placing entry has forgotten its request.
+// TestRepeat guards against a job that waits forever because the scheduling entry has lost its request.
 func TestRepeat(t *testing.T) {
 	cases := []struct {
 		name   string
 		begun  bool
 		starts int
 	}{
-		{"a task has run", true, 3}, {"nothing has begun", false, 0},
+		{"a task has run", true, 3}, {"no task has started", false, 0},
 	}
 	for _, c := range cases {
-		b := newBench()
+		f := newFixture()
 		if c.begun {
-			b.submit(2)
-			first := b.starts[0]
-			b.s.placer.SetAccepting("side-a", false)
-			b.s.placer.SetAccepting("side-b", false)
-			b.s.OnMessage(b.now, b.links[first.sidecar], &marshaler.Outcome{Run: first.run, Status: marshaler.StatusFailed})
+			f.submit(2)
+			first := f.starts[0]
+			f.core.placer.SetAccepting("side-a", false)
+			f.core.placer.SetAccepting("side-b", false)
+			f.core.OnMessage(f.now, f.links[first.sidecar], &marshaler.Outcome{Run: first.run, Status: marshaler.StatusFailed})
 		} else {
-			b.s.placer.SetAccepting("side-a", false)
-			b.s.placer.SetAccepting("side-b", false)
-			b.submit(2)
+			f.core.placer.SetAccepting("side-a", false)
+			f.core.placer.SetAccepting("side-b", false)
+			f.submit(2)
 		}
-		b.s.placer.Forget("entry")
+		f.core.placer.Forget("entry")
 		for range 50 {
-			b.now += 25
+			f.now += 25
 			for _, name := range []string{"side-a", "side-b"} {
-				b.load(name)
+				f.load(name)
 			}
-			b.s.Tick(b.now)
+			f.core.Tick(f.now)
 		}
-		if got := len(b.starts); got != c.starts {
+		if got := len(f.starts); got != c.starts {
 			t.Errorf("%s: got %d starts, want %d", c.name, got, c.starts)
 		}
 	}
--- a/submitter/suspect_test.go
+++ b/submitter/suspect_test.go
@@ -8,13 +8,13 @@
 	"github.com/crocuslb/crocuslb/timer"
 )
 
-// TestSuspect guards against jobs that wait for a placing entry that is gone until its session ends, and against entries
-// that are only slow and are left out for good.
+// TestSuspect guards against jobs that wait for a lost scheduling entry until its session times out, and against
+// entries that are excluded for good although they are only slow.
 func TestSuspect(t *testing.T) {
 	s := &Submitter{Name: "entry-c", Incarnation: 3, Weight: 1}
 	now := timer.Millis(1000)
 	s.SetSnapshot(now, testSnapshot())
-	var asked []string
+	var requested []string
 	links := map[string]*marshaler.Link{}
 	for i, name := range []string{"entry-a", "entry-b"} {
 		links[name] = &marshaler.Link{
@@ -22,7 +22,7 @@
 			Close:  func(error) {},
 			Send: func(m marshaler.Message) {
 				if _, ok := m.(*marshaler.Ask); ok {
-					asked = append(asked, name)
+					requested = append(requested, name)
 				}
 			},
 		}
@@ -35,22 +35,22 @@
 		})
 	}
 	submit("one")
-	advance := func(d timer.Millis, alive ...string) {
+	advance := func(d timer.Millis, heartbeating ...string) {
 		for end := now + d; now < end; now += 25 {
-			for _, name := range alive {
+			for _, name := range heartbeating {
 				s.OnMessage(now, links[name], &marshaler.Beat{})
 			}
 			s.Tick(now)
 		}
 	}
-	advance(suspectLimit-25, "entry-b")
+	advance(suspectTimeout-25, "entry-b")
 	submit("two")
 	advance(50, "entry-b")
 	submit("three")
 	s.OnMessage(now, links["entry-a"], &marshaler.Beat{})
 	submit("four")
 	want := []string{"entry-a", "entry-a", "entry-b", "entry-b", "entry-b", "entry-a"}
-	if !slices.Equal(asked, want) {
-		t.Errorf("got requests to %v, want one, two to entry-a, both again and three to entry-b, four to entry-a: %v", asked, want)
+	if !slices.Equal(requested, want) {
+		t.Errorf("got requests to %v, want one and two to entry-a, both again and three to entry-b, four to entry-a: %v", requested, want)
 	}
 }
