--- a/marshaler/append.go
+++ b/marshaler/append.go
@@ -6,10 +6,10 @@
 	"github.com/crocuslb/crocuslb/appender"
 )
 
-// Numbers of the message types on the wire.
+// Message type numbers on the wire.
 const (
 	kindHello = iota + 1
-	kindBeat
+	kindHeartbeat
 	kindPeers
 	kindConfiguration
 	kindBackend
@@ -17,28 +17,28 @@
 	kindStart
 	kindStop
 	kindOutcome
-	kindHeld
-	kindSubscribe
-	kindAsk
-	kindWithdraw
+	kindActiveRuns
+	kindLoadSubscription
+	kindResourceRequest
+	kindCancelResourceRequest
 	kindGrant
 	kindReject
 	kindJobRecord
 	kindEndRecord
 	kindCancelRecord
-	kindOwned
+	kindOwnedPartitions
 	kindClaim
 	kindRelease
-	kindCensus
-	kindNoted
+	kindPartitionReport
+	kindOutcomeAck
 	kindCall
 	kindReply
-	kindWaiting
+	kindQueueBacklog
 	kindOwnerRecord
 	kindHandover
 )
 
-// Append appends the encoding of m to dst. It panics when m is not a pointer to a message type of this package.
+// Append appends the encoding of m to dst. It panics if m is not a pointer to a message type of this package.
 func Append(dst []byte, m Message) []byte {
 	switch m := m.(type) {
 	case *Hello:
@@ -50,7 +50,7 @@
 		dst = appender.AppendUint(dst, 6, m.Weight)
 		return appender.AppendUint(dst, 7, m.Session)
 	case *Beat:
-		dst = appender.AppendUint(append(dst, kindBeat), 1, m.Offset)
+		dst = appender.AppendUint(append(dst, kindHeartbeat), 1, m.Offset)
 		dst = appendBool(dst, 2, m.Leaving)
 		return appendBool(dst, 3, m.Kept)
 	case *Peers:
@@ -64,22 +64,22 @@
 	case *Start:
 		return appendStart(append(dst, kindStart), m)
 	case *Stop:
-		return appendRun(append(dst, kindStop), 1, &m.Run)
+		return appendRunKey(append(dst, kindStop), 1, &m.Run)
 	case *Outcome:
 		return appendOutcome(append(dst, kindOutcome), m)
 	case *Held:
-		dst = append(dst, kindHeld)
+		dst = append(dst, kindActiveRuns)
 		for i := range m.Runs {
-			dst = appendRun(dst, 1, &m.Runs[i])
+			dst = appendRunKey(dst, 1, &m.Runs[i])
 		}
 		return dst
 	case *Subscribe:
-		return appendBool(append(dst, kindSubscribe), 1, m.On)
+		return appendBool(append(dst, kindLoadSubscription), 1, m.On)
 	}
 	return appendPlacement(dst, m)
 }
 
-// appendPlacement appends the messages that carry rooms and requests for them.
+// appendPlacement appends messages about available resources and requests for them.
 func appendPlacement(dst []byte, m Message) []byte {
 	switch m := m.(type) {
 	case *Backend:
@@ -89,13 +89,13 @@
 		for _, l := range m.Labels {
 			dst = appendBytes(dst, 4, []byte(l))
 		}
-		return appendRoom(dst, 5, m.Total)
+		return appendResources(dst, 5, m.Total)
 	case *Load:
 		return appendLoad(append(dst, kindLoad), m)
 	case *Ask:
-		return appendAsk(append(dst, kindAsk), m)
+		return appendResourceRequest(append(dst, kindResourceRequest), m)
 	case *Withdraw:
-		dst = appender.AppendText(append(dst, kindWithdraw), 1, m.Job)
+		dst = appender.AppendText(append(dst, kindCancelResourceRequest), 1, m.Job)
 		return appender.AppendUint(dst, 2, m.Step)
 	case *Grant:
 		dst = appender.AppendText(append(dst, kindGrant), 1, m.Job)
@@ -106,38 +106,38 @@
 	case *Reject:
 		dst = appender.AppendText(append(dst, kindReject), 1, m.Job)
 		dst = appender.AppendText(dst, 2, m.Reason)
-		dst = appendInt(dst, 3, int64(m.RetryAfter))
+		dst = appendZigZag(dst, 3, int64(m.RetryAfter))
 		return appender.AppendUint(dst, 4, m.Step)
 	}
-	return appendKept(dst, m)
+	return appendDurable(dst, m)
 }
 
 func appendOutcome(dst []byte, m *Outcome) []byte {
-	dst = appendRun(dst, 1, &m.Run)
+	dst = appendRunKey(dst, 1, &m.Run)
 	dst = appender.AppendUint(dst, 2, uint64(m.Status))
 	dst = appender.AppendText(dst, 3, m.Reason)
-	dst = appendInt(dst, 4, int64(m.Ran))
+	dst = appendZigZag(dst, 4, int64(m.Ran))
 	dst = appender.AppendUint(dst, 5, m.Number)
 	return appendBool(dst, 6, m.Stale)
 }
 
 func appendStart(dst []byte, m *Start) []byte {
-	dst = appendRun(dst, 1, &m.Run)
+	dst = appendRunKey(dst, 1, &m.Run)
 	dst = appender.AppendText(dst, 2, m.Spec)
-	dst = appendRoom(dst, 3, m.Room)
-	dst = appendInt(dst, 4, int64(m.Estimate))
-	dst = appendInt(dst, 5, m.NotAfter)
+	dst = appendResources(dst, 3, m.Room)
+	dst = appendZigZag(dst, 4, int64(m.Estimate))
+	dst = appendZigZag(dst, 5, m.NotAfter)
 	return appender.AppendUint(dst, 6, m.Epoch)
 }
 
-func appendAsk(dst []byte, m *Ask) []byte {
+func appendResourceRequest(dst []byte, m *Ask) []byte {
 	dst = appender.AppendText(dst, 1, m.Job)
 	dst = appender.AppendText(dst, 2, m.Service)
 	dst = appender.AppendText(dst, 3, m.Queue)
 	dst = appender.AppendUint(dst, 4, m.Tasks)
-	dst = appendRoom(dst, 5, m.Room)
-	dst = appendInt(dst, 6, int64(m.Estimate))
-	dst = appendInt(dst, 7, int64(m.Slack))
+	dst = appendResources(dst, 5, m.Room)
+	dst = appendZigZag(dst, 6, int64(m.Estimate))
+	dst = appendZigZag(dst, 7, int64(m.Slack))
 	dst = appender.AppendUint(dst, 8, m.Priority)
 	dst = appendBool(dst, 9, m.Started)
 	for _, name := range m.Avoid {
@@ -150,14 +150,14 @@
 	for _, name := range m.Placed {
 		dst = appendBytes(dst, 15, []byte(name))
 	}
-	return appendInt(dst, 16, int64(m.Patience))
+	return appendZigZag(dst, 16, int64(m.Patience))
 }
 
 func appendLoad(dst []byte, m *Load) []byte {
 	dst = appender.AppendUint(dst, 1, m.Offset)
 	dst = appendBool(dst, 2, m.Accepting)
-	dst = appendRoom(dst, 3, m.Free)
-	dst = appendInt(dst, 4, m.Clock)
+	dst = appendResources(dst, 3, m.Free)
+	dst = appendZigZag(dst, 4, m.Clock)
 	dst = appender.AppendUint(dst, 5, m.Speed)
 	for _, job := range m.Seen {
 		dst = appendBytes(dst, 6, []byte(job))
@@ -167,9 +167,9 @@
 		dst = appendNested(dst, 7, func(b []byte) []byte {
 			b = appender.AppendText(b, 1, s.Job)
 			b = appender.AppendUint(b, 2, uint64(s.Status))
-			b = appendInt(b, 3, int64(s.Ran))
-			b = appendInt(b, 4, int64(s.Estimate))
-			return appendRoom(b, 5, s.Room)
+			b = appendZigZag(b, 3, int64(s.Ran))
+			b = appendZigZag(b, 4, int64(s.Estimate))
+			return appendResources(b, 5, s.Room)
 		})
 	}
 	return dst
@@ -181,7 +181,7 @@
 	return appender.AppendUint(b, 3, p.Incarnation)
 }
 
-func appendRun(dst []byte, tag protowire.Number, r *RunKey) []byte {
+func appendRunKey(dst []byte, tag protowire.Number, r *RunKey) []byte {
 	return appendNested(dst, tag, func(b []byte) []byte {
 		b = appender.AppendText(b, 1, r.Job)
 		b = appender.AppendUint(b, 2, r.Index)
@@ -189,15 +189,16 @@
 	})
 }
 
-func appendRoom(dst []byte, tag protowire.Number, r Room) []byte {
+func appendResources(dst []byte, tag protowire.Number, r Room) []byte {
 	return appendNested(dst, tag, func(b []byte) []byte {
-		b = appendInt(b, 1, r.CPU)
-		b = appendInt(b, 2, r.MemoryMB)
-		return appendInt(b, 3, r.Accelerators)
+		b = appendZigZag(b, 1, r.CPU)
+		b = appendZigZag(b, 2, r.MemoryMB)
+		return appendZigZag(b, 3, r.Accelerators)
 	})
 }
 
-// appendNested appends a nested message. Content of 128 bytes or more is moved to make room for its length.
+// appendNested appends a nested message. It reserves one byte for the length and moves content of 128 bytes or more, which
+// needs a longer one.
 func appendNested(dst []byte, tag protowire.Number, content func(b []byte) []byte) []byte {
 	dst = protowire.AppendTag(dst, tag, protowire.BytesType)
 	start := len(dst) + 1
@@ -219,6 +220,6 @@
 	return appender.AppendUint(dst, tag, protowire.EncodeBool(v))
 }
 
-func appendInt(dst []byte, tag protowire.Number, v int64) []byte {
+func appendZigZag(dst []byte, tag protowire.Number, v int64) []byte {
 	return appender.AppendUint(dst, tag, protowire.EncodeZigZag(v))
 }
--- a/marshaler/codec_test.go
+++ b/marshaler/codec_test.go
@@ -1,6 +1,7 @@
 package marshaler
 
 import (
+	"fmt"
 	"reflect"
 	"testing"
 
@@ -9,7 +10,7 @@
 	"github.com/crocuslb/crocuslb/timer"
 )
 
-func kinds() []Message {
+func allMessages() []Message {
 	return []Message{
 		&Hello{}, &Beat{}, &Peers{}, &Configuration{}, &Backend{}, &Load{}, &Start{}, &Stop{}, &Outcome{}, &Held{}, &Subscribe{},
 		&Ask{}, &Withdraw{}, &Grant{}, &Reject{}, &JobRecord{}, &EndRecord{}, &CancelRecord{}, &Owned{}, &Claim{}, &Release{}, &Census{},
@@ -17,14 +18,14 @@
 	}
 }
 
-// fill sets each field of v to a drawn value, so that a field that the codec forgets shows.
-func fill(t *rapid.T, v reflect.Value) {
+// fillRandom sets every field of v to a random value, so that a field that the codec omits changes in a round trip.
+func fillRandom(t *rapid.T, v reflect.Value) {
 	switch v.Kind() {
 	case reflect.Pointer:
-		fill(t, v.Elem())
+		fillRandom(t, v.Elem())
 	case reflect.Struct:
 		for i := range v.NumField() {
-			fill(t, v.Field(i))
+			fillRandom(t, v.Field(i))
 		}
 	case reflect.Slice:
 		n := rapid.IntRange(0, 4).Draw(t, "length")
@@ -33,7 +34,7 @@
 		}
 		v.Set(reflect.MakeSlice(v.Type(), n, n))
 		for i := range n {
-			fill(t, v.Index(i))
+			fillRandom(t, v.Index(i))
 		}
 	case reflect.String:
 		v.SetString(rapid.StringN(0, 20, MaxName).Draw(t, "text"))
@@ -50,11 +51,11 @@
 	}
 }
 
-// TestRoundTrip guards against fields that get lost between processes.
+// TestRoundTrip guards against message fields that are not encoded or not decoded.
 func TestRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		m := kinds()[rapid.IntRange(0, len(kinds())-1).Draw(t, "message")]
-		fill(t, reflect.ValueOf(m))
+		m := allMessages()[rapid.IntRange(0, len(allMessages())-1).Draw(t, "message")]
+		fillRandom(t, reflect.ValueOf(m))
 		got, err := Decode(Append(nil, m))
 		if err != nil {
 			t.Fatalf("%T: got error %v", m, err)
@@ -65,15 +66,38 @@
 	})
 }
 
-// TestMalformed guards against frames of another writer.
+// TestKindName guards against a message type that loses its name in metrics, for example when its Go type is renamed.
+func TestKindName(t *testing.T) {
+	want := []string{
+		"hello", "beat", "peers", "configuration", "backend", "load", "start", "stop", "outcome", "held", "subscribe",
+		"ask", "withdraw", "grant", "reject", "jobRecord", "endRecord", "cancelRecord", "owned", "claim", "release", "census",
+		"noted", "call", "reply", "waiting", "ownerRecord", "handover",
+	}
+	messages := allMessages()
+	if len(messages) != len(want) {
+		t.Fatalf("got %d message types, want %d", len(messages), len(want))
+	}
+	for i, m := range messages {
+		if got := KindName(Append(nil, m)[0]); got != want[i] {
+			t.Errorf("%T: got %q, want %q", m, got, want[i])
+		}
+	}
+	for _, kind := range []byte{0, byte(len(want) + 1), 255} {
+		if got, want := KindName(kind), fmt.Sprintf("type%d", kind); got != want {
+			t.Errorf("type %d: got %q, want %q", kind, got, want)
+		}
+	}
+}
+
+// TestMalformed guards against decoding frames that are truncated or violate the format or a limit.
 func TestMalformed(t *testing.T) {
 	start := Append(nil, &Start{Run: RunKey{"job", 1, 2}, Spec: "x", Estimate: timer.Second})
 	cases := []struct {
 		name  string
 		frame []byte
 	}{
-		{"empty", nil}, {"unknown type", []byte{200}}, {"cut", start[:len(start)-1]}, {"cut in the key", start[:4]},
-		{"wrong wire type", []byte{kindBeat, 0x0d, 1, 2, 3, 4}}, {"text for a number", []byte{kindBeat, 0x0a, 1, 'x'}},
+		{"empty", nil}, {"unknown type", []byte{200}}, {"truncated", start[:len(start)-1]}, {"truncated in the key", start[:4]},
+		{"wrong wire type", []byte{kindHeartbeat, 0x0d, 1, 2, 3, 4}}, {"text for a number", []byte{kindHeartbeat, 0x0a, 1, 'x'}},
 		{"name too long", Append(nil, &Withdraw{Job: string(make([]byte, MaxName+1))})},
 	}
 	for _, c := range cases {
@@ -83,9 +107,9 @@
 	}
 }
 
-// FuzzDecode guards against frames that make a process panic.
+// FuzzDecode guards against frames that make the decoder panic.
 func FuzzDecode(f *testing.F) {
-	for _, m := range kinds() {
+	for _, m := range allMessages() {
 		f.Add(Append(nil, m))
 	}
 	f.Fuzz(func(_ *testing.T, frame []byte) { _, _ = Decode(frame) })
--- a/marshaler/decode.go
+++ b/marshaler/decode.go
@@ -8,11 +8,11 @@
 	"github.com/crocuslb/crocuslb/timer"
 )
 
-// Decode decodes one message. The frame is not retained. The error says which field is unsound; it satisfies
-// trace.IsNotImplemented when the type of the message is unknown, which may be one of a newer version.
+// Decode decodes one message. It does not retain the frame. The error names the invalid field. It satisfies
+// trace.IsNotImplemented if the message type is unknown, which may be one of a newer version.
 func Decode(frame []byte) (Message, error) {
 	if len(frame) == 0 {
-		return nil, trace.BadParameter("the frame is empty")
+		return nil, trace.BadParameter("empty frame")
 	}
 	m, visit := decoder(frame[0])
 	if m == nil {
@@ -24,62 +24,63 @@
 	return m, nil
 }
 
-// decoder returns an empty message of the kind and the function that sets one of its fields. Unknown fields are skipped.
+// decoder returns an empty message of the given type and the function that decodes one of its fields. Unknown fields are
+// skipped.
 func decoder(kind byte) (Message, func(f appender.Field) error) {
 	switch kind {
 	case kindHello:
 		m := &Hello{}
-		return m, m.set
-	case kindBeat:
+		return m, m.setField
+	case kindHeartbeat:
 		m := &Beat{}
-		return m, m.set
+		return m, m.setField
 	case kindPeers:
 		m := &Peers{}
-		return m, m.set
+		return m, m.setField
 	case kindConfiguration:
 		m := &Configuration{}
-		return m, m.set
+		return m, m.setField
 	case kindBackend:
 		m := &Backend{}
-		return m, m.set
+		return m, m.setField
 	case kindLoad:
 		m := &Load{}
-		return m, m.set
+		return m, m.setField
 	case kindStart:
 		m := &Start{}
-		return m, m.set
+		return m, m.setField
 	case kindStop:
 		m := &Stop{}
-		return m, func(f appender.Field) error { return setRun(f, &m.Run) }
+		return m, func(f appender.Field) error { return setRunKey(f, &m.Run) }
 	case kindOutcome:
 		m := &Outcome{}
-		return m, m.set
-	case kindHeld:
+		return m, m.setField
+	case kindActiveRuns:
 		m := &Held{}
-		return m, m.set
-	case kindSubscribe:
+		return m, m.setField
+	case kindLoadSubscription:
 		m := &Subscribe{}
 		return m, func(f appender.Field) error { return setBool(f, &m.On) }
-	case kindAsk:
+	case kindResourceRequest:
 		m := &Ask{}
-		return m, m.set
-	case kindWithdraw:
+		return m, m.setField
+	case kindCancelResourceRequest:
 		m := &Withdraw{}
-		return m, m.set
+		return m, m.setField
 	case kindGrant:
 		m := &Grant{}
-		return m, m.set
+		return m, m.setField
 	case kindReject:
 		m := &Reject{}
-		return m, m.set
+		return m, m.setField
 	}
-	return keptDecoder(kind)
+	return durableDecoder(kind)
 }
 
-func (m *Hello) set(f appender.Field) error {
+func (m *Hello) setField(f appender.Field) error {
 	switch f.Tag {
 	case 1:
-		return setSmall(f, &m.Role)
+		return setUint8(f, &m.Role)
 	case 2:
 		return f.Text(&m.Name, MaxName)
 	case 3:
@@ -96,7 +97,7 @@
 	return nil
 }
 
-func (m *Beat) set(f appender.Field) error {
+func (m *Beat) setField(f appender.Field) error {
 	switch f.Tag {
 	case 1:
 		return f.Uint(&m.Offset)
@@ -108,15 +109,15 @@
 	return nil
 }
 
-func (m *Peers) set(f appender.Field) error {
+func (m *Peers) setField(f appender.Field) error {
 	if f.Tag != 1 {
 		return nil
 	}
-	p, err := grow(&m.Peers)
+	p, err := appendZero(&m.Peers)
 	if err != nil {
 		return err
 	}
-	return nested(f, func(f appender.Field) error {
+	return decodeNested(f, func(f appender.Field) error {
 		switch f.Tag {
 		case 1:
 			return f.Text(&p.Name, MaxName)
@@ -129,16 +130,16 @@
 	})
 }
 
-func (m *Configuration) set(f appender.Field) error {
+func (m *Configuration) setField(f appender.Field) error {
 	if f.Tag != 1 {
 		return nil
 	}
-	b, err := f.Message(maxFrame)
+	b, err := f.Message(maxNestedLen)
 	m.Body = append([]byte(nil), b...)
 	return err
 }
 
-func (m *Backend) set(f appender.Field) error {
+func (m *Backend) setField(f appender.Field) error {
 	switch f.Tag {
 	case 1:
 		return f.Text(&m.ID, MaxName)
@@ -147,77 +148,77 @@
 	case 3:
 		return f.Text(&m.Service, MaxName)
 	case 4:
-		return addText(f, &m.Labels)
+		return appendDecodedText(f, &m.Labels)
 	case 5:
-		return setRoom(f, &m.Total)
+		return setResources(f, &m.Total)
 	}
 	return nil
 }
 
-func (m *Load) set(f appender.Field) error {
+func (m *Load) setField(f appender.Field) error {
 	switch f.Tag {
 	case 1:
 		return f.Uint(&m.Offset)
 	case 2:
 		return setBool(f, &m.Accepting)
 	case 3:
-		return setRoom(f, &m.Free)
+		return setResources(f, &m.Free)
 	case 4:
-		return setInt(f, &m.Clock)
+		return setZigZag(f, &m.Clock)
 	case 5:
 		return f.Uint(&m.Speed)
 	case 6:
-		return addText(f, &m.Seen)
+		return appendDecodedText(f, &m.Seen)
 	case 7:
-		s, err := grow(&m.Settled)
+		s, err := appendZero(&m.Settled)
 		if err != nil {
 			return err
 		}
-		return nested(f, s.set)
+		return decodeNested(f, s.setField)
 	}
 	return nil
 }
 
-func (s *Settled) set(f appender.Field) error {
+func (s *Settled) setField(f appender.Field) error {
 	switch f.Tag {
 	case 1:
 		return f.Text(&s.Job, MaxName)
 	case 2:
-		return setSmall(f, &s.Status)
+		return setUint8(f, &s.Status)
 	case 3:
 		return setMillis(f, &s.Ran)
 	case 4:
 		return setMillis(f, &s.Estimate)
 	case 5:
-		return setRoom(f, &s.Room)
+		return setResources(f, &s.Room)
 	}
 	return nil
 }
 
-func (m *Start) set(f appender.Field) error {
+func (m *Start) setField(f appender.Field) error {
 	switch f.Tag {
 	case 1:
-		return setRun(f, &m.Run)
+		return setRunKey(f, &m.Run)
 	case 2:
 		return f.Text(&m.Spec, MaxSpec)
 	case 3:
-		return setRoom(f, &m.Room)
+		return setResources(f, &m.Room)
 	case 4:
 		return setMillis(f, &m.Estimate)
 	case 5:
-		return setInt(f, &m.NotAfter)
+		return setZigZag(f, &m.NotAfter)
 	case 6:
 		return f.Uint(&m.Epoch)
 	}
 	return nil
 }
 
-func (m *Outcome) set(f appender.Field) error {
+func (m *Outcome) setField(f appender.Field) error {
 	switch f.Tag {
 	case 1:
-		return setRun(f, &m.Run)
+		return setRunKey(f, &m.Run)
 	case 2:
-		return setSmall(f, &m.Status)
+		return setUint8(f, &m.Status)
 	case 3:
 		return f.Text(&m.Reason, MaxName)
 	case 4:
@@ -230,18 +231,18 @@
 	return nil
 }
 
-func (m *Held) set(f appender.Field) error {
+func (m *Held) setField(f appender.Field) error {
 	if f.Tag != 1 {
 		return nil
 	}
-	r, err := grow(&m.Runs)
+	r, err := appendZero(&m.Runs)
 	if err != nil {
 		return err
 	}
-	return setRun(f, r)
+	return setRunKey(f, r)
 }
 
-func (m *Ask) set(f appender.Field) error {
+func (m *Ask) setField(f appender.Field) error {
 	switch f.Tag {
 	case 1:
 		return f.Text(&m.Job, MaxName)
@@ -252,7 +253,7 @@
 	case 4:
 		return f.Uint(&m.Tasks)
 	case 5:
-		return setRoom(f, &m.Room)
+		return setResources(f, &m.Room)
 	case 6:
 		return setMillis(f, &m.Estimate)
 	case 7:
@@ -262,7 +263,7 @@
 	case 9:
 		return setBool(f, &m.Started)
 	case 10:
-		return addText(f, &m.Avoid)
+		return appendDecodedText(f, &m.Avoid)
 	case 11:
 		return f.Uint(&m.Step)
 	case 12:
@@ -272,14 +273,14 @@
 	case 14:
 		return f.Uint(&m.PerServer)
 	case 15:
-		return addText(f, &m.Placed)
+		return appendDecodedText(f, &m.Placed)
 	case 16:
 		return setMillis(f, &m.Patience)
 	}
 	return nil
 }
 
-func (m *Withdraw) set(f appender.Field) error {
+func (m *Withdraw) setField(f appender.Field) error {
 	switch f.Tag {
 	case 1:
 		return f.Text(&m.Job, MaxName)
@@ -289,19 +290,19 @@
 	return nil
 }
 
-func (m *Grant) set(f appender.Field) error {
+func (m *Grant) setField(f appender.Field) error {
 	switch f.Tag {
 	case 1:
 		return f.Text(&m.Job, MaxName)
 	case 2:
-		return addText(f, &m.Sidecars)
+		return appendDecodedText(f, &m.Sidecars)
 	case 3:
 		return f.Uint(&m.Step)
 	}
 	return nil
 }
 
-func (m *Reject) set(f appender.Field) error {
+func (m *Reject) setField(f appender.Field) error {
 	switch f.Tag {
 	case 1:
 		return f.Text(&m.Job, MaxName)
@@ -315,19 +316,19 @@
 	return nil
 }
 
-// maxFrame bounds nested messages; the transport bounds whole frames.
-const maxFrame = 4 << 20
+// maxNestedLen is the maximum length of a nested message in bytes. The transport limits whole frames.
+const maxNestedLen = 4 << 20
 
-func nested(f appender.Field, visit func(f appender.Field) error) error {
-	b, err := f.Message(maxFrame)
+func decodeNested(f appender.Field, visit func(f appender.Field) error) error {
+	b, err := f.Message(maxNestedLen)
 	if err != nil {
 		return err
 	}
 	return appender.Fields(b, visit)
 }
 
-func setRun(f appender.Field, r *RunKey) error {
-	return nested(f, func(f appender.Field) error {
+func setRunKey(f appender.Field, r *RunKey) error {
+	return decodeNested(f, func(f appender.Field) error {
 		switch f.Tag {
 		case 1:
 			return f.Text(&r.Job, MaxName)
@@ -340,21 +341,21 @@
 	})
 }
 
-func setRoom(f appender.Field, r *Room) error {
-	return nested(f, func(f appender.Field) error {
+func setResources(f appender.Field, r *Room) error {
+	return decodeNested(f, func(f appender.Field) error {
 		switch f.Tag {
 		case 1:
-			return setInt(f, &r.CPU)
+			return setZigZag(f, &r.CPU)
 		case 2:
-			return setInt(f, &r.MemoryMB)
+			return setZigZag(f, &r.MemoryMB)
 		case 3:
-			return setInt(f, &r.Accelerators)
+			return setZigZag(f, &r.Accelerators)
 		}
 		return nil
 	})
 }
 
-func setInt(f appender.Field, dst *int64) error {
+func setZigZag(f appender.Field, dst *int64) error {
 	var v uint64
 	err := f.Uint(&v)
 	*dst = protowire.DecodeZigZag(v)
@@ -363,7 +364,7 @@
 
 func setMillis(f appender.Field, dst *timer.Millis) error {
 	var v int64
-	err := setInt(f, &v)
+	err := setZigZag(f, &v)
 	*dst = timer.Millis(v)
 	return err
 }
@@ -375,29 +376,30 @@
 	return err
 }
 
-func setSmall[T ~uint8](f appender.Field, dst *T) error {
+func setUint8[T ~uint8](f appender.Field, dst *T) error {
 	var v uint64
 	if err := f.Uint(&v); err != nil {
 		return err
 	}
 	if v > 255 {
-		return trace.BadParameter("field %d has the value %d, more than 255", f.Tag, v)
+		return trace.BadParameter("field %d: value %d exceeds 255", f.Tag, v)
 	}
 	*dst = T(v)
 	return nil
 }
 
-func addText(f appender.Field, list *[]string) error {
-	s, err := grow(list)
+func appendDecodedText(f appender.Field, list *[]string) error {
+	s, err := appendZero(list)
 	if err != nil {
 		return err
 	}
 	return f.Text(s, MaxName)
 }
 
-func grow[T any](list *[]T) (*T, error) {
+// appendZero appends a zero element, which the caller decodes into.
+func appendZero[T any](list *[]T) (*T, error) {
 	if len(*list) >= MaxList {
-		return nil, trace.LimitExceeded("a list has more than %d elements", MaxList)
+		return nil, trace.LimitExceeded("list exceeds %d elements", MaxList)
 	}
 	var zero T
 	*list = append(*list, zero)
--- /dev/null
+++ b/marshaler/durable.go
@@ -0,0 +1,141 @@
+package marshaler
+
+import (
+	"hash/fnv"
+
+	"github.com/crocuslb/crocuslb/timer"
+)
+
+const (
+	// VerbSubmit submits a durable job.
+	VerbSubmit Verb = iota + 1
+	// VerbState queries the state of a durable job.
+	VerbState
+	// VerbCancel cancels a durable job.
+	VerbCancel
+)
+
+type (
+	// Verb is the operation that a Call requests.
+	Verb uint8
+
+	// Step is a group of identical tasks of a job.
+	Step struct {
+		Tasks    uint64
+		Room     Room         // of each task
+		Estimate timer.Millis // of each task's run time
+		// After lists the indexes of earlier steps whose tasks must all be done before a task of this step starts.
+		After []uint64
+		// Label is the required label of the backend server; empty for none.
+		Label string
+		// Rack is the rack on which the tasks run fastest; empty for none.
+		Rack string
+		// PerServer is the maximum number of tasks of the step on one backend server; 0 means no limit.
+		PerServer uint64
+	}
+
+	// JobRecord is the complete state of a durable job in the store. It is written when the job is accepted, and again
+	// before the job's records expire.
+	JobRecord struct {
+		ID        string
+		Queue     string
+		Service   string
+		Attempts  uint64 // number of failed attempts of one task after which the job fails
+		Priority  uint64
+		Spec      string
+		Steps     []Step
+		Tasks     []TaskRecord // tasks with a recorded end
+		Cancelled bool
+	}
+
+	// TaskRecord is the recorded state of a task.
+	TaskRecord struct {
+		Index    uint64
+		Attempt  uint64 // highest recorded attempt
+		Failures uint64
+		Done     bool
+	}
+
+	// EndRecord records the end of a run of a durable job, with StatusDone or StatusFailed.
+	EndRecord struct {
+		Run    RunKey
+		Status Status
+	}
+
+	// OwnerRecord marks the point in a partition's records at which a new owner takes over.
+	OwnerRecord struct{ Epoch uint64 }
+
+	// CancelRecord records the cancellation of a durable job.
+	CancelRecord struct{ Job string }
+
+	// Partition identifies a partition of the durable jobs and the epoch under which an entry owns it. The epoch increases
+	// with each change of the owner.
+	Partition struct {
+		Number   uint64
+		Epoch    uint64
+		Previous uint64 // epoch of the previous owner; 0 if unknown
+	}
+
+	// Owned lists the partitions that the sender owns. It is sent to the other entries when a session opens and after each
+	// change.
+	Owned struct{ Partitions []Partition }
+
+	// Claim tells a sidecar which partitions the sender owns. The sidecar transfers the runs of earlier owners to the sender
+	// and replies with one report per partition.
+	Claim struct{ Partitions []Partition }
+
+	// Release tells a sidecar that the sender no longer owns a partition. Runs that no other entry claims soon are stopped.
+	Release struct{ Partition Partition }
+
+	// Handover is sent by an owner that gave up a partition. It tells the other entries which of its tasks may be running or
+	// have an end that is not recorded. Attempts are not set.
+	Handover struct {
+		Partition Partition
+		Tasks     []RunKey
+	}
+
+	// Census reports a sidecar's runs of a partition and the ends that no entry has recorded yet.
+	Census struct {
+		Partition Partition
+		Runs      []RunKey
+		Ends      []Outcome
+	}
+
+	// Noted acknowledges an end: it is recorded and need not be listed again. Void means that the end must not count: the
+	// task was started again because its end could not be determined.
+	Noted struct {
+		Number uint64
+		Run    RunKey
+		Void   bool
+	}
+
+	// Call forwards a caller's request to the entry that owns the job's partition.
+	Call struct {
+		Number uint64
+		Verb   Verb
+		Job    string
+		Queue  string
+		Body   []byte // encoded JobRecord, for VerbSubmit
+	}
+
+	// Reply is the response to a Call.
+	Reply struct {
+		Number     uint64
+		Kind       uint8 // an AnswerKind of package submitter
+		Reason     string
+		RetryAfter timer.Millis
+	}
+
+	// Waiting tells another entry how many durable jobs of a queue have not started yet at the sender.
+	Waiting struct {
+		Queue string
+		Jobs  uint64
+	}
+)
+
+// PartitionOf maps a durable job to one of count partitions by the hash of its identifier.
+func PartitionOf(job string, count uint64) uint64 {
+	h := fnv.New64a()
+	_, _ = h.Write([]byte(job)) // never returns an error
+	return h.Sum64() % max(count, 1)
+}
--- a/marshaler/keptcodec.go
+++ b/marshaler/durablecodec.go
@@ -8,20 +8,20 @@
 	"github.com/crocuslb/crocuslb/appender"
 )
 
-// appendKept appends the messages and records of kept jobs.
-func appendKept(dst []byte, m Message) []byte {
+// appendDurable appends messages and records of durable jobs.
+func appendDurable(dst []byte, m Message) []byte {
 	switch m := m.(type) {
 	case *JobRecord:
 		return appendJobRecord(append(dst, kindJobRecord), m)
 	case *EndRecord:
-		dst = appendRun(append(dst, kindEndRecord), 1, &m.Run)
+		dst = appendRunKey(append(dst, kindEndRecord), 1, &m.Run)
 		return appender.AppendUint(dst, 2, uint64(m.Status))
 	case *OwnerRecord:
 		return appender.AppendUint(append(dst, kindOwnerRecord), 1, m.Epoch)
 	case *CancelRecord:
 		return appender.AppendText(append(dst, kindCancelRecord), 1, m.Job)
 	case *Owned:
-		return appendPartitions(append(dst, kindOwned), m.Partitions)
+		return appendPartitions(append(dst, kindOwnedPartitions), m.Partitions)
 	case *Claim:
 		return appendPartitions(append(dst, kindClaim), m.Partitions)
 	case *Release:
@@ -29,14 +29,14 @@
 	case *Handover:
 		dst = appendPartition(append(dst, kindHandover), 1, m.Partition)
 		for i := range m.Tasks {
-			dst = appendRun(dst, 2, &m.Tasks[i])
+			dst = appendRunKey(dst, 2, &m.Tasks[i])
 		}
 		return dst
 	case *Census:
-		return appendCensus(append(dst, kindCensus), m)
+		return appendPartitionReport(append(dst, kindPartitionReport), m)
 	case *Noted:
-		dst = appender.AppendUint(append(dst, kindNoted), 1, m.Number)
-		dst = appendRun(dst, 2, &m.Run)
+		dst = appender.AppendUint(append(dst, kindOutcomeAck), 1, m.Number)
+		dst = appendRunKey(dst, 2, &m.Run)
 		return appendBool(dst, 3, m.Void)
 	case *Call:
 		dst = appender.AppendUint(append(dst, kindCall), 1, m.Number)
@@ -48,9 +48,9 @@
 		dst = appender.AppendUint(append(dst, kindReply), 1, m.Number)
 		dst = appender.AppendUint(dst, 2, uint64(m.Kind))
 		dst = appender.AppendText(dst, 3, m.Reason)
-		return appendInt(dst, 4, int64(m.RetryAfter))
+		return appendZigZag(dst, 4, int64(m.RetryAfter))
 	case *Waiting:
-		dst = appender.AppendText(append(dst, kindWaiting), 1, m.Queue)
+		dst = appender.AppendText(append(dst, kindQueueBacklog), 1, m.Queue)
 		return appender.AppendUint(dst, 2, m.Jobs)
 	}
 	panic(fmt.Sprintf("marshaler: unknown message type %T", m))
@@ -80,8 +80,8 @@
 
 func appendStep(b []byte, s *Step) []byte {
 	b = appender.AppendUint(b, 1, s.Tasks)
-	b = appendRoom(b, 2, s.Room)
-	b = appendInt(b, 3, int64(s.Estimate))
+	b = appendResources(b, 2, s.Room)
+	b = appendZigZag(b, 3, int64(s.Estimate))
 	for _, n := range s.After {
 		b = protowire.AppendVarint(protowire.AppendTag(b, 4, protowire.VarintType), n)
 	}
@@ -105,10 +105,10 @@
 	})
 }
 
-func appendCensus(dst []byte, m *Census) []byte {
+func appendPartitionReport(dst []byte, m *Census) []byte {
 	dst = appendPartition(dst, 1, m.Partition)
 	for i := range m.Runs {
-		dst = appendRun(dst, 2, &m.Runs[i])
+		dst = appendRunKey(dst, 2, &m.Runs[i])
 	}
 	for i := range m.Ends {
 		dst = appendNested(dst, 3, func(b []byte) []byte { return appendOutcome(b, &m.Ends[i]) })
@@ -116,53 +116,53 @@
 	return dst
 }
 
-// keptDecoder is the part of decoder for the messages and records of kept jobs.
-func keptDecoder(kind byte) (Message, func(f appender.Field) error) {
+// durableDecoder implements decoder for messages and records of durable jobs.
+func durableDecoder(kind byte) (Message, func(f appender.Field) error) {
 	switch kind {
 	case kindJobRecord:
 		m := &JobRecord{}
-		return m, m.set
+		return m, m.setField
 	case kindEndRecord:
 		m := &EndRecord{}
-		return m, m.set
+		return m, m.setField
 	case kindCancelRecord:
 		m := &CancelRecord{}
 		return m, func(f appender.Field) error { return f.Text(&m.Job, MaxName) }
-	case kindOwned:
+	case kindOwnedPartitions:
 		m := &Owned{}
-		return m, func(f appender.Field) error { return addPartition(f, &m.Partitions) }
+		return m, func(f appender.Field) error { return appendDecodedPartition(f, &m.Partitions) }
 	case kindClaim:
 		m := &Claim{}
-		return m, func(f appender.Field) error { return addPartition(f, &m.Partitions) }
+		return m, func(f appender.Field) error { return appendDecodedPartition(f, &m.Partitions) }
 	case kindRelease:
 		m := &Release{}
-		return m, func(f appender.Field) error { return nested(f, m.Partition.set) }
+		return m, func(f appender.Field) error { return decodeNested(f, m.Partition.setField) }
 	case kindHandover:
 		m := &Handover{}
-		return m, m.set
-	case kindCensus:
+		return m, m.setField
+	case kindPartitionReport:
 		m := &Census{}
-		return m, m.set
-	case kindNoted:
+		return m, m.setField
+	case kindOutcomeAck:
 		m := &Noted{}
-		return m, m.set
+		return m, m.setField
 	case kindCall:
 		m := &Call{}
-		return m, m.set
+		return m, m.setField
 	case kindReply:
 		m := &Reply{}
-		return m, m.set
+		return m, m.setField
 	case kindOwnerRecord:
 		m := &OwnerRecord{}
 		return m, func(f appender.Field) error { return f.Uint(&m.Epoch) }
-	case kindWaiting:
+	case kindQueueBacklog:
 		m := &Waiting{}
-		return m, m.set
+		return m, m.setField
 	}
 	return nil, nil
 }
 
-func (m *JobRecord) set(f appender.Field) error {
+func (m *JobRecord) setField(f appender.Field) error {
 	switch f.Tag {
 	case 1:
 		return f.Text(&m.ID, MaxName)
@@ -177,33 +177,33 @@
 	case 6:
 		return f.Text(&m.Spec, MaxSpec)
 	case 7:
-		s, err := grow(&m.Steps)
+		s, err := appendZero(&m.Steps)
 		if err != nil {
 			return err
 		}
-		return nested(f, s.set)
+		return decodeNested(f, s.setField)
 	case 8:
-		t, err := grow(&m.Tasks)
+		t, err := appendZero(&m.Tasks)
 		if err != nil {
 			return err
 		}
-		return nested(f, t.set)
+		return decodeNested(f, t.setField)
 	case 9:
 		return setBool(f, &m.Cancelled)
 	}
 	return nil
 }
 
-func (s *Step) set(f appender.Field) error {
+func (s *Step) setField(f appender.Field) error {
 	switch f.Tag {
 	case 1:
 		return f.Uint(&s.Tasks)
 	case 2:
-		return setRoom(f, &s.Room)
+		return setResources(f, &s.Room)
 	case 3:
 		return setMillis(f, &s.Estimate)
 	case 4:
-		n, err := grow(&s.After)
+		n, err := appendZero(&s.After)
 		if err != nil {
 			return err
 		}
@@ -218,7 +218,7 @@
 	return nil
 }
 
-func (t *TaskRecord) set(f appender.Field) error {
+func (t *TaskRecord) setField(f appender.Field) error {
 	switch f.Tag {
 	case 1:
 		return f.Uint(&t.Index)
@@ -232,17 +232,17 @@
 	return nil
 }
 
-func (m *EndRecord) set(f appender.Field) error {
+func (m *EndRecord) setField(f appender.Field) error {
 	switch f.Tag {
 	case 1:
-		return setRun(f, &m.Run)
+		return setRunKey(f, &m.Run)
 	case 2:
-		return setSmall(f, &m.Status)
+		return setUint8(f, &m.Status)
 	}
 	return nil
 }
 
-func (p *Partition) set(f appender.Field) error {
+func (p *Partition) setField(f appender.Field) error {
 	switch f.Tag {
 	case 1:
 		return f.Uint(&p.Number)
@@ -254,84 +254,84 @@
 	return nil
 }
 
-func addPartition(f appender.Field, list *[]Partition) error {
-	p, err := grow(list)
+func appendDecodedPartition(f appender.Field, list *[]Partition) error {
+	p, err := appendZero(list)
 	if err != nil {
 		return err
 	}
-	return nested(f, p.set)
+	return decodeNested(f, p.setField)
 }
 
-func (m *Handover) set(f appender.Field) error {
+func (m *Handover) setField(f appender.Field) error {
 	switch f.Tag {
 	case 1:
-		return nested(f, m.Partition.set)
+		return decodeNested(f, m.Partition.setField)
 	case 2:
-		r, err := grow(&m.Tasks)
+		r, err := appendZero(&m.Tasks)
 		if err != nil {
 			return err
 		}
-		return setRun(f, r)
+		return setRunKey(f, r)
 	}
 	return nil
 }
 
-func (m *Census) set(f appender.Field) error {
+func (m *Census) setField(f appender.Field) error {
 	switch f.Tag {
 	case 1:
-		return nested(f, m.Partition.set)
+		return decodeNested(f, m.Partition.setField)
 	case 2:
-		r, err := grow(&m.Runs)
+		r, err := appendZero(&m.Runs)
 		if err != nil {
 			return err
 		}
-		return setRun(f, r)
+		return setRunKey(f, r)
 	case 3:
-		o, err := grow(&m.Ends)
+		o, err := appendZero(&m.Ends)
 		if err != nil {
 			return err
 		}
-		return nested(f, o.set)
+		return decodeNested(f, o.setField)
 	}
 	return nil
 }
 
-func (m *Noted) set(f appender.Field) error {
+func (m *Noted) setField(f appender.Field) error {
 	switch f.Tag {
 	case 1:
 		return f.Uint(&m.Number)
 	case 2:
-		return setRun(f, &m.Run)
+		return setRunKey(f, &m.Run)
 	case 3:
 		return setBool(f, &m.Void)
 	}
 	return nil
 }
 
-func (m *Call) set(f appender.Field) error {
+func (m *Call) setField(f appender.Field) error {
 	switch f.Tag {
 	case 1:
 		return f.Uint(&m.Number)
 	case 2:
-		return setSmall(f, &m.Verb)
+		return setUint8(f, &m.Verb)
 	case 3:
 		return f.Text(&m.Job, MaxName)
 	case 4:
 		return f.Text(&m.Queue, MaxName)
 	case 5:
-		b, err := f.Message(maxFrame)
+		b, err := f.Message(maxNestedLen)
 		m.Body = append([]byte(nil), b...)
 		return err
 	}
 	return nil
 }
 
-func (m *Reply) set(f appender.Field) error {
+func (m *Reply) setField(f appender.Field) error {
 	switch f.Tag {
 	case 1:
 		return f.Uint(&m.Number)
 	case 2:
-		return setSmall(f, &m.Kind)
+		return setUint8(f, &m.Kind)
 	case 3:
 		return f.Text(&m.Reason, MaxName)
 	case 4:
@@ -340,7 +340,7 @@
 	return nil
 }
 
-func (m *Waiting) set(f appender.Field) error {
+func (m *Waiting) setField(f appender.Field) error {
 	switch f.Tag {
 	case 1:
 		return f.Text(&m.Queue, MaxName)
--- a/marshaler/kindname.go
+++ b/marshaler/kindname.go
@@ -1,17 +1,44 @@
 package marshaler
 
-import (
-	"reflect"
-	"strconv"
-	"strings"
-)
+import "strconv"
 
-// KindName returns the name of a message type by its number on the wire, as in "load". Unknown ones are called by number.
+// kindNames are the names of the message types in metrics. They do not depend on the names of the Go types.
+var kindNames = [...]string{
+	kindHello:                 "hello",
+	kindHeartbeat:             "beat",
+	kindPeers:                 "peers",
+	kindConfiguration:         "configuration",
+	kindBackend:               "backend",
+	kindLoad:                  "load",
+	kindStart:                 "start",
+	kindStop:                  "stop",
+	kindOutcome:               "outcome",
+	kindActiveRuns:            "held",
+	kindLoadSubscription:      "subscribe",
+	kindResourceRequest:       "ask",
+	kindCancelResourceRequest: "withdraw",
+	kindGrant:                 "grant",
+	kindReject:                "reject",
+	kindJobRecord:             "jobRecord",
+	kindEndRecord:             "endRecord",
+	kindCancelRecord:          "cancelRecord",
+	kindOwnedPartitions:       "owned",
+	kindClaim:                 "claim",
+	kindRelease:               "release",
+	kindPartitionReport:       "census",
+	kindOutcomeAck:            "noted",
+	kindCall:                  "call",
+	kindReply:                 "reply",
+	kindQueueBacklog:          "waiting",
+	kindOwnerRecord:           "ownerRecord",
+	kindHandover:              "handover",
+}
+
+// KindName returns the name in metrics of a message type, for example "load", or "type" and the number of an unknown
+// type.
 func KindName(kind byte) string {
-	m, _ := decoder(kind)
-	if m == nil {
-		return "type" + strconv.Itoa(int(kind))
+	if int(kind) < len(kindNames) && kindNames[kind] != "" {
+		return kindNames[kind]
 	}
-	name := reflect.TypeOf(m).Elem().Name()
-	return strings.ToLower(name[:1]) + name[1:]
+	return "type" + strconv.Itoa(int(kind))
 }
--- a/marshaler/link.go
+++ b/marshaler/link.go
@@ -3,16 +3,16 @@
 import "github.com/crocuslb/crocuslb/timer"
 
 const (
-	// IdleBeatPeriod is the time between two heartbeats on a session that nobody depends on at present. Most sessions are
-	// idle, and their number grows with entries times sidecars.
+	// IdleBeatPeriod is the heartbeat interval of an idle session, on which no work depends at present. Most sessions are
+	// idle, and their number grows with the number of entries times the number of sidecars.
 	IdleBeatPeriod = 600 * timer.Millisecond
-	// IdleSilenceLimit is the time without a sign of life after which the other end of an idle session is held for lost.
+	// IdleSilenceLimit is the time without a message after which the peer of an idle session is considered lost.
 	IdleSilenceLimit = 1400 * timer.Millisecond
-	// PauseLimit is the time between two ticks, of 25 ms, from which on a process counts as paused meanwhile.
+	// PauseLimit is the time between two ticks from which a process assumes that it was paused. Ticks are 25 ms apart.
 	PauseLimit = 100 * timer.Millisecond
 )
 
-// Link is the sending end of a session. Its functions never block.
+// Link is the sending side of a session. Its functions never block.
 type Link struct {
 	Remote Hello
 	Send   func(m Message)
--- a/marshaler/messages.go
+++ b/marshaler/messages.go
@@ -1,5 +1,5 @@
-// Package marshaler defines the messages between entries and sidecars on the path of restartable jobs and maps them to
-// bytes.
+// Package marshaler defines the messages that entries and sidecars exchange about restartable and durable jobs, the
+// records of durable jobs in the store, and the binary encoding of both.
 package marshaler
 
 import "github.com/crocuslb/crocuslb/timer"
@@ -7,114 +7,116 @@
 const (
 	// RoleEntry is a process that accepts jobs from callers.
 	RoleEntry Role = iota + 1
-	// RoleSidecar is the process beside a backend server.
+	// RoleSidecar is a process that runs next to a backend server and starts its tasks.
 	RoleSidecar
 )
 
 const (
-	// StatusDone means that the run ended with success.
+	// StatusDone means that the run succeeded.
 	StatusDone Status = iota + 1
-	// StatusFailed means that the run ended with a failure of its own or of the backend server.
+	// StatusFailed means that the task or the backend server reported a failure.
 	StatusFailed
-	// StatusStopped means that the run was stopped on request and has surely ended.
+	// StatusStopped means that the run was stopped on request and is known to have ended.
 	StatusStopped
-	// StatusLost means that the run has surely ended without a result: the backend server restarted or its lease lapsed.
+	// StatusLost means that the run is known to have ended without a result, because the backend server restarted or its
+	// lease expired.
 	StatusLost
-	// StatusStalled means that the sidecar stopped the run because it made no progress. It has surely ended.
+	// StatusStalled means that the sidecar stopped the run because it made no progress. The run is known to have ended.
 	StatusStalled
-	// StatusRefused means that the run did not start and never will.
+	// StatusRefused means that the run was not started and will not be.
 	StatusRefused
-	// StatusOld is a refusal because the backend server knows this or a later attempt of the task.
+	// StatusOld means that the run was not started because the backend server has already seen this attempt of the task or
+	// a later one.
 	StatusOld
 )
 
-// Limits of the fields of all messages.
+// Field limits, enforced when decoding.
 const (
-	// MaxName is the longest name of a process, job, failure domain, service or label, in bytes.
+	// MaxName is the maximum length in bytes of a name, address, label or reason.
 	MaxName = 255
-	// MaxSpec is the longest specification of a task, in bytes.
+	// MaxSpec is the maximum length of a task specification in bytes.
 	MaxSpec = 64 << 10
-	// MaxList is the largest number of elements in a list.
+	// MaxList is the maximum number of elements in a list.
 	MaxList = 16384
 )
 
 type (
-	// Role is the kind of a process.
+	// Role identifies the kind of process that opened a session.
 	Role uint8
 
-	// Status says how an attempt to run a task ended. Every status is certain: the attempt does not run any more.
+	// Status is the final status of an attempt to run a task. Every status implies that the attempt is no longer running.
 	Status uint8
 
-	// Message is a pointer to one of the message types of this package.
+	// Message is a pointer to one of this package's message types.
 	Message any
 
-	// Room is an amount of a worker's resources.
+	// Room is an amount of resources of a worker or a task.
 	Room struct {
-		CPU          int64 // thousandths of a core
+		CPU          int64 // millicores
 		MemoryMB     int64
 		Accelerators int64
 	}
 
-	// RunKey names one attempt of one task.
+	// RunKey identifies one attempt to run one task.
 	RunKey struct {
 		Job     string
-		Index   uint64 // of the task, as TaskIndex returns it
+		Index   uint64 // step and task, as encoded by TaskIndex
 		Attempt uint64
 	}
 
-	// Peer is an entry process and the address at which other processes reach it.
+	// Peer is an entry process and the address that other processes connect to.
 	Peer struct {
 		Name        string
 		Address     string
 		Incarnation uint64
 	}
 
-	// Hello opens a session in both directions.
+	// Hello is the first message that each side sends on a session.
 	Hello struct {
 		Role        Role
 		Name        string
 		Incarnation uint64
 		Domain      string
-		Address     string // of an entry's listener; empty for sidecars
-		Weight      uint64 // thousandths of a core that the process may use
-		Session     uint64 // rises with each session that the process opens
+		Address     string // of the entry's listener; empty for a sidecar
+		Weight      uint64 // CPU limit of the process in millicores
+		Session     uint64 // increases with each session that the process opens
 	}
 
-	// Beat shows that the sender is alive.
+	// Beat is a heartbeat.
 	Beat struct {
-		Offset  uint64 // position of the sender's configuration in the store
-		Leaving bool   // the sender takes no new work
-		// Kept says that kept jobs are in use, or that the sender does not know yet.
+		Offset  uint64 // store offset of the sender's configuration
+		Leaving bool   // the sender is shutting down and accepts no new work
+		// Kept is set when durable jobs are in use or when the sender does not know yet whether they are.
 		Kept bool
 	}
 
-	// Peers lists the entries that the sender knows.
+	// Peers lists the entries known to the sender.
 	Peers struct{ Peers []Peer }
 
-	// Configuration passes on a configuration to a process that has an older one.
+	// Configuration forwards a configuration to a process that has an older one.
 	Configuration struct{ Body []byte }
 
-	// Backend describes the sidecar's backend server. It is sent when a session opens and when a field changes.
+	// Backend describes the sidecar's backend server. It is sent when a session opens and whenever a field changes.
 	Backend struct {
 		ID      string
-		Born    uint64 // start of the backend server, Unix milliseconds
+		Born    uint64 // start time of the backend server in Unix milliseconds
 		Service string
 		Labels  []string
 		Total   Room
 	}
 
-	// Load is a sidecar's current room. It also serves as the sidecar's heartbeat.
+	// Load reports a sidecar's free resources and the runs that ended. It also serves as the sidecar's heartbeat.
 	Load struct {
 		Offset    uint64
 		Accepting bool
 		Free      Room
-		Clock     int64 // the backend server's clock in milliseconds
-		Speed     uint64
-		Seen      []string // job of each start that was handled since the last Load on this session
+		Clock     int64    // the backend server's clock in milliseconds
+		Speed     uint64   // thousandths of the speed that run time estimates assume
+		Seen      []string // job of each start handled since the previous report on this session
 		Settled   []Settled
 	}
 
-	// Settled is the end of a run, for the learning of run times and failures.
+	// Settled describes a run that ended. Receivers use it to track failures and run times.
 	Settled struct {
 		Job      string
 		Status   Status
@@ -123,43 +125,43 @@
 		Room     Room
 	}
 
-	// Start orders a sidecar to run a task.
+	// Start tells a sidecar to run a task.
 	Start struct {
 		Run      RunKey
 		Spec     string
 		Room     Room
 		Estimate timer.Millis
-		// NotAfter is the time on the backend server's clock, in milliseconds, after which it refuses the start.
+		// NotAfter is the time on the backend server's clock, in milliseconds, after which the start is refused.
 		NotAfter int64
-		// Epoch is the one under which the sender owns the job's partition; 0 for a job that is not kept.
+		// Epoch is the epoch under which the sender owns the job's partition; 0 for a job that is not durable.
 		Epoch uint64
 	}
 
-	// Stop orders a sidecar to end a run.
+	// Stop tells a sidecar to stop a run.
 	Stop struct{ Run RunKey }
 
-	// Outcome reports the end of an attempt to the entry that ordered it.
+	// Outcome reports the end of an attempt to the entry that requested it.
 	Outcome struct {
 		Run    RunKey
 		Status Status
 		Reason string
 		Ran    timer.Millis
-		// Number is the end's number on the backend server, which lists it until the entry has sent Noted. 0 when no Noted
-		// is needed.
+		// Number is the number that the backend server gave to this end. The backend server lists the end until the entry
+		// has acknowledged it. It is 0 when no acknowledgement is needed.
 		Number uint64
-		// Stale says that the sidecar was out of touch with the job's owner since the end, so that the owner may have started
+		// Stale means that the sidecar has been disconnected from the job's owner since the end, so the owner may have started
 		// the task again.
 		Stale bool
 	}
 
-	// Held lists the entry's attempts that the sidecar still has, when a session opens. Attempts that the entry ordered on
-	// earlier sessions and that are not listed have surely ended.
+	// Held lists the receiving entry's attempts that the sidecar still has. It is sent when a session opens.
+	// Attempts from earlier sessions that are not listed are known to have ended.
 	Held struct{ Runs []RunKey }
 
-	// Subscribe asks a sidecar for a Load at each end of a run instead of one at each heartbeat.
+	// Subscribe asks a sidecar to report its load whenever a run ends instead of only with each heartbeat.
 	Subscribe struct{ On bool }
 
-	// Ask requests room for tasks of a job from the placing entry.
+	// Ask requests resources for tasks of one step of a job from the placing entry.
 	Ask struct {
 		Job      string
 		Service  string
@@ -167,36 +169,36 @@
 		Tasks    uint64
 		Room     Room
 		Estimate timer.Millis
-		Slack    timer.Millis // time left until the latest useful start
+		Slack    timer.Millis // time until the latest start that meets the expected response time
 		Priority uint64
-		Started  bool     // some of the job has started, so the request is not refused
-		Avoid    []string // sidecars that failed a task of the job or that the asking entry does not reach
-		Step     uint64   // of the job
-		Label    string   // that the backend server must have; empty for none
-		Rack     string   // on which the tasks run fastest; empty for none
-		// PerServer is the most tasks of the step on one backend server, 0 for any number. Placed has the sidecars that
-		// have some already, with one element for each task.
+		Started  bool     // a task of the job has started, so the request is not refused
+		Avoid    []string // sidecars that failed a task of the job or that the requesting entry cannot reach
+		Step     uint64   // index of the step within the job
+		Label    string   // required label of the backend server; empty for none
+		Rack     string   // rack on which the tasks run fastest; empty for none
+		// PerServer is the maximum number of tasks of the step on one backend server; 0 means no limit. Placed lists the
+		// sidecars of tasks that are already placed, with one element per task.
 		PerServer uint64
 		Placed    []string
-		// Patience is the time for which the request may wait once it is too late for its expected response time. It is at
-		// least Slack; 0 stands for Slack.
+		// Patience is the maximum time that the request may wait when the expected response time can no longer be met. It is
+		// at least Slack; 0 means Slack.
 		Patience timer.Millis
 	}
 
-	// Withdraw takes back what is left of a request for room.
+	// Withdraw cancels the part of a resource request that is not granted yet.
 	Withdraw struct {
 		Job  string
 		Step uint64
 	}
 
-	// Grant names the sidecars on which tasks of a job's step may start, one name for each task.
+	// Grant lists the sidecars on which tasks of a step may start, with one element per task.
 	Grant struct {
 		Job      string
 		Sidecars []string
 		Step     uint64
 	}
 
-	// Reject refuses a request for room. Nothing was granted on it.
+	// Reject refuses a resource request of which nothing was granted.
 	Reject struct {
 		Job        string
 		Reason     string
@@ -205,13 +207,13 @@
 	}
 )
 
-// stepShift separates the number of the step from that of the task within it.
+// stepShift is the bit position of the step index in a task index; the lower bits are the task's index in the step.
 const stepShift = 32
 
-// TaskIndex returns the index of a task among all tasks of its job.
+// TaskIndex encodes a step index and the index of a task in that step as an index that is unique in the job.
 func TaskIndex(step, index int) uint64 { return uint64(step)<<stepShift | uint64(index) }
 
-// Task returns the numbers of the run's step and of its task within it.
+// Task returns the step index and the index of the task in that step.
 func (r RunKey) Task() (step, index int) {
 	return int(r.Index >> stepShift), int(r.Index & (1<<stepShift - 1))
 }
@@ -221,17 +223,17 @@
 	return Room{r.CPU + o.CPU, r.MemoryMB + o.MemoryMB, r.Accelerators + o.Accelerators}
 }
 
-// Sub returns r less o.
+// Sub returns r minus o.
 func (r Room) Sub(o Room) Room {
 	return Room{r.CPU - o.CPU, r.MemoryMB - o.MemoryMB, r.Accelerators - o.Accelerators}
 }
 
-// Holds reports whether o fits into r.
+// Holds reports whether r has at least the resources o.
 func (r Room) Holds(o Room) bool {
 	return r.CPU >= o.CPU && r.MemoryMB >= o.MemoryMB && r.Accelerators >= o.Accelerators
 }
 
-// String names the status as logs show it.
+// String returns the name that logs use.
 func (s Status) String() string {
 	names := [...]string{"none", "done", "failed", "stopped", "lost", "stalled", "refused", "old"}
 	if int(s) < len(names) {
--- a/marshaler/sorted.go
+++ b/marshaler/sorted.go
@@ -8,7 +8,8 @@
 	"strings"
 )
 
-// InOrder visits a map in the order of its keys, so that a core's decisions do not depend on the order of maps.
+// InOrder iterates over a map in key order, so that decisions do not depend on Go's random map iteration order. The loop
+// body may delete entries; deleted ones are not visited.
 func InOrder[K cmp.Ordered, V any](m map[K]V) iter.Seq2[K, V] {
 	return func(yield func(K, V) bool) {
 		for _, key := range slices.Sorted(maps.Keys(m)) {
@@ -19,12 +20,12 @@
 	}
 }
 
-// RunsInOrder returns the keys of a map of runs in order.
+// RunsInOrder returns the sorted keys of a map of runs.
 func RunsInOrder[V any](m map[RunKey]V) []RunKey {
 	return slices.SortedFunc(maps.Keys(m), RunKey.Compare)
 }
 
-// Compare orders runs by job, task and attempt.
+// Compare orders runs by job, task index and attempt.
 func (r RunKey) Compare(o RunKey) int {
 	return cmp.Or(strings.Compare(r.Job, o.Job), cmp.Compare(r.Index, o.Index), cmp.Compare(r.Attempt, o.Attempt))
 }
--- a/timer/boot.go
+++ b/timer/boot.go
@@ -4,23 +4,23 @@
 	"golang.org/x/sys/unix"
 )
 
-// Boot returns a clock that also counts the time in which the machine was suspended. It falls back to the monotonic
-// clock where the system has no such clock.
+// Boot returns a clock based on CLOCK_BOOTTIME, which includes the time that the machine was suspended. It falls back to
+// the monotonic clock if the system does not support it.
 func Boot() Clock {
 	if _, ok := bootMillis(); !ok {
 		return Clock{}
 	}
 	return Clock{NowFunc: func() Millis {
 		now, _ := bootMillis()
-		// The offset keeps "now minus a timeout" positive, so that a zero Millis always lies in the past.
+		// The offset keeps the difference of now and a timeout positive, so that a zero Millis is always in the past.
 		return now + Minute
 	}}
 }
 
 func bootMillis() (Millis, bool) {
-	var at unix.Timespec
-	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &at); err != nil {
+	var ts unix.Timespec
+	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &ts); err != nil {
 		return 0, false
 	}
-	return Millis(at.Nano() / 1_000_000), true
+	return Millis(ts.Nano() / 1_000_000), true
 }
