--- /dev/null
+++ b/placer/constraints.go
@@ -0,0 +1,54 @@
+package placer
+
+import (
+	"slices"
+
+	"github.com/crocuslb/crocuslb/marshaler"
+)
+
+// remoteRackFactor is the factor on the speed of a worker outside the rack that holds the step's data. Tasks take 1.5 to
+// 3 times as long there.
+const remoteRackFactor = 0.5
+
+// constraints are the placement constraints and the rack preference of a step. The zero value allows all workers and ranks
+// them equally.
+type constraints struct {
+	label     string         // required; empty for none
+	rack      string         // preferred; empty for none
+	perServer int            // maximum number of tasks on one worker; 0 for no limit
+	placed    map[string]int // number of tasks by worker, if perServer is set
+}
+
+func newConstraints(a *marshaler.Ask) constraints {
+	c := constraints{label: a.Label, rack: a.Rack, perServer: int(a.PerServer)}
+	if c.perServer > 0 {
+		c.placed = map[string]int{}
+		for _, name := range a.Placed {
+			c.placed[name]++
+		}
+	}
+	return c
+}
+
+// countPlaced counts a task granted on the worker.
+func (c *constraints) countPlaced(worker string) {
+	if c.perServer > 0 {
+		c.placed[worker]++
+	}
+}
+
+func (c *constraints) matchesLabel(w *worker) bool {
+	return c.label == "" || slices.Contains(w.labels, c.label)
+}
+
+func (c *constraints) allows(w *worker) bool {
+	return c.matchesLabel(w) && (c.perServer == 0 || c.placed[w.name] < c.perServer)
+}
+
+// rackFactor returns the factor on the worker's speed for its distance from the step's data.
+func (c *constraints) rackFactor(w *worker) float64 {
+	if c.rack == "" || slices.Contains(w.labels, c.rack) {
+		return 1
+	}
+	return remoteRackFactor
+}
--- a/placer/binding_test.go
+++ b/placer/constraints_test.go
@@ -7,20 +7,20 @@
 	"github.com/crocuslb/crocuslb/marshaler"
 )
 
-// TestBinding guards against tasks on workers that a step does not allow, and against work far from its data while there
-// is room near it.
-func TestBinding(t *testing.T) {
+// TestConstraints guards against tasks on workers that a step's constraints exclude, and against tasks outside the
+// preferred rack while the rack has free resources.
+func TestConstraints(t *testing.T) {
 	cases := []struct {
 		name   string
 		ask    marshaler.Ask
 		want   []string
 		reject bool
 	}{
-		{"unbound", marshaler.Ask{Tasks: 2}, []string{"a", "a"}, false},
+		{"unconstrained", marshaler.Ask{Tasks: 2}, []string{"a", "a"}, false},
 		{"label", marshaler.Ask{Tasks: 2, Label: "big"}, []string{"b", "b"}, false},
 		{"label of no worker", marshaler.Ask{Tasks: 1, Label: "none"}, nil, true},
 		{"rack", marshaler.Ask{Tasks: 2, Rack: "r2"}, []string{"c", "c"}, false},
-		{"rack without room for all", marshaler.Ask{Tasks: 4, Rack: "r2"}, []string{"a", "c", "c", "c"}, false},
+		{"rack too small for all", marshaler.Ask{Tasks: 4, Rack: "r2"}, []string{"a", "c", "c", "c"}, false},
 		{"one on each server", marshaler.Ask{Tasks: 3, PerServer: 1}, []string{"a", "b", "c"}, false},
 		{"one on each server, more tasks than servers", marshaler.Ask{Tasks: 5, PerServer: 1}, []string{"a", "b", "c"}, false},
 		{"one on each server, two placed", marshaler.Ask{Tasks: 2, PerServer: 1, Placed: []string{"a", "b"}}, []string{"c"}, false},
@@ -33,14 +33,14 @@
 			Grant:  func(_ string, g marshaler.Grant) { got = append(got, g.Sidecars...) },
 			Reject: func(string, marshaler.Reject) { rejected = true },
 		}
-		room := marshaler.Room{CPU: 3000}
-		p.SetWorker("a", "", &marshaler.Backend{Service: "svc", Total: room, Labels: []string{"small", "r1"}})
-		p.SetWorker("b", "", &marshaler.Backend{Service: "svc", Total: room, Labels: []string{"big", "r1"}})
-		p.SetWorker("c", "", &marshaler.Backend{Service: "svc", Total: room, Labels: []string{"small", "r2"}})
+		capacity := marshaler.Room{CPU: 3000}
+		p.SetWorker("a", "", &marshaler.Backend{Service: "svc", Total: capacity, Labels: []string{"small", "r1"}})
+		p.SetWorker("b", "", &marshaler.Backend{Service: "svc", Total: capacity, Labels: []string{"big", "r1"}})
+		p.SetWorker("c", "", &marshaler.Backend{Service: "svc", Total: capacity, Labels: []string{"small", "r2"}})
 		for i, name := range []string{"a", "b", "c"} {
-			p.OnLoad(1, name, &marshaler.Load{Accepting: true, Free: room, Speed: uint64(1000 - i)})
+			p.OnLoad(1, name, &marshaler.Load{Accepting: true, Free: capacity, Speed: uint64(1000 - i)})
 		}
-		p.began = 1
+		p.firstRequestAt = 1
 		c.ask.Job, c.ask.Service, c.ask.Room, c.ask.Estimate, c.ask.Slack = "job", "svc", marshaler.Room{CPU: 1000}, 10, 100
 		p.Ask(5000, "entry", "", &c.ask)
 		p.Place(5000)
--- a/placer/placer.go
+++ b/placer/placer.go
@@ -1,5 +1,6 @@
-// Package placer decides which queued job gets room next, on which worker, and which jobs are refused because they
-// cannot be served in time. It is pure: it has no clock and no I/O, and one goroutine calls it.
+// Package placer implements the scheduling policy of the placing entry: which queued request is granted resources next, on
+// which worker, and which requests are refused because they cannot be served in time. It uses no clock and no I/O, and is
+// not safe for concurrent use.
 package placer
 
 import (
@@ -10,41 +11,42 @@
 )
 
 const (
-	// maxBlocked is the number of requests without fitting room after which placing gives up for now. Requests differ
-	// little in size, so the ones behind them rarely fit.
-	maxBlocked = 8
-	// settleTime is the time after the first request in which none is refused for want of workers: sidecars report
-	// within it.
-	settleTime = timer.Second
-	// usualPeriod is the time between two computations of the workers' usual speed, which follows theirs within 150 ms.
-	usualPeriod = 50 * timer.Millisecond
-	// maxQueued bounds the queue.
+	// maxBlockedRequests is the number of requests that fit on no worker after which Place stops. Requests differ little in
+	// size, so the ones behind them rarely fit.
+	maxBlockedRequests = 8
+	// startupGrace is the time after the first request in which no request is refused for lack of workers. All sidecars
+	// report within it.
+	startupGrace = timer.Second
+	// medianSpeedInterval is the interval at which the workers' median speed is recomputed. It follows a change of their
+	// speeds within 150 ms.
+	medianSpeedInterval = 50 * timer.Millisecond
+	// maxQueued is the maximum number of queued requests.
 	maxQueued = 20_000
-	// lateMargin is the factor on the expected wait of a late request: requests that are not late and come meanwhile go
-	// before it.
-	lateMargin = 2
-	// ReasonMoved is the reason of a Reject that only sends the request to another placing entry.
+	// lateWaitFactor is the factor on the estimated wait of a late request. It accounts for requests that arrive in the
+	// meantime, are not late and therefore go first.
+	lateWaitFactor = 2
+	// ReasonMoved is the reason for rejecting a request that is to be sent to another placing entry instead.
 	ReasonMoved = "moved"
 )
 
 type (
-	// Placer is the state of a placing entry. Set the exported fields before the first call; they only queue what they
-	// are given. The zero value of the rest is ready to use.
+	// Placer is the state of a placing entry. Set the exported functions before the first call; they must only queue their
+	// arguments. The zero value of the other fields is ready to use.
 	Placer struct {
 		Grant  func(entry string, g marshaler.Grant)
 		Reject func(entry string, r marshaler.Reject)
 		Report func(e Event)
 
-		workers map[string]*worker
-		order   []*worker // by name
-		queue   []*request
-		byKey   map[requestKey]*request
-		began   timer.Millis // of the first request; 0 before it
-		usual   float64      // median speed of the workers, as of usualAt
-		usualAt timer.Millis
+		workers        map[string]*worker
+		workersByName  []*worker // sorted by name
+		queue          []*request
+		requests       map[requestKey]*request
+		firstRequestAt timer.Millis // 0 before the first request
+		medianSpeed    float64      // of the accepting workers, computed at medianSpeedAt
+		medianSpeedAt  timer.Millis
 	}
 
-	// Event is a decision, for logs and counters.
+	// Event describes a decision for logs and metrics.
 	Event struct {
 		Kind   string
 		Job    string
@@ -64,180 +66,181 @@
 	if w == nil {
 		w = &worker{name: name, speed: 1000}
 		p.workers[name] = w
-		i, _ := slices.BinarySearchFunc(p.order, name, func(w *worker, n string) int {
+		i, _ := slices.BinarySearchFunc(p.workersByName, name, func(w *worker, n string) int {
 			if w.name < n {
 				return -1
 			}
 			return 1
 		})
-		p.order = slices.Insert(p.order, i, w)
+		p.workersByName = slices.Insert(p.workersByName, i, w)
 	}
 	w.domain, w.service, w.labels, w.total = domain, b.Service, b.Labels, b.Total
 }
 
-// RemoveWorker forgets a worker.
+// RemoveWorker removes a worker.
 func (p *Placer) RemoveWorker(name string) {
 	delete(p.workers, name)
-	p.order = slices.DeleteFunc(p.order, func(w *worker) bool { return w.name == name })
+	p.workersByName = slices.DeleteFunc(p.workersByName, func(w *worker) bool { return w.name == name })
 }
 
-// SetAccepting says whether a worker takes starts, until its next Load.
+// SetAccepting sets whether a worker accepts starts. Its next load report overrides it.
 func (p *Placer) SetAccepting(name string, accepting bool) {
 	if w := p.workers[name]; w != nil {
 		w.accepting = accepting
 	}
 }
 
-// OnLoad takes a worker's report.
+// OnLoad processes a worker's load report.
 func (p *Placer) OnLoad(now timer.Millis, name string, l *marshaler.Load) {
 	w := p.workers[name]
 	if w == nil {
 		return
 	}
 	for _, job := range l.Seen {
-		w.seen(job)
+		w.releaseReservation(job)
 	}
-	w.reported, w.accepting, w.speed = l.Free, l.Accepting, float64(l.Speed)
-	w.account()
+	w.reportedFree, w.accepting, w.speed = l.Free, l.Accepting, float64(l.Speed)
+	w.updateFree()
 	for _, s := range l.Settled {
-		p.settle(now, w, s)
+		p.recordOutcome(now, w, s)
 	}
 }
 
-// Ask queues a request for room or refuses it.
+// Ask queues or refuses a resource request. A repeated request adds its tasks to the queued one and replaces its
+// constraints.
 func (p *Placer) Ask(now timer.Millis, entry, domain string, a *marshaler.Ask) {
 	key := requestKey{entry, a.Job, a.Step}
-	if r := p.byKey[key]; r != nil {
-		p.drop(r)
-		r.left += a.Tasks
+	if r := p.requests[key]; r != nil {
+		p.dequeue(r)
+		r.remaining += a.Tasks
 		r.started = r.started || a.Started
-		r.avoid, r.bound = a.Avoid, bind(a)
-		p.byKey[key] = r
-		p.insert(r)
+		r.avoided, r.constraints = a.Avoid, newConstraints(a)
+		p.requests[key] = r
+		p.enqueue(r)
 		return
 	}
 	r := &request{
-		key: key, domain: domain, service: a.Service, room: a.Room, estimate: a.Estimate, left: a.Tasks,
-		latest: now + a.Slack, last: now + max(a.Slack, a.Patience), started: a.Started, arrived: now, avoid: a.Avoid,
-		bound: bind(a),
+		key: key, domain: domain, service: a.Service, resources: a.Room, estimate: a.Estimate, remaining: a.Tasks,
+		softDeadline: now + a.Slack, hardDeadline: now + max(a.Slack, a.Patience), started: a.Started, arrived: now, avoided: a.Avoid,
+		constraints: newConstraints(a),
 	}
-	if p.began == 0 {
-		p.began = now
+	if p.firstRequestAt == 0 {
+		p.firstRequestAt = now
 	}
-	if reason, wait := p.hopeless(now, r); reason != "" && !r.started {
+	if reason, wait := p.rejectReason(now, r); reason != "" && !r.started {
 		p.reject(r, reason, wait)
 		return
 	}
-	if p.byKey == nil {
-		p.byKey = map[requestKey]*request{}
+	if p.requests == nil {
+		p.requests = map[requestKey]*request{}
 	}
-	p.byKey[key] = r
-	p.insert(r)
+	p.requests[key] = r
+	p.enqueue(r)
 }
 
-// Withdraw drops what is left of a request.
+// Withdraw removes a request from the queue. Grants already made stay valid.
 func (p *Placer) Withdraw(entry, job string, step uint64) {
-	if r := p.byKey[requestKey{entry, job, step}]; r != nil {
-		p.drop(r)
+	if r := p.requests[requestKey{entry, job, step}]; r != nil {
+		p.dequeue(r)
 	}
 }
 
-// Forget drops all requests of an entry.
+// Forget removes all requests of an entry from the queue.
 func (p *Placer) Forget(entry string) {
 	for _, r := range slices.Clone(p.queue) {
 		if r.key.entry == entry {
-			p.drop(r)
+			p.dequeue(r)
 		}
 	}
 }
 
-// Leave sends all queued requests to another placing entry.
+// Leave rejects all queued requests with ReasonMoved, so that the entries send them to another placing entry.
 func (p *Placer) Leave() {
 	for _, r := range slices.Clone(p.queue) {
-		p.drop(r)
+		p.dequeue(r)
 		p.Reject(r.key.entry, marshaler.Reject{Job: r.key.job, Step: r.key.step, Reason: ReasonMoved})
 	}
 }
 
-// Queued returns the number of requests that wait for room.
+// Queued returns the number of queued requests.
 func (p *Placer) Queued() int { return len(p.queue) }
 
-func (p *Placer) drop(r *request) {
-	delete(p.byKey, r.key)
+func (p *Placer) dequeue(r *request) {
+	delete(p.requests, r.key)
 	p.queue = slices.DeleteFunc(p.queue, func(o *request) bool { return o == r })
 }
 
-// Place refuses what can no longer be served in time and grants the free room.
+// Place refuses requests that can no longer be served in time and grants free resources to the others.
 func (p *Placer) Place(now timer.Millis) {
-	for _, w := range p.order {
-		w.expire(now)
+	for _, w := range p.workersByName {
+		w.expireReservations(now)
 	}
-	p.expire(now)
+	p.expireRequests(now)
 	if len(p.queue) == 0 {
 		return
 	}
-	if p.usual == 0 || now-p.usualAt >= usualPeriod {
-		p.usual, p.usualAt = p.usualSpeed(), now
+	if p.medianSpeed == 0 || now-p.medianSpeedAt >= medianSpeedInterval {
+		p.medianSpeed, p.medianSpeedAt = p.computeMedianSpeed(), now
 	}
 	blocked := 0
-	var served []*request
+	var granted []*request
 	for _, r := range p.queue {
 		if r.late && !r.started && blocked > 0 {
-			break // late ones take only room that nobody else waits for
+			break // late requests get only resources that no other request waits for
 		}
-		for r.left > 0 {
-			w := p.pick(now, r)
+		for r.remaining > 0 {
+			w := p.selectWorker(now, r)
 			if w == nil {
 				blocked++
 				break
 			}
-			w.reserve(now, r.key.job, r.room)
+			w.reserve(now, r.key.job, r.resources)
 			if w.breaker.open {
 				w.breaker.probing = true
-				w.breaker.probeAt = now + lastProbe
+				w.breaker.probeAt = now + maxProbeDelay
 			}
-			r.left--
-			r.bound.place(w.name)
+			r.remaining--
+			r.constraints.countPlaced(w.name)
 			r.granted = append(r.granted, w.name)
 		}
 		if len(r.granted) > 0 {
-			served = append(served, r)
+			granted = append(granted, r)
 		}
-		if blocked >= maxBlocked {
+		if blocked >= maxBlockedRequests {
 			break
 		}
 	}
-	p.send(served)
+	p.sendGrants(granted)
 }
 
-// send tells the entries what was granted.
-func (p *Placer) send(served []*request) {
-	resort := false
-	for _, r := range served {
+// sendGrants sends the grants to the entries and dequeues the requests that are fully granted.
+func (p *Placer) sendGrants(granted []*request) {
+	needsSort := false
+	for _, r := range granted {
 		p.Grant(r.key.entry, marshaler.Grant{Job: r.key.job, Step: r.key.step, Sidecars: r.granted})
 		r.granted = nil
-		if r.left == 0 {
-			p.drop(r)
+		if r.remaining == 0 {
+			p.dequeue(r)
 		} else if !r.started {
-			r.started, resort = true, true
+			r.started, needsSort = true, true
 		}
 	}
-	if resort {
-		slices.SortStableFunc(p.queue, compare)
+	if needsSort {
+		slices.SortStableFunc(p.queue, compareRequests)
 	}
 }
 
-// pick returns the best worker with room for a task of r, or nil.
-func (p *Placer) pick(now timer.Millis, r *request) *worker {
+// selectWorker returns the best eligible worker with enough free resources for a task of r, or nil.
+func (p *Placer) selectWorker(now timer.Millis, r *request) *worker {
 	var best *worker
 	var bestScore float64
-	for _, w := range p.order {
-		if !w.free.Holds(r.room) || !p.suits(now, r, w) {
+	for _, w := range p.workersByName {
+		if !w.free.Holds(r.resources) || !p.eligible(now, r, w) {
 			continue
 		}
-		score := w.speed / p.usual * r.bound.factor(w)
+		score := w.speed / p.medianSpeed * r.constraints.rackFactor(w)
 		if w.domain == r.domain {
-			score += nearBonus
+			score += sameDomainBonus
 		}
 		if best == nil || score > bestScore {
 			best, bestScore = w, score
@@ -246,28 +249,28 @@
 	return best
 }
 
-// suits reports whether a worker may get a task of a request, its free room aside.
-func (p *Placer) suits(now timer.Millis, r *request, w *worker) bool {
-	if !w.accepting || w.service != r.service || !w.allows(now) || p.avoids(r, w) || !r.bound.allows(w) {
+// eligible reports whether a worker may get a task of a request, regardless of its free resources.
+func (p *Placer) eligible(now timer.Millis, r *request, w *worker) bool {
+	if !w.accepting || w.service != r.service || !w.breakerAllows(now) || p.excludes(r, w) || !r.constraints.allows(w) {
 		return false
 	}
-	return w.speed/p.usual >= slowShare || !w.busy()
+	return w.speed/p.medianSpeed >= slowSpeedRatio || !w.busy()
 }
 
-// avoids reports whether a request leaves out a worker. One that leaves out all of its service leaves out none.
-func (p *Placer) avoids(r *request, w *worker) bool {
-	if !slices.Contains(r.avoid, w.name) {
+// excludes reports whether a request avoids a worker. If it avoids all accepting workers of its service, none is excluded.
+func (p *Placer) excludes(r *request, w *worker) bool {
+	if !slices.Contains(r.avoided, w.name) {
 		return false
 	}
-	return slices.ContainsFunc(p.order, func(o *worker) bool {
-		return o.accepting && o.service == r.service && !slices.Contains(r.avoid, o.name)
+	return slices.ContainsFunc(p.workersByName, func(o *worker) bool {
+		return o.accepting && o.service == r.service && !slices.Contains(r.avoided, o.name)
 	})
 }
 
-// usualSpeed returns the median speed of the workers.
-func (p *Placer) usualSpeed() float64 {
+// computeMedianSpeed returns the median speed of the accepting workers.
+func (p *Placer) computeMedianSpeed() float64 {
 	var speeds []float64
-	for _, w := range p.order {
+	for _, w := range p.workersByName {
 		if w.accepting {
 			speeds = append(speeds, w.speed)
 		}
--- a/placer/request.go
+++ b/placer/request.go
@@ -14,29 +14,29 @@
 		step       uint64
 	}
 
-	// request is what is left of a request for room.
+	// request is a queued resource request.
 	request struct {
-		key      requestKey
-		domain   string
-		service  string
-		room     marshaler.Room
-		estimate timer.Millis
-		left     uint64       // tasks without a grant
-		latest   timer.Millis // latest start within the expected response time
-		last     timer.Millis // latest start at all
-		late     bool         // it will start after latest, if at all
-		started  bool
-		arrived  timer.Millis
-		granted  []string
-		avoid    []string // sidecars that get none of the job, while others serve its service
-		bound    binding
+		key          requestKey
+		domain       string
+		service      string
+		resources    marshaler.Room
+		estimate     timer.Millis
+		remaining    uint64       // number of tasks not granted yet
+		softDeadline timer.Millis // latest start that meets the expected response time
+		hardDeadline timer.Millis // latest start for which the request may wait
+		late         bool         // softDeadline cannot be met
+		started      bool
+		arrived      timer.Millis
+		granted      []string
+		avoided      []string // workers that get none of its tasks while others serve its service
+		constraints  constraints
 	}
 )
 
-// insert queues a request by its order. Equal ones keep the order of their arrival.
-func (p *Placer) insert(r *request) {
+// enqueue inserts a request in queue order. Requests that compare equal keep their order of arrival.
+func (p *Placer) enqueue(r *request) {
 	i, _ := slices.BinarySearchFunc(p.queue, r, func(queued, r *request) int {
-		if compare(queued, r) <= 0 {
+		if compareRequests(queued, r) <= 0 {
 			return -1
 		}
 		return 1
@@ -44,13 +44,13 @@
 	p.queue = slices.Insert(p.queue, i, r)
 }
 
-// compare orders requests: those that have started, then those that can start within their expected response time, then
-// the late ones; each by the latest useful start.
-func compare(a, b *request) int {
+// compareRequests defines the queue order: requests of jobs that have started, then requests that can meet their expected
+// response time, then late ones, each by deadline.
+func compareRequests(a, b *request) int {
 	if order := a.rank() - b.rank(); order != 0 {
 		return order
 	}
-	return int(a.due() - b.due())
+	return int(a.deadline() - b.deadline())
 }
 
 func (r *request) rank() int {
@@ -63,54 +63,55 @@
 	return 2
 }
 
-// due returns the latest useful start of a request as it stands.
-func (r *request) due() timer.Millis {
+// deadline returns the latest useful start of a request, which moves to the hard deadline once the request is late.
+func (r *request) deadline() timer.Millis {
 	if r.late {
-		return r.last
+		return r.hardDeadline
 	}
-	return r.latest
+	return r.softDeadline
 }
 
-// expire puts requests whose latest useful start has passed behind the others, or refuses them when they have no chance.
-func (p *Placer) expire(now timer.Millis) {
-	var passed []*request
+// expireRequests marks requests late whose deadline has passed, which moves them behind the others. It refuses those that
+// cannot be expected to be granted before their hard deadline.
+func (p *Placer) expireRequests(now timer.Millis) {
+	var expired []*request
 	for _, r := range p.queue {
-		if !r.started && r.due() <= now {
-			passed = append(passed, r)
+		if !r.started && r.deadline() <= now {
+			expired = append(expired, r)
 		}
 	}
-	for _, r := range passed {
-		p.drop(r)
+	for _, r := range expired {
+		p.dequeue(r)
 		r.late = true
-		if wait, ok := p.chance(now, r); !ok {
+		if wait, ok := p.lateWait(now, r); !ok {
 			p.reject(r, "no room in time", wait)
 			continue
 		}
-		p.byKey[r.key] = r
-		p.insert(r)
+		p.requests[r.key] = r
+		p.enqueue(r)
 	}
 }
 
-// chance reports whether a late request may still get room, and the time until the requests before it have theirs.
-func (p *Placer) chance(now timer.Millis, r *request) (wait timer.Millis, ok bool) {
-	wait = p.backlog(r)
-	return wait, now+lateMargin*wait < r.last
+// lateWait returns the estimated wait of a late request and whether it ends before the request's hard deadline.
+func (p *Placer) lateWait(now timer.Millis, r *request) (wait timer.Millis, ok bool) {
+	wait = p.estimateWait(r)
+	return wait, now+lateWaitFactor*wait < r.hardDeadline
 }
 
-// hopeless returns why a request cannot be served in time, and after how long a later one may be. The reason is empty
-// when it can be.
-func (p *Placer) hopeless(now timer.Millis, r *request) (reason string, wait timer.Millis) {
+// rejectReason returns why a request cannot be served in time and the time after which a retry may be. The reason is empty
+// if the request can be served. It marks the request late if the soft deadline cannot be met.
+func (p *Placer) rejectReason(now timer.Millis, r *request) (reason string, wait timer.Millis) {
 	if len(p.queue) >= maxQueued {
-		return "queue is full", p.backlog(r)
+		return "queue is full", p.estimateWait(r)
 	}
-	if now-p.began < settleTime {
+	if now-p.firstRequestAt < startupGrace {
 		return "", 0
 	}
 	service, fits := false, false
-	for _, w := range p.order {
+	for _, w := range p.workersByName {
 		if w.service == r.service {
 			service = true
-			fits = fits || w.total.Holds(r.room) && r.bound.labelled(w)
+			fits = fits || w.total.Holds(r.resources) && r.constraints.matchesLabel(w)
 		}
 	}
 	switch {
@@ -119,27 +120,27 @@
 	case !fits:
 		return "no worker is large enough", timer.Minute
 	}
-	if wait = p.backlog(r); now+wait <= r.latest {
+	if wait = p.estimateWait(r); now+wait <= r.softDeadline {
 		return "", 0
 	}
 	r.late = true
-	if wait, ok := p.chance(now, r); !ok {
+	if wait, ok := p.lateWait(now, r); !ok {
 		return "queue is too long", wait
 	}
 	return "", 0
 }
 
-// backlog estimates how long it takes until the requests that come before r have got their room.
-func (p *Placer) backlog(r *request) timer.Millis {
-	var capacity, work float64 // thousandths of a core; times milliseconds
-	for _, w := range p.order {
+// estimateWait estimates how long it takes to serve the queued requests that are ordered before r.
+func (p *Placer) estimateWait(r *request) timer.Millis {
+	var capacity, work float64 // in millicores, and in millicores times milliseconds
+	for _, w := range p.workersByName {
 		if w.accepting && w.service == r.service && !w.breaker.open {
 			capacity += float64(w.total.CPU) * max(w.speed, 1) / 1000
 		}
 	}
 	for _, q := range p.queue {
-		if q.service == r.service && compare(q, r) <= 0 {
-			work += float64(q.left) * float64(q.room.CPU) * float64(q.estimate)
+		if q.service == r.service && compareRequests(q, r) <= 0 {
+			work += float64(q.remaining) * float64(q.resources.CPU) * float64(q.estimate)
 		}
 	}
 	if work == 0 {
@@ -151,12 +152,12 @@
 	return timer.Millis(work / capacity)
 }
 
-// inputs describes the workers of a request's service as they stand, for logs.
-func (p *Placer) inputs(r *request) string {
-	var workers, accepting, open, slow, fit int
+// describeWorkers summarizes the current state of the workers of a request's service for logs.
+func (p *Placer) describeWorkers(r *request) string {
+	var workers, accepting, open, slow, withRoom int
 	var free int64
-	usual := p.usualSpeed()
-	for _, w := range p.order {
+	medianSpeed := p.computeMedianSpeed()
+	for _, w := range p.workersByName {
 		if w.service != r.service {
 			continue
 		}
@@ -166,20 +167,20 @@
 			continue
 		case w.breaker.open:
 			open++
-		case w.speed/usual < slowShare:
+		case w.speed/medianSpeed < slowSpeedRatio:
 			slow++
-		case w.free.Holds(r.room):
-			fit++
+		case w.free.Holds(r.resources):
+			withRoom++
 		}
 		accepting++
 		free += w.free.CPU
 	}
 	return fmt.Sprintf(" (workers %d, accepting %d, breaker open %d, slow %d, with room %d, free cpu %d, wanted %d, queue %d)",
-		workers, accepting, open, slow, fit, free, r.room.CPU, len(p.queue))
+		workers, accepting, open, slow, withRoom, free, r.resources.CPU, len(p.queue))
 }
 
-// reject refuses a request of which nothing was granted.
+// reject refuses a request that has no grants.
 func (p *Placer) reject(r *request, reason string, wait timer.Millis) {
-	p.report(Event{Kind: "reject", Job: r.key.job, Entry: r.key.entry, Detail: reason + p.inputs(r), Value: int64(wait)})
+	p.report(Event{Kind: "reject", Job: r.key.job, Entry: r.key.entry, Detail: reason + p.describeWorkers(r), Value: int64(wait)})
 	p.Reject(r.key.entry, marshaler.Reject{Job: r.key.job, Step: r.key.step, Reason: reason, RetryAfter: wait})
 }
--- a/placer/worker.go
+++ b/placer/worker.go
@@ -8,129 +8,131 @@
 )
 
 const (
-	// reservationLife is how long granted room stays reserved when the sidecar never sees the start.
-	reservationLife = 300 * timer.Millisecond
-	// failuresToOpen is the number of jobs in a row whose tasks failed on a worker that open its breaker. A job that fails
-	// everywhere counts once.
-	failuresToOpen = 2
-	firstProbe     = 300 * timer.Millisecond
-	lastProbe      = 1200 * timer.Millisecond
-	// cutOffShare bounds the workers that an open breaker or a low speed sets aside to one in cutOffShare. When more are
-	// affected, the cause is more likely in the jobs.
-	cutOffShare = 3
-	// slowShare of the usual speed is the speed below which a worker gets only single probes.
-	slowShare = 0.35
-	// nearBonus is the advantage, as a share of the usual speed, of a worker in the asking entry's failure domain.
-	nearBonus = 0.06
+	// reservationTTL is how long granted resources stay reserved if the sidecar does not report the start.
+	reservationTTL = 300 * timer.Millisecond
+	// breakerThreshold is the number of consecutive jobs with failed tasks on a worker that opens its circuit breaker.
+	// Several failures of one job count once, so that a job that fails everywhere does not open breakers.
+	breakerThreshold = 2
+	// minProbeDelay is the delay before the first probe of an open breaker. Each failed probe doubles it up to
+	// maxProbeDelay.
+	minProbeDelay = 300 * timer.Millisecond
+	maxProbeDelay = 1200 * timer.Millisecond
+	// workersPerOpenBreaker limits open breakers to one in workersPerOpenBreaker workers. When more workers fail, the cause
+	// is more likely in the jobs.
+	workersPerOpenBreaker = 3
+	// slowSpeedRatio is the ratio to the median speed below which a worker gets one task at a time, as a probe.
+	slowSpeedRatio = 0.35
+	// sameDomainBonus is added to the relative speed of a worker in the requesting entry's failure domain.
+	sameDomainBonus = 0.06
 )
 
 type (
-	// worker is a backend server with its sidecar, as the placing entry sees it.
+	// worker is the placing entry's view of a backend server and its sidecar.
 	worker struct {
-		name      string
-		domain    string
-		service   string
-		labels    []string
-		total     marshaler.Room
-		reported  marshaler.Room // free room in the latest Load
-		accepting bool
-		speed     float64 // thousandths of the speed that the estimates assume
-		reserved  []reservation
-		free      marshaler.Room // reported less reserved
-		breaker   breaker
+		name         string
+		domain       string
+		service      string
+		labels       []string
+		total        marshaler.Room
+		reportedFree marshaler.Room // free resources in the latest load report
+		accepting    bool
+		speed        float64 // thousandths of the speed that run time estimates assume
+		reservations []reservation
+		free         marshaler.Room // reportedFree minus reservations
+		breaker      breaker
 	}
 
-	// reservation is granted room that the sidecar's reports do not include yet.
+	// reservation is an amount of granted resources that the sidecar's reports do not reflect yet.
 	reservation struct {
-		job  string
-		room marshaler.Room
-		at   timer.Millis
+		job       string
+		resources marshaler.Room
+		grantedAt timer.Millis
 	}
 
-	// breaker keeps work away from a worker that fails what it starts or is slow. The zero value is closed.
+	// breaker is the circuit breaker of a worker whose tasks fail or stall. The zero value is closed.
 	breaker struct {
-		open     bool
-		failures int
-		lastJob  string
-		wait     timer.Millis
-		probeAt  timer.Millis
-		probing  bool
+		open       bool
+		failedJobs int
+		lastJob    string
+		probeDelay timer.Millis
+		probeAt    timer.Millis
+		probing    bool
 	}
 )
 
-func (w *worker) account() {
-	w.free = w.reported
-	for _, r := range w.reserved {
-		w.free = w.free.Sub(r.room)
+func (w *worker) updateFree() {
+	w.free = w.reportedFree
+	for _, r := range w.reservations {
+		w.free = w.free.Sub(r.resources)
 	}
 }
 
-func (w *worker) reserve(now timer.Millis, job string, room marshaler.Room) {
-	w.reserved = append(w.reserved, reservation{job, room, now})
-	w.free = w.free.Sub(room)
+func (w *worker) reserve(now timer.Millis, job string, resources marshaler.Room) {
+	w.reservations = append(w.reservations, reservation{job, resources, now})
+	w.free = w.free.Sub(resources)
 }
 
-// seen removes a reservation whose start the sidecar has handled.
-func (w *worker) seen(job string) {
-	i := slices.IndexFunc(w.reserved, func(r reservation) bool { return r.job == job })
+// releaseReservation removes the oldest reservation of a job, because the sidecar has handled a start of it.
+func (w *worker) releaseReservation(job string) {
+	i := slices.IndexFunc(w.reservations, func(r reservation) bool { return r.job == job })
 	if i >= 0 {
-		w.reserved = slices.Delete(w.reserved, i, i+1)
+		w.reservations = slices.Delete(w.reservations, i, i+1)
 	}
 }
 
-// expire drops the reservations whose starts the sidecar never saw. They are in the order of their time.
-func (w *worker) expire(now timer.Millis) {
-	old := 0
-	for old < len(w.reserved) && now-w.reserved[old].at > reservationLife {
-		old++
+// expireReservations removes reservations whose starts the sidecar did not report in time. They are sorted by time.
+func (w *worker) expireReservations(now timer.Millis) {
+	expired := 0
+	for expired < len(w.reservations) && now-w.reservations[expired].grantedAt > reservationTTL {
+		expired++
 	}
-	if old > 0 {
-		w.reserved = slices.Delete(w.reserved, 0, old)
-		w.account()
+	if expired > 0 {
+		w.reservations = slices.Delete(w.reservations, 0, expired)
+		w.updateFree()
 	}
 }
 
-// busy reports whether anything runs on the worker or is about to.
+// busy reports whether the worker has running tasks or reservations.
 func (w *worker) busy() bool { return w.free != w.total }
 
-// settle learns from the end of a run.
-func (p *Placer) settle(now timer.Millis, w *worker, s marshaler.Settled) {
+// recordOutcome updates the worker's breaker after a run has ended.
+func (p *Placer) recordOutcome(now timer.Millis, w *worker, s marshaler.Settled) {
 	b := &w.breaker
 	switch s.Status {
 	case marshaler.StatusDone:
 		*b = breaker{}
 	case marshaler.StatusFailed, marshaler.StatusStalled:
 		if b.lastJob != s.Job {
-			b.failures++
+			b.failedJobs++
 		}
 		b.lastJob = s.Job
 		if s.Status == marshaler.StatusStalled {
-			b.failures = max(b.failures, failuresToOpen)
+			b.failedJobs = max(b.failedJobs, breakerThreshold)
 		}
 		switch {
 		case b.open:
-			b.wait = min(2*b.wait, lastProbe)
-			b.probeAt, b.probing = now+b.wait, false
-		case b.failures >= failuresToOpen && p.mayCutOff():
-			b.open, b.wait, b.probeAt = true, firstProbe, now+firstProbe
-			p.report(Event{Kind: "breakerOpen", Worker: w.name, Detail: s.Status.String(), Value: int64(b.failures)})
+			b.probeDelay = min(2*b.probeDelay, maxProbeDelay)
+			b.probeAt, b.probing = now+b.probeDelay, false
+		case b.failedJobs >= breakerThreshold && p.mayOpenBreaker():
+			b.open, b.probeDelay, b.probeAt = true, minProbeDelay, now+minProbeDelay
+			p.report(Event{Kind: "breakerOpen", Worker: w.name, Detail: s.Status.String(), Value: int64(b.failedJobs)})
 		}
 	}
 }
 
-// mayCutOff reports whether one more worker may be set aside.
-func (p *Placer) mayCutOff() bool {
-	cut := 1
+// mayOpenBreaker reports whether workersPerOpenBreaker permits one more open breaker.
+func (p *Placer) mayOpenBreaker() bool {
+	open := 1
 	for _, w := range p.workers {
 		if w.breaker.open {
-			cut++
+			open++
 		}
 	}
-	return cut*cutOffShare <= len(p.workers)
+	return open*workersPerOpenBreaker <= len(p.workers)
 }
 
-// allows reports whether the breaker lets the worker have a task.
-func (w *worker) allows(now timer.Millis) bool {
+// breakerAllows reports whether the breaker is closed or due for a probe.
+func (w *worker) breakerAllows(now timer.Millis) bool {
 	b := &w.breaker
 	if !b.open {
 		return true
