--- a/placer/constraints.go
+++ b/placer/constraints.go
@@ -10,17 +10,17 @@
 // 3 times as long there.
 const remoteRackFactor = 0.5
 
-// constraints are the placement constraints and the rack preference of a step. The zero value allows all workers and ranks
-// them equally.
-type constraints struct {
+// placementConstraints are the placement constraints and the rack preference of a step. The zero value allows all workers
+// and ranks them equally.
+type placementConstraints struct {
 	label     string         // required; empty for none
 	rack      string         // preferred; empty for none
 	perServer int            // maximum number of tasks on one worker; 0 for no limit
 	placed    map[string]int // number of tasks by worker, if perServer is set
 }
 
-func newConstraints(a *marshaler.Ask) constraints {
-	c := constraints{label: a.Label, rack: a.Rack, perServer: int(a.PerServer)}
+func newConstraints(a *marshaler.Ask) placementConstraints {
+	c := placementConstraints{label: a.Label, rack: a.Rack, perServer: int(a.PerServer)}
 	if c.perServer > 0 {
 		c.placed = map[string]int{}
 		for _, name := range a.Placed {
@@ -31,22 +31,22 @@
 }
 
 // countPlaced counts a task granted on the worker.
-func (c *constraints) countPlaced(worker string) {
+func (c *placementConstraints) countPlaced(worker string) {
 	if c.perServer > 0 {
 		c.placed[worker]++
 	}
 }
 
-func (c *constraints) matchesLabel(w *worker) bool {
+func (c *placementConstraints) matchesLabel(w *worker) bool {
 	return c.label == "" || slices.Contains(w.labels, c.label)
 }
 
-func (c *constraints) allows(w *worker) bool {
+func (c *placementConstraints) allows(w *worker) bool {
 	return c.matchesLabel(w) && (c.perServer == 0 || c.placed[w.name] < c.perServer)
 }
 
 // rackFactor returns the factor on the worker's speed for its distance from the step's data.
-func (c *constraints) rackFactor(w *worker) float64 {
+func (c *placementConstraints) rackFactor(w *worker) float64 {
 	if c.rack == "" || slices.Contains(w.labels, c.rack) {
 		return 1
 	}
--- a/placer/placer.go
+++ b/placer/placer.go
@@ -183,7 +183,7 @@
 		p.medianSpeed, p.medianSpeedAt = p.computeMedianSpeed(), now
 	}
 	blocked := 0
-	var granted []*request
+	var served []*request
 	for _, r := range p.queue {
 		if r.late && !r.started && blocked > 0 {
 			break // late requests get only resources that no other request waits for
@@ -204,19 +204,20 @@
 			r.granted = append(r.granted, w.name)
 		}
 		if len(r.granted) > 0 {
-			granted = append(granted, r)
+			served = append(served, r)
 		}
 		if blocked >= maxBlockedRequests {
 			break
 		}
 	}
-	p.sendGrants(granted)
+	p.sendGrants(served)
 }
 
 // sendGrants sends the grants to the entries and dequeues the requests that are fully granted.
-func (p *Placer) sendGrants(granted []*request) {
+// Partially granted ones count as started and move to the front.
+func (p *Placer) sendGrants(served []*request) {
 	needsSort := false
-	for _, r := range granted {
+	for _, r := range served {
 		p.Grant(r.key.entry, marshaler.Grant{Job: r.key.job, Step: r.key.step, Sidecars: r.granted})
 		r.granted = nil
 		if r.remaining == 0 {
--- a/placer/request.go
+++ b/placer/request.go
@@ -29,7 +29,7 @@
 		arrived      timer.Millis
 		granted      []string
 		avoided      []string // workers that get none of its tasks while others serve its service
-		constraints  constraints
+		constraints  placementConstraints
 	}
 )
 
--- a/placer/worker.go
+++ b/placer/worker.go
@@ -122,13 +122,13 @@
 
 // mayOpenBreaker reports whether workersPerOpenBreaker permits one more open breaker.
 func (p *Placer) mayOpenBreaker() bool {
-	open := 1
+	openCount := 1
 	for _, w := range p.workers {
 		if w.breaker.open {
-			open++
+			openCount++
 		}
 	}
-	return open*workersPerOpenBreaker <= len(p.workers)
+	return openCount*workersPerOpenBreaker <= len(p.workers)
 }
 
 // breakerAllows reports whether the breaker is closed or due for a probe.
