--- a/placer/constraints_test.go
+++ b/placer/constraints_test.go
@@ -11,10 +11,10 @@
 // preferred rack while the rack has free resources.
 func TestConstraints(t *testing.T) {
 	cases := []struct {
-		name   string
-		ask    marshaler.Ask
-		want   []string
-		reject bool
+		name    string
+		request marshaler.Ask
+		want    []string
+		reject  bool
 	}{
 		{"unconstrained", marshaler.Ask{Tasks: 2}, []string{"a", "a"}, false},
 		{"label", marshaler.Ask{Tasks: 2, Label: "big"}, []string{"b", "b"}, false},
@@ -41,8 +41,8 @@
 			p.OnLoad(1, name, &marshaler.Load{Accepting: true, Free: capacity, Speed: uint64(1000 - i)})
 		}
 		p.firstRequestAt = 1
-		c.ask.Job, c.ask.Service, c.ask.Room, c.ask.Estimate, c.ask.Slack = "job", "svc", marshaler.Room{CPU: 1000}, 10, 100
-		p.Ask(5000, "entry", "", &c.ask)
+		c.request.Job, c.request.Service, c.request.Room, c.request.Estimate, c.request.Slack = "job", "svc", marshaler.Room{CPU: 1000}, 10, 100
+		p.Ask(5000, "entry", "", &c.request)
 		p.Place(5000)
 		slices.Sort(got)
 		if !slices.Equal(got, c.want) || rejected != c.reject {
--- a/placer/placer_test.go
+++ b/placer/placer_test.go
@@ -154,7 +154,7 @@
 	}
 	if status != marshaler.StatusDone {
 		j.retries++
-		s.ask(j, 1)
+		s.request(j, 1)
 		return
 	}
 	if j.done++; j.done == j.tasks {
@@ -173,7 +173,7 @@
 	}
 }
 
-func (s *simulation) ask(j *simJob, tasks int) {
+func (s *simulation) request(j *simJob, tasks int) {
 	s.p.Ask(s.now, "entry", "", &marshaler.Ask{
 		Job: j.id, Service: "svc", Tasks: uint64(tasks), Room: marshaler.Room{CPU: taskCPU}, Estimate: j.estimate, Slack: j.slack, Patience: j.maxWait,
 		Started: j.started,
@@ -272,7 +272,7 @@
 						j := &simJob{jobSpec: tj, arrivedAt: s.now}
 						s.jobs[tj.id], all[tj.id] = j, j
 						total++
-						s.ask(j, j.tasks)
+						s.request(j, j.tasks)
 					}
 				}
 				s.advance()
@@ -302,10 +302,10 @@
 // TestRefusals guards against queueing requests that cannot be served in time.
 func TestRefusals(t *testing.T) {
 	cases := []struct {
-		name   string
-		ask    marshaler.Ask
-		prior  int // number of tasks of 100 ms that are queued before
-		reason string
+		name    string
+		request marshaler.Ask
+		prior   int // number of tasks of 100 ms that are queued before
+		reason  string
 	}{
 		{"fits", marshaler.Ask{Service: "svc", Tasks: 1, Room: marshaler.Room{CPU: 3000}, Estimate: 100, Slack: 50}, 0, ""},
 		{"other service", marshaler.Ask{Service: "other", Tasks: 1, Room: marshaler.Room{CPU: 3000}, Slack: 50}, 0, "no backend server of the service is known"},
@@ -329,8 +329,8 @@
 		if c.prior > 0 {
 			s.p.Ask(s.now, "entry", "", &marshaler.Ask{Job: "prior", Service: "svc", Tasks: uint64(c.prior), Room: marshaler.Room{CPU: 3000}, Estimate: 100, Slack: 40})
 		}
-		c.ask.Job = "job"
-		s.p.Ask(s.now, "entry", "", &c.ask)
+		c.request.Job = "job"
+		s.p.Ask(s.now, "entry", "", &c.request)
 		if got != c.reason {
 			t.Errorf("%s: got reason %q, want %q", c.name, got, c.reason)
 		}
@@ -347,7 +347,7 @@
 		free, freeLater int
 		// onTime is the number of tasks of another request, which arrives after 100 ms.
 		onTime  int
-		ask     marshaler.Ask
+		request marshaler.Ask
 		granted int
 		reason  string // of a refusal, if any
 		at      timer.Millis
@@ -388,8 +388,8 @@
 		p.SetWorker("a", "", &marshaler.Backend{Service: "svc", Total: marshaler.Room{CPU: 64_000}})
 		load()
 		p.firstRequestAt = 1
-		c.ask.Job, c.ask.Service, c.ask.Room, c.ask.Estimate = "late", "svc", taskSize, 60
-		p.Ask(now, "entry", "", &c.ask)
+		c.request.Job, c.request.Service, c.request.Room, c.request.Estimate = "late", "svc", taskSize, 60
+		p.Ask(now, "entry", "", &c.request)
 		began := now
 		for ; now < began+1000; now++ {
 			if now == began+100 {
@@ -425,7 +425,7 @@
 	}
 }
 
-// BenchmarkPlace measures Ask and Place with 1,700 workers and a full queue.
+// BenchmarkPlace measures queueing and placing a request with 1,700 workers and a full queue.
 func BenchmarkPlace(b *testing.B) {
 	s := newSimulation(1, 1700)
 	s.p.Grant = func(string, marshaler.Grant) {}
