--- a/placer/placer_test.go
+++ b/placer/placer_test.go
@@ -222,7 +222,7 @@
 			}
 			return steady(r, at)
 		}, func(*simulation, timer.Millis) {}, 0.70, 0.75},
-		{"callers retry at once after a restart", func(r *rand.Rand, at timer.Millis) []jobSpec {
+		{"callers come back at once after a restart", func(r *rand.Rand, at timer.Millis) []jobSpec {
 			switch {
 			case at > 2000 && at <= 3000:
 				return nil // outage
