--- a/interpreter/chart.go
+++ b/interpreter/chart.go
@@ -1,14 +1,14 @@
-// Package interpreter reads state charts from text files, checks them and steps them.
+// Package interpreter parses, validates and executes finite state machines that are defined in text files, called charts.
 //
-// A chart file has one directive a line; "#" begins a comment:
+// A chart file has one directive per line. A "#" starts a comment that extends to the end of the line:
 //
 //	start  STATE
 //	final  STATE
 //	on     STATE EVENT STATE
 //	refuse STATE EVENT
 //
-// Each state must be reachable from the start, each state that is not final must have a way out, and each event must be
-// either handled or refused in each state that is not final.
+// Each state must be reachable from the start state. Each state that is not final must have a transition to another
+// state and must either handle or refuse every event of the chart.
 package interpreter
 
 import (
@@ -20,49 +20,51 @@
 )
 
 type (
-	// Chart is a checked state chart. It is immutable.
+	// Chart is a validated state machine. It is immutable.
 	Chart struct {
 		name    string
 		start   string
 		finals  map[string]bool
-		next    map[step]string
-		refused map[step]bool
+		next    map[transition]string
+		refused map[transition]bool
 	}
 
-	step struct{ state, event string }
+	// transition identifies a transition by its source state and event.
+	transition struct{ state, event string }
 
-	finding struct {
-		line int
+	problem struct {
+		line int // 0 if the problem concerns the whole chart
 		text string
 	}
 )
 
-// Parse reads a chart. The error lists every finding with the chart's name and the line.
+// Parse parses and validates a chart. The error lists every problem with the name of the chart and the line number. If
+// there are syntax errors, the states and events are not validated.
 func Parse(name, text string) (Chart, error) {
-	c := Chart{name: name, finals: map[string]bool{}, next: map[step]string{}, refused: map[step]bool{}}
-	var found []finding
+	c := Chart{name: name, finals: map[string]bool{}, next: map[transition]string{}, refused: map[transition]bool{}}
+	var problems []problem
 	for i, line := range strings.Split(text, "\n") {
 		line, _, _ = strings.Cut(line, "#")
-		if words := strings.Fields(line); len(words) > 0 {
-			if problem := c.directive(words); problem != "" {
-				found = append(found, finding{i + 1, problem})
+		if fields := strings.Fields(line); len(fields) > 0 {
+			if message := c.addDirective(fields); message != "" {
+				problems = append(problems, problem{i + 1, message})
 			}
 		}
 	}
-	if len(found) == 0 {
-		found = c.check()
+	if len(problems) == 0 {
+		problems = c.validate()
 	}
-	if len(found) == 0 {
+	if len(problems) == 0 {
 		return c, nil
 	}
 	var errs []error
-	for _, f := range found {
-		errs = append(errs, fmt.Errorf("%s:%d: %s", name, f.line, f.text))
+	for _, p := range problems {
+		errs = append(errs, fmt.Errorf("%s:%d: %s", name, p.line, p.text))
 	}
 	return Chart{}, trace.NewAggregate(errs...)
 }
 
-// MustParse is Parse for charts that are part of the program. It panics on a finding, because that is a bug.
+// MustParse is like Parse but panics if the chart is invalid. It is for charts that are embedded in the program.
 func MustParse(name, text string) Chart {
 	c, err := Parse(name, text)
 	if err != nil {
@@ -71,21 +73,21 @@
 	return c
 }
 
-// Start returns the start state.
 func (c Chart) Start() string { return c.start }
 
-// Final reports whether no event leaves the state.
+// Final reports whether state is final.
 func (c Chart) Final(state string) bool { return c.finals[state] }
 
-// Step returns the state that follows event in state. The error says that the chart refuses the event there.
+// Step returns the state that follows state on event. If the chart does not handle the event in that state, it returns
+// the unchanged state and an error.
 func (c Chart) Step(state, event string) (string, error) {
-	if next, ok := c.next[step{state, event}]; ok {
+	if next, ok := c.next[transition{state, event}]; ok {
 		return next, nil
 	}
 	return state, trace.BadParameter("chart %s refuses event %q in state %q", c.name, event, state)
 }
 
-// States returns all states in order.
+// States returns all states in sorted order.
 func (c Chart) States() []string {
 	seen := map[string]bool{c.start: true}
 	for s, to := range c.next {
@@ -94,10 +96,10 @@
 	for s := range c.finals {
 		seen[s] = true
 	}
-	return sorted(seen)
+	return sortedKeys(seen)
 }
 
-// Events returns all events in order.
+// Events returns all events in sorted order.
 func (c Chart) Events() []string {
 	seen := map[string]bool{}
 	for s := range c.next {
@@ -106,79 +108,83 @@
 	for s := range c.refused {
 		seen[s.event] = true
 	}
-	return sorted(seen)
+	return sortedKeys(seen)
 }
 
-func (c *Chart) directive(words []string) string {
+// addDirective adds one directive to the chart. It returns a description of the syntax error, or "".
+func (c *Chart) addDirective(fields []string) string {
 	switch {
-	case words[0] == "start" && len(words) == 2:
+	case fields[0] == "start" && len(fields) == 2:
 		if c.start != "" {
-			return "a second start state"
+			return "duplicate start state"
 		}
-		c.start = words[1]
-	case words[0] == "final" && len(words) == 2:
-		c.finals[words[1]] = true
-	case words[0] == "on" && len(words) == 4:
-		s := step{words[1], words[2]}
+		c.start = fields[1]
+	case fields[0] == "final" && len(fields) == 2:
+		c.finals[fields[1]] = true
+	case fields[0] == "on" && len(fields) == 4:
+		s := transition{fields[1], fields[2]}
 		if c.next[s] != "" || c.refused[s] {
-			return fmt.Sprintf("event %q stands twice in state %q", s.event, s.state)
+			return fmt.Sprintf("duplicate event %q in state %q", s.event, s.state)
 		}
-		c.next[s] = words[3]
-	case words[0] == "refuse" && len(words) == 3:
-		s := step{words[1], words[2]}
+		c.next[s] = fields[3]
+	case fields[0] == "refuse" && len(fields) == 3:
+		s := transition{fields[1], fields[2]}
 		if c.next[s] != "" || c.refused[s] {
-			return fmt.Sprintf("event %q stands twice in state %q", s.event, s.state)
+			return fmt.Sprintf("duplicate event %q in state %q", s.event, s.state)
 		}
 		c.refused[s] = true
 	default:
-		return fmt.Sprintf("unknown directive %q", strings.Join(words, " "))
+		return fmt.Sprintf("unknown directive %q", strings.Join(fields, " "))
 	}
 	return ""
 }
 
-func (c *Chart) check() []finding {
-	var found []finding
-	add := func(format string, args ...any) { found = append(found, finding{0, fmt.Sprintf(format, args...)}) }
+func (c *Chart) validate() []problem {
+	var problems []problem
+	add := func(format string, args ...any) {
+		problems = append(problems, problem{0, fmt.Sprintf(format, args...)})
+	}
 	if c.start == "" {
-		add("no start state")
-		return found
+		add("missing start state")
+		return problems
 	}
 	reached := c.reachable()
 	events := c.Events()
 	for _, s := range c.States() {
 		if !reached[s] {
-			add("state %q cannot be reached", s)
+			add("state %q is unreachable", s)
 		}
 		for _, e := range events {
-			to, handled := c.next[step{s, e}]
+			to, handled := c.next[transition{s, e}]
 			switch {
 			case c.finals[s] && handled && to != s:
-				add("final state %q is left by event %q", s, e)
-			case !c.finals[s] && !handled && !c.refused[step{s, e}]:
+				add("final state %q has an outgoing transition on event %q", s, e)
+			case !c.finals[s] && !handled && !c.refused[transition{s, e}]:
 				add("event %q is neither handled nor refused in state %q", e, s)
 			}
 		}
-		if !c.finals[s] && !c.canLeave(s) {
-			add("state %q has no way out and is not final", s)
+		if !c.finals[s] && !c.hasExit(s) {
+			add("state %q is not final and has no transition to another state", s)
 		}
 	}
-	return found
+	return problems
 }
 
 func (c *Chart) reachable() map[string]bool {
 	reached := map[string]bool{c.start: true}
-	for grown := true; grown; {
-		grown = false
+	for changed := true; changed; {
+		changed = false
 		for s, to := range c.next {
 			if reached[s.state] && !reached[to] {
-				reached[to], grown = true, true
+				reached[to], changed = true, true
 			}
 		}
 	}
 	return reached
 }
 
-func (c *Chart) canLeave(state string) bool {
+// hasExit reports whether state has a transition to another state.
+func (c *Chart) hasExit(state string) bool {
 	for s, to := range c.next {
 		if s.state == state && to != state {
 			return true
@@ -187,7 +193,7 @@
 	return false
 }
 
-func sorted(set map[string]bool) []string {
+func sortedKeys(set map[string]bool) []string {
 	list := make([]string, 0, len(set))
 	for s := range set {
 		list = append(list, s)
--- a/interpreter/chart_test.go
+++ b/interpreter/chart_test.go
@@ -5,24 +5,24 @@
 	"testing"
 )
 
-// TestParse guards against charts with gaps, which would surface only when the missing event occurs.
+// TestParse checks that incomplete charts are rejected. A gap would otherwise fail only when the missing event occurs.
 func TestParse(t *testing.T) {
 	cases := []struct {
 		name string
 		text string
-		want string // part of the error; empty for a good chart
+		want string // substring of the error; empty for a valid chart
 	}{
-		{"good", "start a\nfinal b\non a go b # done", ""},
-		{"no start", "final b\non a go b", "no start state"},
-		{"second start", "start a\nstart b", "c:2: a second start state"},
-		{"unreachable", "start a\nfinal b\nfinal c\non a go b\non d go c", `state "d" cannot be reached`},
+		{"valid", "start a\nfinal b\non a go b # done", ""},
+		{"no start", "final b\non a go b", "missing start state"},
+		{"second start", "start a\nstart b", "c:2: duplicate start state"},
+		{"unreachable", "start a\nfinal b\nfinal c\non a go b\non d go c", `state "d" is unreachable`},
 		{"missing event", "start a\nfinal c\non a go b\non a stop c\non b stop c", `event "go" is neither handled nor refused in state "b"`},
 		{"refused event", "start a\nfinal c\non a go b\non a stop c\non b stop c\nrefuse b go", ""},
-		{"no way out", "start a\non a go b\non b go b\nfinal c\n", `state "b" has no way out`},
-		{"left final state", "start a\nfinal b\non a go b\non b go a", `final state "b" is left`},
-		{"double event", "start a\non a go b\non a go c", "c:3: event \"go\" stands twice"},
+		{"no exit", "start a\non a go b\non b go b\nfinal c\n", `state "b" is not final and has no transition to another state`},
+		{"exit from final state", "start a\nfinal b\non a go b\non b go a", `final state "b" has an outgoing transition`},
+		{"duplicate event", "start a\non a go b\non a go c", "c:3: duplicate event \"go\""},
 		{"unknown directive", "begin a", `c:1: unknown directive "begin a"`},
-		{"all findings", "begin a\nend b", "c:2:"},
+		{"all problems", "begin a\nend b", "c:2:"},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -40,7 +40,7 @@
 	}
 }
 
-// TestStep guards against an event that moves a state without the chart saying so.
+// TestStep checks that a state changes only on events that the chart handles in that state.
 func TestStep(t *testing.T) {
 	c := MustParse("c", "start a\nfinal b\non a go b\nrefuse a stop")
 	cases := []struct {
--- a/starter/census.go
+++ b/starter/census.go
@@ -6,19 +6,19 @@
 )
 
 const (
-	// maxPart is the largest sum of row sizes in one part of a census reply. A single row is smaller, so that each part
-	// fits a frame.
-	maxPart = 2 << 20
-	// rowOverhead covers the encoding of a row's numbers and lengths.
+	// maxReplyPartBytes limits the row sizes in one part of a census reply, so that each part fits in a frame. A single
+	// row is always smaller than that.
+	maxReplyPartBytes = 2 << 20
+	// rowOverhead is the size of the encoded numbers and length prefixes of a row.
 	rowOverhead = 64
 )
 
-// census promises the roster's epoch and lists the started tasks that e owns under it. Waiting tasks of older epochs
-// are refused first, so a task that the reply lacks cannot start any more. An asker with an older roster gets an empty
-// reply with the known epoch.
-func (c *Core) census(now timer.Millis, e *entry, m *encoder.Census) {
-	c.adopt(m.Roster)
-	c.sweep(now)
+// handleCensus adopts the roster of the request and replies with the started tasks that e owns under it. Waiting tasks
+// with an older epoch are refused first, so that a task that is missing in the reply cannot start later. If the request
+// has an older roster than the sidecar, the reply is empty and contains the sidecar's epoch.
+func (c *Core) handleCensus(now timer.Millis, e *entry, m *encoder.Census) {
+	c.adoptRoster(m.Roster)
+	c.recheckWaiting(now)
 	reply := &encoder.CensusReply{Epoch: c.roster.Epoch}
 	if m.Roster.Epoch < c.roster.Epoch {
 		reply.Last = true
@@ -27,15 +27,15 @@
 	}
 	size := 0
 	for _, j := range c.started.jobs {
-		if owner, ok := c.owner(j.key); !ok || owner != e.member {
+		if owner, ok := c.ownerOf(j.key); !ok || owner != e.member {
 			continue
 		}
 		for i := range j.rows {
 			r := &j.rows[i]
 			t := encoder.StartedTask{Task: encoder.TaskKey{Job: j.key, Index: r.index}}
-			t.Status, t.Reason = r.evidence()
+			t.Status, t.Reason = r.censusStatus()
 			n := len(t.Task.Job) + len(t.Reason) + rowOverhead
-			if size+n > maxPart && len(reply.Started) > 0 {
+			if size+n > maxReplyPartBytes && len(reply.Started) > 0 {
 				c.send(e, reply)
 				reply, size = &encoder.CensusReply{Epoch: c.roster.Epoch}, 0
 			}
@@ -50,28 +50,29 @@
 	c.send(e, reply)
 }
 
-// evidence returns what a census reply says about a task. Bodies stay here: a takeover has to be quick, and the new owner
-// needs the results of few of the listed tasks.
-func (r *row) evidence() (status encoder.Status, reason string) {
-	status, _, reason, _ = r.report()
+// censusStatus returns the status and reason of a task for a census reply. Results are left out to keep takeovers fast,
+// because the new owner needs few of them.
+func (r *row) censusStatus() (status encoder.Status, reason string) {
+	status, _, reason, _ = r.resultFields()
 	if status == encoder.StatusDone {
 		status = encoder.StatusKept
 	}
 	return status, reason
 }
 
-// resend sends the results that e owns and has not collected; some may have been lost with the previous session.
-func (c *Core) resend(e *entry) {
+// resendResults sends the results that e owns and has not collected, because they may have been lost with the previous
+// session.
+func (c *Core) resendResults(e *entry) {
 	if c.started.uncollected == 0 {
 		return
 	}
 	for _, j := range c.started.jobs {
-		if owner, ok := c.owner(j.key); !ok || owner != e.member {
+		if owner, ok := c.ownerOf(j.key); !ok || owner != e.member {
 			continue
 		}
 		for i := range j.rows {
-			if r := &j.rows[i]; r.state == stateEnded && r.detail != nil {
-				c.result(e, encoder.TaskKey{Job: j.key, Index: r.index}, r, 0)
+			if r := &j.rows[i]; r.state == stateEnded && r.result != nil {
+				c.sendResult(e, encoder.TaskKey{Job: j.key, Index: r.index}, r, 0)
 			}
 		}
 	}
--- a/starter/charts.go
+++ b/starter/charts.go
@@ -1,7 +1,7 @@
 package starter
 
 import (
-	_ "embed" // the chart files
+	_ "embed"
 	"fmt"
 
 	"github.com/crocuslb/crocuslb/interpreter"
@@ -48,9 +48,9 @@
 	domainChart  = interpreter.MustParse("domain.chart", domainText)
 )
 
-// step moves state along the chart. It panics when the chart refuses the event: the core checks each message against
-// the state first, so a refused event is a bug.
-func step(c interpreter.Chart, state, event string) string {
+// nextState returns the state that follows state on event. It panics if the chart refuses the event: the core checks
+// each message against the state first, so a refused event is a bug.
+func nextState(c interpreter.Chart, state, event string) string {
 	next, err := c.Step(state, event)
 	if err != nil {
 		panic(fmt.Sprintf("starter: %v", err))
--- a/starter/core_bench_test.go
+++ b/starter/core_bench_test.go
@@ -8,9 +8,9 @@
 	"github.com/crocuslb/crocuslb/encoder"
 )
 
-// benchmarkStarts sends n starts through a core, 20 tasks a job, each with its end and its collection.
+// benchmarkStarts starts, ends and collects n tasks in a core, with 20 tasks per job.
 func benchmarkStarts(c *Core, n int) {
-	session := sessionOf(c, task(0))
+	session := ownerSession(c, task(0))
 	owner := c.sessions[session].member
 	done := Outcome{Status: encoder.StatusDone, Body: make([]byte, 64)}
 	for i := range n {
@@ -21,18 +21,18 @@
 	}
 }
 
-// BenchmarkStart measures a start, its end and its collection in the core.
+// BenchmarkStart measures the start, end and collection of a task in the core.
 func BenchmarkStart(b *testing.B) {
-	c := connected(five[:3]...)
+	c := newConnectedCore(testMembers[:3]...)
 	b.ResetTimer()
 	benchmarkStarts(c, b.N)
 }
 
-// BenchmarkKept reports the memory of a started task that ended and was collected, at the full table.
+// BenchmarkKept measures the memory per collected task with a full started-task table.
 func BenchmarkKept(b *testing.B) {
 	var before, after runtime.MemStats
 	for b.Loop() {
-		c := connected(five[:3]...)
+		c := newConnectedCore(testMembers[:3]...)
 		runtime.GC()
 		runtime.ReadMemStats(&before)
 		benchmarkStarts(c, defaultMaxKeys)
--- a/starter/credits.go
+++ b/starter/credits.go
@@ -2,8 +2,8 @@
 
 import "github.com/crocuslb/crocuslb/encoder"
 
-// committed returns the credits that are granted or spent on tasks that have not ended.
-func (c *Core) committed() uint32 {
+// committedCredits returns the number of credits that entries hold or have spent on tasks that have not ended.
+func (c *Core) committedCredits() uint32 {
 	n := uint32(len(c.running) + len(c.waiting))
 	for _, e := range c.entries {
 		n += e.credits
@@ -11,28 +11,28 @@
 	return n
 }
 
-// limit returns how many credits may be committed. It is 0 while starts would be refused.
-func (c *Core) limit() uint32 {
+// creditLimit returns the maximum number of committed credits. It is 0 while all starts would be refused.
+func (c *Core) creditLimit() uint32 {
 	switch {
 	case c.leaving || !c.announced || c.leaseState != leaseHeld:
 		return 0
-	case c.domain == domainInForce:
-		return c.Slots + c.Extra
-	case c.domain == domainReturning:
+	case c.domainState == domainInForce:
+		return c.Slots + c.ExtraCredits
+	case c.domainState == domainReturning:
 		return 1
 	}
 	return 0
 }
 
-// deal grants the free credits to the owner of the cell. When that is the answered entry, they are returned instead, to
-// travel with the answer.
-func (c *Core) deal(answered *entry) uint32 {
-	limit, committed := c.limit(), c.committed()
+// grantCredits grants the free credits to the owner of the cell. If answered is the owner, it returns the number of
+// granted credits instead of sending a Grant, so that the caller can include them in its answer.
+func (c *Core) grantCredits(answered *entry) uint32 {
+	limit, committed := c.creditLimit(), c.committedCredits()
 	if committed >= limit {
 		return 0
 	}
 	for _, e := range c.entries {
-		if e.session == 0 || e.idle || e.member != c.home {
+		if e.session == 0 || e.idle || e.member != c.cellOwner {
 			continue
 		}
 		e.credits += limit - committed
@@ -45,24 +45,26 @@
 	return 0
 }
 
-// recall asks for the credits of entries that stopped owning the cell, and for all while the domain is withdrawn.
-func (c *Core) recall() {
+// recallCredits requests the return of credits from entries that no longer own the cell, and from all entries while the
+// failure domain is withdrawn.
+func (c *Core) recallCredits() {
 	for _, e := range c.entries {
-		if e.credits > 0 && !e.asked && e.session != 0 && (c.domain == domainWithdrawn || e.member != c.home) {
-			e.asked, e.recalled = true, e.credits
+		if e.credits > 0 && !e.recallPending && e.session != 0 && (c.domainState == domainWithdrawn || e.member != c.cellOwner) {
+			e.recallPending, e.recalled = true, e.credits
 			c.send(e, &encoder.Recall{Credits: e.credits})
 		}
 	}
 }
 
-// release takes back credits that e returns. An entry answers each Recall with one Release. Starts that it sent before
-// have arrived by then, so it holds none of the recalled credits any more, even when it returns fewer than expected. A
-// Release without a Recall means that it has no use for the credits; it gets new ones when it has a queue again.
-func (c *Core) release(e *entry, n uint32) {
-	e.idle = !e.asked && n > 0
+// handleRelease takes back the credits that e returns. An entry answers each Recall with one Release. The starts that
+// it sent before the Release have arrived by then, so it holds none of the recalled credits any more, even if it
+// returns fewer than expected. A Release without a Recall means that e does not need the credits; it is granted new
+// ones once it has queued tasks again.
+func (c *Core) handleRelease(e *entry, n uint32) {
+	e.idle = !e.recallPending && n > 0
 	e.credits -= min(max(n, e.recalled), e.credits)
-	e.asked, e.recalled = false, 0
+	e.recallPending, e.recalled = false, 0
 }
 
-// void drops the credits of e.
-func (e *entry) void() { e.credits, e.asked, e.recalled = 0, false, 0 }
+// voidCredits invalidates the credits of e.
+func (e *entry) voidCredits() { e.credits, e.recallPending, e.recalled = 0, false, 0 }
--- a/starter/freshness.go
+++ b/starter/freshness.go
@@ -6,85 +6,86 @@
 )
 
 type (
-	// sentPing is the time at which a ping was sent.
+	// sentPing is a sent ping, recorded so that a pong extends the lease from the send time of its ping.
 	sentPing struct {
 		sequence uint64
-		at       timer.Millis
+		sentAt   timer.Millis
 	}
 
-	// statement is the newest word of an entry on the sidecar's failure domain.
-	statement struct {
-		sequence uint64 // of the pong; 0 for none
-		offset   uint64
-		inForce  bool
+	// domainReport is the latest report of an entry about the sidecar's failure domain.
+	domainReport struct {
+		pongSequence uint64 // 0 if there was no pong yet
+		offset       uint64
+		inForce      bool
 	}
 )
 
-// ping sends a heartbeat to e and remembers its time.
-func (c *Core) ping(now timer.Millis, e *entry) {
+// sendPing sends a heartbeat to e and records its send time.
+func (c *Core) sendPing(now timer.Millis, e *entry) {
 	if e.session == 0 {
 		return
 	}
-	e.sequence++
-	e.pings[e.sequence%uint64(len(e.pings))] = sentPing{e.sequence, now}
-	c.send(e, &encoder.Ping{Sequence: e.sequence, Running: uint32(len(c.running)), Leaving: c.leaving, Epoch: c.roster.Epoch})
+	e.pingSequence++
+	e.pings[e.pingSequence%uint64(len(e.pings))] = sentPing{e.pingSequence, now}
+	c.send(e, &encoder.Ping{Sequence: e.pingSequence, Running: uint32(len(c.running)), Leaving: c.leaving, Epoch: c.roster.Epoch})
 }
 
-// pingPeriodOf returns the time between two pings to e. The owner of the cell is pinged at the full rate. The others
-// renew the lease when the owner cannot; together they get about two pings a period, so that a larger roster does not cost a
-// sidecar more.
-func (c *Core) pingPeriodOf(e *entry) timer.Millis {
-	if e.member == c.home {
-		return pingPeriod
+// pingIntervalFor returns the interval between pings to e. The owner of the cell is pinged every pingInterval. The
+// other entries renew the lease if the owner cannot. Together they get about two pings per pingInterval, so that the
+// load of a sidecar does not grow with the roster until maxPingInterval is reached.
+func (c *Core) pingIntervalFor(e *entry) timer.Millis {
+	if e.member == c.cellOwner {
+		return pingInterval
 	}
-	return min(max(pingPeriod*timer.Millis(len(c.roster.Entries)/2), otherPingPeriod), maxPingPeriod)
+	return min(max(pingInterval*timer.Millis(len(c.roster.Entries)/2), nonOwnerPingInterval), maxPingInterval)
 }
 
-// pong takes over newer state and extends the freshness lease.
-func (c *Core) pong(now timer.Millis, e *entry, m *encoder.Pong) {
+// handlePong adopts newer state from a pong and extends the freshness lease.
+func (c *Core) handlePong(now timer.Millis, e *entry, m *encoder.Pong) {
 	sent := e.pings[m.Sequence%uint64(len(e.pings))]
 	if m.Sequence == 0 || sent.sequence != m.Sequence {
-		return // forged, or so old that it could renew nothing
+		return // forged, or too old to extend the lease
 	}
-	c.adopt(m.Roster)
-	c.offset = max(c.offset, m.ConfigOffset)
-	if m.Sequence > e.statement.sequence {
-		e.statement = statement{m.Sequence, m.ConfigOffset, m.DomainInForce}
+	c.adoptRoster(m.Roster)
+	c.configOffset = max(c.configOffset, m.ConfigOffset)
+	if m.Sequence > e.domainReport.pongSequence {
+		e.domainReport = domainReport{m.Sequence, m.ConfigOffset, m.DomainInForce}
 	}
-	c.judgeDomain()
+	c.updateDomain()
 	if !m.Confirmed || m.Age < 0 || m.Roster.Epoch == 0 {
 		return
 	}
-	// An attestation ends with the first newer epoch or offset: it says that there can be none.
-	if !m.LogReachable && (m.Roster.Epoch < c.roster.Epoch || m.ConfigOffset < c.offset) {
+	// An attested outage means that no newer epoch or offset can exist, so a known newer one invalidates it.
+	if !m.LogReachable && (m.Roster.Epoch < c.roster.Epoch || m.ConfigOffset < c.configOffset) {
 		return
 	}
-	until := sent.at - m.Age + leaseTime
-	if until > c.lease && until > now {
-		c.lease = until
-		c.leaseState = step(leaseChart, c.leaseState, eventRenew)
+	until := sent.sentAt - m.Age + leaseDuration
+	if until > c.leaseEnd && until > now {
+		c.leaseEnd = until
+		c.leaseState = nextState(leaseChart, c.leaseState, eventRenew)
 	}
 	if m.LogReachable {
-		e.outage = 0
+		e.outageUntil = 0
 	} else {
-		e.outage = max(e.outage, until)
+		e.outageUntil = max(e.outageUntil, until)
 	}
 }
 
-// judgeDomain derives the state of the own failure domain from the statements at the newest configuration offset. One
-// entry that reports the domain as withdrawn is enough there: it may know of a withdrawal that cannot be recorded now.
-func (c *Core) judgeDomain() {
+// updateDomain derives the state of the sidecar's failure domain from the reports at the latest configuration offset.
+// The domain is withdrawn if any of them says so, because a provisional withdrawal may be known to one entry only and
+// cannot be recorded during a log outage.
+func (c *Core) updateDomain() {
 	known, inForce := false, true
 	for _, e := range c.entries {
-		if s := e.statement; s.sequence != 0 && s.offset == c.offset {
+		if s := e.domainReport; s.pongSequence != 0 && s.offset == c.configOffset {
 			known, inForce = true, inForce && s.inForce
 		}
 	}
 	switch {
-	case !known: // the state at this offset was learnt before; it stays
+	case !known: // no entry has reported at this offset; keep the last known state
 	case !inForce:
-		c.domain = step(domainChart, c.domain, eventWithdraw)
+		c.domainState = nextState(domainChart, c.domainState, eventWithdraw)
 	default:
-		c.domain = step(domainChart, c.domain, eventEnforce)
+		c.domainState = nextState(domainChart, c.domainState, eventEnforce)
 	}
 }
--- a/starter/health.go
+++ b/starter/health.go
@@ -13,47 +13,46 @@
 )
 
 const (
-	healthPeriod = time.Second
-	healthLimit  = 500 * time.Millisecond
-	// maxSilent is the number of unanswered checks after which the backend server counts as leaving. One may be lost
-	// to a short overload.
-	maxSilent = 2
+	healthInterval = time.Second
+	healthTimeout  = 500 * time.Millisecond
+	// maxTimeouts is the number of consecutive timeouts after which the backend server is unhealthy. A single timeout
+	// may be caused by a short overload.
+	maxTimeouts = 2
 )
 
-// health checks the backend server, each time on a new connection: an old one may stay silent while new ones work, or
-// the other way round.
-type health struct {
-	target string
-	client http.Client
-	silent int
-	again  chan struct{} // asks for a check at once
+// healthChecker checks the health of the backend server. Each check uses a new connection, because an existing one may
+// hang while new ones work, or the other way round.
+type healthChecker struct {
+	target     string
+	client     http.Client
+	timeouts   int
+	recheckNow chan struct{} // requests an immediate check
 }
 
-func newHealth(base *url.URL) *health {
+func newHealthChecker(base *url.URL) *healthChecker {
 	t := &http.Transport{DisableKeepAlives: true}
-	return &health{
-		target: base.JoinPath("health").String(),
-		client: http.Client{Transport: t, Timeout: healthLimit},
-		again:  make(chan struct{}, 1),
+	return &healthChecker{
+		target:     base.JoinPath("health").String(),
+		client:     http.Client{Transport: t, Timeout: healthTimeout},
+		recheckNow: make(chan struct{}, 1),
 	}
 }
 
-// check returns nil when the backend server takes work. A check that got no answer counts only when it is the second
-// one in a row.
-func (h *health) check(ctx context.Context) error {
+// check returns nil if the backend server is healthy. A timeout is ignored unless it is the second one in a row.
+func (h *healthChecker) check(ctx context.Context) error {
 	err := h.get(ctx)
 	var timeout interface{ Timeout() bool }
 	if !errors.As(err, &timeout) || !timeout.Timeout() {
-		h.silent = 0
+		h.timeouts = 0
 		return err
 	}
-	if h.silent++; h.silent < maxSilent {
+	if h.timeouts++; h.timeouts < maxTimeouts {
 		return nil
 	}
 	return trace.Wrap(err)
 }
 
-func (h *health) get(ctx context.Context) error {
+func (h *healthChecker) get(ctx context.Context) error {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, h.target, http.NoBody)
 	if err != nil {
 		return trace.Wrap(err)
@@ -62,44 +61,44 @@
 	if err != nil {
 		return err
 	}
-	_, _ = io.Copy(io.Discard, io.LimitReader(resp.Body, maxReason)) // only the status counts
+	_, _ = io.Copy(io.Discard, io.LimitReader(resp.Body, maxReasonBytes)) // only the status matters
 	_ = resp.Body.Close()
 	if resp.StatusCode != http.StatusOK {
-		return fmt.Errorf("backend server answered %s to the health check", resp.Status)
+		return fmt.Errorf("health check of backend server: unexpected status %s", resp.Status)
 	}
 	return nil
 }
 
-// watch reports each change between healthy and unhealthy until ctx ends, beginning with the first healthy check.
-func (h *health) watch(ctx context.Context, report func(err error)) {
+// watch checks the health periodically until ctx is done. It reports the first healthy check and every change after it.
+func (h *healthChecker) watch(ctx context.Context, report func(err error)) {
 	var last error
 	for first := true; ; {
 		err := h.check(ctx)
 		if ctx.Err() != nil {
 			return
 		}
-		if first && err == nil && h.silent == 0 || !first && (err == nil) != (last == nil) {
+		if first && err == nil && h.timeouts == 0 || !first && (err == nil) != (last == nil) {
 			report(err)
 			first = false
 		}
 		last = err
-		if h.silent == 1 {
-			continue // the second check decides; tasks are sent meanwhile
+		if h.timeouts == 1 {
+			continue // repeat the check at once; the state does not change before the second timeout
 		}
 		select {
 		case <-ctx.Done():
 			return
-		case <-time.After(healthPeriod):
-		case <-h.again:
+		case <-time.After(healthInterval):
+		case <-h.recheckNow:
 		}
 	}
 }
 
-// recheck asks for a check at once. Until a stopped backend server is noticed, its sidecar would go on to attract tasks
-// by having free slots.
-func (h *health) recheck() {
+// recheck requests an immediate check. Until the failure of a backend server is detected, its sidecar attracts tasks
+// because it has free slots.
+func (h *healthChecker) recheck() {
 	select {
-	case h.again <- struct{}{}:
-	default: // one is asked for already
+	case h.recheckNow <- struct{}{}:
+	default: // already requested
 	}
 }
--- a/starter/property_test.go
+++ b/starter/property_test.go
@@ -14,365 +14,372 @@
 	"github.com/crocuslb/crocuslb/timer"
 )
 
-// A fixed seed makes runs repeatable; -rapid.seed tries others.
+// The fixed seed makes test runs reproducible. Use -rapid.seed for other seeds.
 var _ = flag.Set("rapid.seed", "1")
 
-// world feeds a core with drawn messages and keeps its own account of what the core may do.
-type world struct {
+// model drives a core with random messages and tracks independently which actions of the core are allowed.
+type model struct {
 	*rapid.T
-	core              Core
-	sessions          map[uint64]*peer
-	roster            encoder.Roster // the newest that the core was told
-	known             map[encoder.Member]bool
-	now, lease        timer.Millis // lease is its latest possible end
-	last, offset      uint64       // newest session; newest configuration offset that the core was told
-	outage            map[encoder.Member]timer.Millis
-	word              map[encoder.Member]statement
-	leaving           bool
-	running, canceled map[encoder.TaskKey]bool
-	ends              map[encoder.TaskKey]encoder.Status
-	ran               map[encoder.TaskKey]int // runs that were not reported as not started
-	waiting           map[encoder.TaskKey]delivery
+	core                      Core
+	sessions                  map[uint64]*modelSession
+	roster                    encoder.Roster          // the latest that was sent to the core
+	ackedBy                   map[encoder.Member]bool // entries that have acknowledged the sidecar
+	now, leaseEnd             timer.Millis            // leaseEnd is the latest possible end
+	lastSession, configOffset uint64                  // latest session; latest configuration offset that was sent to the core
+	outageUntil               map[encoder.Member]timer.Millis
+	domainReports             map[encoder.Member]domainReport
+	leaving                   bool
+	running, canceled         map[encoder.TaskKey]bool
+	endStatus                 map[encoder.TaskKey]encoder.Status
+	runCount                  map[encoder.TaskKey]int // number of runs, without those reported as not started
+	waiting                   map[encoder.TaskKey]delivery
 }
 
-// peer is an entry with a session.
-type peer struct {
-	id         uint64
-	member     encoder.Member
-	ping       sentPing // the newest
-	held, owed uint32   // credits, and those of them that the answer to a Recall will return
-	asked      bool     // by a Recall
+// modelSession is a session of an entry.
+type modelSession struct {
+	id                uint64
+	member            encoder.Member
+	lastPing          sentPing // the latest ping from the core
+	credits, recalled uint32   // credits held, and the part of them that the answer to a Recall returns
+	recallPending     bool     // a Recall has not been answered
 }
 
-func (p *peer) void() { p.held, p.owed, p.asked = 0, 0, false }
+func (s *modelSession) voidCredits() { s.credits, s.recalled, s.recallPending = 0, 0, false }
 
-// delivery is a start that the core was given.
+// delivery is a start that was delivered to the core.
 type delivery struct {
 	session  uint64
 	start    encoder.Start
 	deadline timer.Millis
 }
 
-// The default of 100 sequences is too few: some faults show only in one of thousands. The command line goes first.
+// The default of 100 sequences is too low, because some faults occur in one of thousands only. A flag on the command
+// line takes precedence.
 func init() { _ = flag.Set("rapid.checks", "3000") }
 
-// TestSafety guards the start gate over drawn sequences of messages, ends, lost sessions and pauses: a second run of a
-// key, a run against any condition, a start without an answer or with two, and too many credits all fail it.
+// TestSafety checks the start gate with random sequences of messages, ends of runs, lost sessions and pauses. It fails
+// if a task runs twice or although a condition of the gate does not hold, if a start gets no answer or more than one,
+// or if too many credits are granted.
 func TestSafety(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w := &world{
-			T: t, core: Core{ID: idAt(roster(5, five...), task(0)), Slots: 2, Extra: 1}, now: 1000,
-			sessions: map[uint64]*peer{}, known: map[encoder.Member]bool{}, outage: map[encoder.Member]timer.Millis{}, word: map[encoder.Member]statement{},
-			canceled: map[encoder.TaskKey]bool{}, ran: map[encoder.TaskKey]int{}, running: map[encoder.TaskKey]bool{},
-			ends: map[encoder.TaskKey]encoder.Status{}, waiting: map[encoder.TaskKey]delivery{},
+		md := &model{
+			T: t, core: Core{ID: sidecarIDInCell(newRoster(5, testMembers...), task(0)), Slots: 2, ExtraCredits: 1}, now: 1000,
+			sessions: map[uint64]*modelSession{}, ackedBy: map[encoder.Member]bool{},
+			outageUntil: map[encoder.Member]timer.Millis{}, domainReports: map[encoder.Member]domainReport{},
+			canceled: map[encoder.TaskKey]bool{}, runCount: map[encoder.TaskKey]int{}, running: map[encoder.TaskKey]bool{},
+			endStatus: map[encoder.TaskKey]encoder.Status{}, waiting: map[encoder.TaskKey]delivery{},
 		}
-		w.learn(roster(5, five...))
-		for _, m := range five {
-			w.connect(m)
+		md.adoptRoster(newRoster(5, testMembers...))
+		for _, m := range testMembers {
+			md.connect(m)
+		}
+		actions := []func(){
+			md.deliverStart, md.deliverStart, md.deliverStart, md.deliverStart, md.deliverPong, md.deliverPong, md.deliverPong,
+			md.endRun, md.endRun, md.advanceTime, md.deliverControl, md.changeSessions,
 		}
-		actions := []func(){w.start, w.start, w.start, w.start, w.pong, w.pong, w.pong, w.end, w.end, w.pass, w.control, w.change}
 		for range rapid.IntRange(1, 120).Draw(t, "steps") {
 			rapid.SampledFrom(actions).Draw(t, "action")()
-			w.check()
+			md.checkTotals()
 		}
 	})
 }
 
-func (w *world) odds(percent int, label string) bool {
-	return rapid.IntRange(1, 100).Draw(w.T, label) <= percent
+func (md *model) chance(percent int, label string) bool {
+	return rapid.IntRange(1, 100).Draw(md.T, label) <= percent
 }
 
-// session returns any session, or nil when there is none.
-func (w *world) session() *peer {
-	if len(w.sessions) == 0 {
+// drawSession returns a random session, or nil if there is none.
+func (md *model) drawSession() *modelSession {
+	if len(md.sessions) == 0 {
 		return nil
 	}
-	return w.sessions[rapid.SampledFrom(slices.Sorted(maps.Keys(w.sessions))).Draw(w.T, "session")]
+	return md.sessions[rapid.SampledFrom(slices.Sorted(maps.Keys(md.sessions))).Draw(md.T, "session")]
 }
 
-func (w *world) sessionOf(m encoder.Member) *peer {
-	for _, p := range w.sessions {
-		if p.member == m {
-			return p
+func (md *model) sessionOf(m encoder.Member) *modelSession {
+	for _, s := range md.sessions {
+		if s.member == m {
+			return s
 		}
 	}
 	return nil
 }
 
-func (w *world) owner(t encoder.TaskKey) encoder.Member {
-	o, _ := elector.Owner(w.roster, t.Job)
+func (md *model) ownerOf(t encoder.TaskKey) encoder.Member {
+	o, _ := elector.Owner(md.roster, t.Job)
 	return o.Member
 }
 
-// learn notes a roster that the core is told.
-func (w *world) learn(r encoder.Roster) {
-	if r.Epoch <= w.roster.Epoch {
+// adoptRoster records a roster that is sent to the core.
+func (md *model) adoptRoster(r encoder.Roster) {
+	if r.Epoch <= md.roster.Epoch {
 		return
 	}
-	w.roster = r
-	for _, p := range w.sessions {
-		if e, ok := elector.Find(r, p.member.ID); !ok || e.Member != p.member {
-			p.void()
+	md.roster = r
+	for _, s := range md.sessions {
+		if e, ok := elector.Find(r, s.member.ID); !ok || e.Member != s.member {
+			s.voidCredits()
 		}
 	}
 }
 
-func (w *world) connect(m encoder.Member) {
-	if old := w.sessionOf(m); old != nil {
-		w.lose(old)
+func (md *model) connect(m encoder.Member) {
+	if old := md.sessionOf(m); old != nil {
+		md.endSession(old)
 	}
-	w.last++
-	w.sessions[w.last], w.known[m] = &peer{id: w.last, member: m}, true
-	w.apply(w.core.Connected(w.now, w.last, &encoder.HelloAck{Member: m, Roster: w.roster}), nil)
+	md.lastSession++
+	md.sessions[md.lastSession], md.ackedBy[m] = &modelSession{id: md.lastSession, member: m}, true
+	md.applyEffects(md.core.Connected(md.now, md.lastSession, &encoder.HelloAck{Member: m, Roster: md.roster}), nil)
 }
 
-func (w *world) lose(p *peer) {
-	delete(w.sessions, p.id)
-	maps.DeleteFunc(w.waiting, func(_ encoder.TaskKey, d delivery) bool { return d.session == p.id })
+func (md *model) endSession(s *modelSession) {
+	delete(md.sessions, s.id)
+	maps.DeleteFunc(md.waiting, func(_ encoder.TaskKey, d delivery) bool { return d.session == s.id })
 }
 
-// start delivers a start: mostly a proper one by the owner.
-func (w *world) start() {
-	t := task(rapid.IntRange(0, 23).Draw(w.T, "task"))
-	s := w.sessionOf(w.owner(t))
-	if s == nil || w.odds(10, "any session") {
-		if s = w.session(); s == nil {
+// deliverStart delivers a start, which is valid and from the owner in most cases.
+func (md *model) deliverStart() {
+	t := task(rapid.IntRange(0, 23).Draw(md.T, "task"))
+	s := md.sessionOf(md.ownerOf(t))
+	if s == nil || md.chance(10, "any session") {
+		if s = md.drawSession(); s == nil {
 			return
 		}
 	}
-	m := encoder.Start{Task: t, Epoch: w.roster.Epoch, Owner: s.member}
-	m.Once, m.Claimed = w.odds(25, "once"), w.odds(30, "claimed")
-	if w.odds(10, "other epoch") {
-		m.Epoch = rapid.Uint64Range(3, w.roster.Epoch+2).Draw(w.T, "epoch")
+	m := encoder.Start{Task: t, Epoch: md.roster.Epoch, Owner: s.member}
+	m.Once, m.Claimed = md.chance(25, "once"), md.chance(30, "claimed")
+	if md.chance(10, "other epoch") {
+		m.Epoch = rapid.Uint64Range(3, md.roster.Epoch+2).Draw(md.T, "epoch")
 	}
 	d := delivery{session: s.id, start: m}
-	if w.odds(20, "deadline") {
-		m.Deadline = timer.Millis(rapid.SampledFrom([]int{-1, 1, 50, 500}).Draw(w.T, "left"))
-		d.deadline = w.now + m.Deadline
+	if md.chance(20, "deadline") {
+		m.Deadline = timer.Millis(rapid.SampledFrom([]int{-1, 1, 50, 500}).Draw(md.T, "left"))
+		d.deadline = md.now + m.Deadline
 	}
-	_, waits := w.waiting[t]
-	if w.ran[t] == 0 && !waits && s.held > 0 {
-		s.held--
-		s.owed -= min(s.owed, 1) // it was sent before the Recall came
+	_, waits := md.waiting[t]
+	if md.runCount[t] == 0 && !waits && s.credits > 0 {
+		s.credits--
+		s.recalled -= min(s.recalled, 1) // the start was sent before the Recall arrived
 	}
-	w.apply(w.core.Receive(w.now, s.id, &m), &d)
+	md.applyEffects(md.core.Receive(md.now, s.id, &m), &d)
 }
 
-func (w *world) pong() {
-	s := w.session()
-	if s == nil || s.ping.sequence == 0 {
+func (md *model) deliverPong() {
+	s := md.drawSession()
+	if s == nil || s.lastPing.sequence == 0 {
 		return
 	}
 	m := encoder.Pong{
-		Sequence: s.ping.sequence, Confirmed: !w.odds(15, "unconfirmed"), Age: timer.Millis(rapid.IntRange(0, 900).Draw(w.T, "age")),
-		Roster: w.roster, ConfigOffset: max(w.offset, 1) - 1 + rapid.Uint64Range(0, 2).Draw(w.T, "offset"),
-		DomainInForce: !w.odds(15, "withdrawn"), LogReachable: !w.odds(20, "outage"),
+		Sequence: s.lastPing.sequence, Confirmed: !md.chance(15, "unconfirmed"), Age: timer.Millis(rapid.IntRange(0, 900).Draw(md.T, "age")),
+		Roster: md.roster, ConfigOffset: max(md.configOffset, 1) - 1 + rapid.Uint64Range(0, 2).Draw(md.T, "offset"),
+		DomainInForce: !md.chance(15, "withdrawn"), LogReachable: !md.chance(20, "outage"),
 	}
-	if w.odds(15, "next epoch") {
-		m.Roster = w.nextRoster()
-	} else if w.odds(10, "old epoch") {
-		m.Roster = roster(4, five[:3]...)
+	if md.chance(15, "next epoch") {
+		m.Roster = md.drawNextRoster()
+	} else if md.chance(10, "old epoch") {
+		m.Roster = newRoster(4, testMembers[:3]...)
 	}
-	from, sent := s.member, s.ping.at
-	w.learn(m.Roster)
-	w.offset = max(w.offset, m.ConfigOffset)
-	if m.Sequence > w.word[from].sequence {
-		w.word[from] = statement{m.Sequence, m.ConfigOffset, m.DomainInForce}
+	from, sent := s.member, s.lastPing.sentAt
+	md.adoptRoster(m.Roster)
+	md.configOffset = max(md.configOffset, m.ConfigOffset)
+	if m.Sequence > md.domainReports[from].pongSequence {
+		md.domainReports[from] = domainReport{m.Sequence, m.ConfigOffset, m.DomainInForce}
 	}
-	if m.Confirmed && (m.LogReachable || m.ConfigOffset == w.offset && m.Roster.Epoch == w.roster.Epoch) {
-		w.lease = max(w.lease, sent-m.Age+leaseTime)
-		w.outage[from] = max(w.outage[from], sent-m.Age+leaseTime)
+	if m.Confirmed && (m.LogReachable || m.ConfigOffset == md.configOffset && m.Roster.Epoch == md.roster.Epoch) {
+		md.leaseEnd = max(md.leaseEnd, sent-m.Age+leaseDuration)
+		md.outageUntil[from] = max(md.outageUntil[from], sent-m.Age+leaseDuration)
 		if m.LogReachable {
-			w.outage[from] = 0
+			md.outageUntil[from] = 0
 		}
 	}
-	w.apply(w.core.Receive(w.now, s.id, &m), nil)
+	md.applyEffects(md.core.Receive(md.now, s.id, &m), nil)
 }
 
-// nextRoster removes an entry, or adds a new incarnation of one. A removed incarnation never comes back.
-func (w *world) nextRoster() encoder.Roster {
-	m := encoder.Member{ID: rapid.SampledFrom(five).Draw(w.T, "entry").ID, Incarnation: w.roster.Epoch}
-	next := roster(w.roster.Epoch + 1)
-	for _, e := range w.roster.Entries {
+// drawNextRoster removes an entry, replaces it by a new incarnation, or adds a new incarnation of a removed entry. A
+// removed incarnation is never added again.
+func (md *model) drawNextRoster() encoder.Roster {
+	m := encoder.Member{ID: rapid.SampledFrom(testMembers).Draw(md.T, "entry").ID, Incarnation: md.roster.Epoch}
+	next := newRoster(md.roster.Epoch + 1)
+	for _, e := range md.roster.Entries {
 		if e.Member.ID != m.ID {
 			next.Entries = append(next.Entries, e)
 		}
 	}
-	if len(next.Entries) < 3 || w.odds(60, "add") {
+	if len(next.Entries) < 3 || md.chance(60, "add") {
 		next.Entries = append(next.Entries, encoder.RosterEntry{Member: m})
 	}
 	return next
 }
 
-func (w *world) end() {
+func (md *model) endRun() {
 	for i := range 24 {
-		if t := task((i + 5) % 24); w.running[t] {
-			status := encoder.Status(rapid.IntRange(int(encoder.StatusDone), int(encoder.StatusNotStarted)).Draw(w.T, "status"))
-			delete(w.running, t)
-			w.ends[t] = status
+		if t := task((i + 5) % 24); md.running[t] {
+			status := encoder.Status(rapid.IntRange(int(encoder.StatusDone), int(encoder.StatusNotStarted)).Draw(md.T, "status"))
+			delete(md.running, t)
+			md.endStatus[t] = status
 			if status == encoder.StatusNotStarted {
-				w.ran[t] = 0
+				md.runCount[t] = 0
 			}
-			w.apply(w.core.Ended(w.now, t, Outcome{Status: status, Body: fmt.Append(nil, t)}), nil)
+			md.applyEffects(md.core.Ended(md.now, t, Outcome{Status: status, Body: fmt.Append(nil, t)}), nil)
 			return
 		}
 	}
 }
 
-// pass lets time pass; some steps are pauses of the process.
-func (w *world) pass() {
-	w.now += timer.Millis(rapid.SampledFrom([]int{1, 20, 100, 300, 300, 900, 2500}).Draw(w.T, "ms"))
-	w.apply(w.core.Tick(w.now), nil)
+// advanceTime advances the time. The longer steps simulate pauses of the process.
+func (md *model) advanceTime() {
+	md.now += timer.Millis(rapid.SampledFrom([]int{1, 20, 100, 300, 300, 900, 2500}).Draw(md.T, "ms"))
+	md.applyEffects(md.core.Tick(md.now), nil)
 }
 
-// control delivers the other messages of an entry.
-func (w *world) control() {
-	t := task(rapid.IntRange(0, 23).Draw(w.T, "task"))
-	s := w.sessionOf(w.owner(t))
+// deliverControl delivers a message other than Start and Pong.
+func (md *model) deliverControl() {
+	t := task(rapid.IntRange(0, 23).Draw(md.T, "task"))
+	s := md.sessionOf(md.ownerOf(t))
 	if s == nil {
 		return
 	}
 	var m encoder.Message
-	switch rapid.IntRange(0, 4).Draw(w.T, "message") {
+	switch rapid.IntRange(0, 4).Draw(md.T, "message") {
 	case 0:
-		for k, d := range w.waiting {
+		for k, d := range md.waiting {
 			d.start.Claimed = d.start.Claimed || k.Job == t.Job
-			w.waiting[k] = d
+			md.waiting[k] = d
 		}
 		m = &encoder.Claimed{Job: t.Job}
 	case 1:
-		w.canceled[t] = true
+		md.canceled[t] = true
 		m = &encoder.Cancel{Tasks: []encoder.TaskKey{t}}
 	case 2:
 		m = &encoder.Collected{Tasks: []encoder.TaskKey{t}}
 	case 3:
-		r := w.nextRoster()
-		w.learn(r)
+		r := md.drawNextRoster()
+		md.adoptRoster(r)
 		m = &encoder.Census{Roster: r}
 	case 4:
-		n := s.owed
-		if !s.asked {
-			n = min(s.held, 1)
+		n := s.recalled
+		if !s.recallPending {
+			n = min(s.credits, 1)
 		}
-		s.held, s.owed, s.asked = s.held-n, 0, false
+		s.credits, s.recalled, s.recallPending = s.credits-n, 0, false
 		m = &encoder.Release{Credits: n}
 	}
-	w.apply(w.core.Receive(w.now, s.id, m), nil)
+	md.applyEffects(md.core.Receive(md.now, s.id, m), nil)
 }
 
-// change replaces or ends a session, or changes whether the sidecar leaves.
-func (w *world) change() {
-	switch rapid.IntRange(0, 3).Draw(w.T, "change") {
+// changeSessions ends a session, toggles whether the sidecar is leaving, or opens the missing sessions.
+func (md *model) changeSessions() {
+	switch rapid.IntRange(0, 3).Draw(md.T, "change") {
 	case 0:
-		if s := w.session(); s != nil {
-			w.lose(s)
-			w.apply(w.core.Disconnected(w.now, s.id), nil)
+		if s := md.drawSession(); s != nil {
+			md.endSession(s)
+			md.applyEffects(md.core.Disconnected(md.now, s.id), nil)
 		}
 	case 1:
-		w.leaving = !w.leaving
-		for _, p := range w.sessions {
-			p.void()
+		md.leaving = !md.leaving
+		for _, s := range md.sessions {
+			s.voidCredits()
 		}
-		w.apply(w.core.SetLeaving(w.now, w.leaving), nil)
+		md.applyEffects(md.core.SetLeaving(md.now, md.leaving), nil)
 	default:
-		for _, e := range w.roster.Entries {
-			if w.sessionOf(e.Member) == nil {
-				w.connect(e.Member)
+		for _, e := range md.roster.Entries {
+			if md.sessionOf(e.Member) == nil {
+				md.connect(e.Member)
 			}
 		}
 	}
 }
 
-// apply accounts for the effects of a call. d is the start that the call delivered, or nil.
-func (w *world) apply(effects []Effect, d *delivery) {
+// applyEffects checks and records the effects of a call. d is the start that the call delivered, or nil.
+func (md *model) applyEffects(effects []Effect, d *delivery) {
 	answers := 0
 	for _, e := range effects {
-		p := w.sessions[e.Session]
+		s := md.sessions[e.Session]
 		switch m := e.Message.(type) {
 		case *encoder.Ping:
-			p.ping = sentPing{m.Sequence, w.now}
+			s.lastPing = sentPing{m.Sequence, md.now}
 		case *encoder.Grant:
-			p.held += m.Credits
+			s.credits += m.Credits
 		case *encoder.Recall:
-			p.owed, p.asked = m.Credits, true
+			s.recalled, s.recallPending = m.Credits, true
 		case *encoder.Result:
-			p.held += m.Credits
-			if m.Status != w.ends[m.Task] || m.Status != encoder.StatusNotStarted && string(m.Body) != fmt.Sprint(m.Task) {
-				w.Fatalf("the result of %v is %v %s, want %v", m.Task, m.Status, m.Body, w.ends[m.Task])
+			s.credits += m.Credits
+			if m.Status != md.endStatus[m.Task] || m.Status != encoder.StatusNotStarted && string(m.Body) != fmt.Sprint(m.Task) {
+				md.Fatalf("result of %v: got %v %s, want %v", m.Task, m.Status, m.Body, md.endStatus[m.Task])
 			}
 			if d != nil && m.Task == d.start.Task {
 				answers++
 			}
 		case *encoder.Refusal:
-			p.held += m.Credits
+			s.credits += m.Credits
 			if d != nil && m.Task == d.start.Task && e.Session == d.session {
 				answers++
-			} else if was, ok := w.waiting[m.Task]; !ok || was.session != e.Session {
-				w.Fatalf("refusal %d of %v on session %d answers no start", m.Reason, m.Task, e.Session)
+			} else if was, ok := md.waiting[m.Task]; !ok || was.session != e.Session {
+				md.Fatalf("refusal %d of %v on session %d without a start", m.Reason, m.Task, e.Session)
 			} else {
-				delete(w.waiting, m.Task)
+				delete(md.waiting, m.Task)
 			}
 		}
 		if e.Kind == EffectRun {
-			was, ok := w.waiting[e.Run.Task]
+			was, ok := md.waiting[e.Run.Task]
 			if !ok && d != nil && d.start.Task == e.Run.Task {
 				was, ok = *d, true
 				answers++
 			}
 			if !ok {
-				w.Fatalf("run of %v without a start", e.Run.Task)
+				md.Fatalf("run of %v without a start", e.Run.Task)
 			}
-			delete(w.waiting, e.Run.Task)
-			w.ran[e.Run.Task]++
-			w.running[e.Run.Task] = true
-			w.checkRun(e.Run, was)
+			delete(md.waiting, e.Run.Task)
+			md.runCount[e.Run.Task]++
+			md.running[e.Run.Task] = true
+			md.checkRun(e.Run, was)
 		}
 	}
 	if d != nil && answers == 0 {
-		w.waiting[d.start.Task] = *d
+		md.waiting[d.start.Task] = *d
 	} else if d != nil && answers != 1 {
-		w.Fatalf("start of %v has %d answers", d.start.Task, answers)
+		md.Fatalf("start of %v: got %d answers, want 1", d.start.Task, answers)
 	}
 }
 
-func (w *world) checkRun(r Run, d delivery) {
+func (md *model) checkRun(r Run, d delivery) {
 	inForce := true
-	for _, e := range w.core.entries {
-		word := w.word[e.member]
-		inForce = inForce && (word.sequence == 0 || word.offset != w.offset || word.inForce)
+	for _, e := range md.core.entries {
+		report := md.domainReports[e.member]
+		inForce = inForce && (report.pongSequence == 0 || report.offset != md.configOffset || report.inForce)
 	}
 	announced := true
-	for _, e := range w.roster.Entries {
-		announced = announced && w.known[e.Member]
+	for _, e := range md.roster.Entries {
+		announced = announced && md.ackedBy[e.Member]
 	}
-	for text, broken := range map[string]bool{
-		"the task ran before":                w.ran[r.Task] != 1,
-		"the lease has ended":                w.now >= w.lease || r.NotAfter > w.lease,
+	for condition, violated := range map[string]bool{
+		"the task ran before":                md.runCount[r.Task] != 1,
+		"the lease has expired":              md.now >= md.leaseEnd || r.NotAfter > md.leaseEnd,
 		"the domain is withdrawn":            !inForce,
-		"the epoch is stale":                 d.start.Epoch != w.roster.Epoch,
-		"the sender is not the owner":        w.owner(r.Task) != d.start.Owner || w.sessions[d.session].member != d.start.Owner,
-		"the sidecar is leaving":             w.leaving,
+		"the epoch is stale":                 d.start.Epoch != md.roster.Epoch,
+		"the sender is not the owner":        md.ownerOf(r.Task) != d.start.Owner || md.sessions[d.session].member != d.start.Owner,
+		"the sidecar is leaving":             md.leaving,
 		"an entry does not know the sidecar": !announced,
-		"the deadline has passed":            d.deadline != 0 && (w.now >= d.deadline || r.NotAfter > d.deadline),
-		"the task is canceled":               w.canceled[r.Task],
-		"the claim is missing":               d.start.Once && !d.start.Claimed && w.now >= w.outage[d.start.Owner],
+		"the deadline has passed":            d.deadline != 0 && (md.now >= d.deadline || r.NotAfter > d.deadline),
+		"the task is canceled":               md.canceled[r.Task],
+		"the claim is missing":               d.start.Once && !d.start.Claimed && md.now >= md.outageUntil[d.start.Owner],
 	} {
-		if broken {
-			w.Fatalf("run of %v at %v although %s", r.Task, w.now, text)
+		if violated {
+			md.Fatalf("run of %v at %v although %s", r.Task, md.now, condition)
 		}
 	}
 }
 
-func (w *world) check() {
+func (md *model) checkTotals() {
 	held := uint32(0)
-	for _, p := range w.sessions {
-		held += p.held
+	for _, s := range md.sessions {
+		held += s.credits
 	}
-	got := fmt.Sprint(len(w.core.running), len(w.core.waiting), held)
-	if want := fmt.Sprint(len(w.running), len(w.waiting), w.core.committed()-uint32(len(w.running)+len(w.waiting))); got != want {
-		w.Fatalf("running, waiting and credits: got %s, want %s", got, want)
+	got := fmt.Sprint(len(md.core.running), len(md.core.waiting), held)
+	if want := fmt.Sprint(len(md.running), len(md.waiting), md.core.committedCredits()-uint32(len(md.running)+len(md.waiting))); got != want {
+		md.Fatalf("running, waiting and credits: got %s, want %s", got, want)
 	}
-	if n := held + uint32(len(w.running)+len(w.waiting)); n > 3 || len(w.running) > 2 {
-		w.Fatalf("%d credits and tasks are committed, %d of them run", n, len(w.running))
+	if n := held + uint32(len(md.running)+len(md.waiting)); n > 3 || len(md.running) > 2 {
+		md.Fatalf("%d credits and tasks are committed, want at most 3; %d tasks are running, want at most 2", n, len(md.running))
 	}
 }
--- a/starter/runner.go
+++ b/starter/runner.go
@@ -18,30 +18,31 @@
 )
 
 const (
-	// MaxBody is the largest result body in bytes. Larger results count as failures.
+	// MaxBody is the maximum size of a result body in bytes. Tasks with larger results fail.
 	MaxBody = 1 << 20
-	// TaskHeader names the task in a request to the backend server, as submission key and index.
+	// TaskHeader is the request header that identifies the task by submission key and index.
 	TaskHeader = "Crocus-Task"
-	// StartedHeader is "false" in an answer with status 503 by which the backend server promises that it did not start
-	// the task.
+	// StartedHeader is the response header that the backend server sets to "false" in a response with status 503 to
+	// guarantee that it did not start the task.
 	StartedHeader = "Crocus-Started"
 
-	defaultRunLimit = 5 * timer.Minute // as long as entries wait
-	dialLimit       = 500 * time.Millisecond
-	// A connection is used again only within this time after its last response. An idle one may have gone silent,
-	// which a POST would find out only by a lost task; a new one costs a round trip on the same worker.
-	maxIdle = 100 * timer.Millisecond
-	// maxReason bounds the part of a failed response that is reported.
-	maxReason = 256
+	defaultRunTimeout = 5 * timer.Minute // same as the timeout of entries
+	dialTimeout       = 500 * time.Millisecond
+	// maxIdleTime is the maximum idle time of a connection that is reused. An idle connection may have become
+	// unresponsive, which a POST would reveal only by losing a task, whereas a new one costs one round trip on the same
+	// worker.
+	maxIdleTime = 100 * timer.Millisecond
+	// maxReasonBytes limits how much of the body of a failed response is reported.
+	maxReasonBytes = 256
 )
 
 type (
-	// runner runs tasks on the backend server. It keeps its own connections: http.Transport's pool would reuse idle
-	// ones of any age, and would send a request again when it believes that the first was not read.
+	// runner sends tasks to the backend server. It has its own connection pool, because the pool of http.Transport
+	// would reuse idle connections of any age and retry requests that it considers unread by the server.
 	runner struct {
 		base      *url.URL
 		clock     timer.Clock
-		limit     timer.Millis
+		timeout   timer.Millis
 		transport *http.Transport
 
 		mu   sync.Mutex
@@ -49,55 +50,55 @@
 	}
 
 	idleConn struct {
-		conn  *http.ClientConn
-		since timer.Millis
+		conn      *http.ClientConn
+		idleSince timer.Millis
 	}
 )
 
 func newRunner(base *url.URL, clock timer.Clock, limit timer.Millis) *runner {
-	d := &net.Dialer{Timeout: dialLimit}
+	d := &net.Dialer{Timeout: dialTimeout}
 	return &runner{
-		base: base, clock: clock, limit: orDefault(limit, defaultRunLimit),
-		// Compression would hide the declared length, which shows truncation.
+		base: base, clock: clock, timeout: orDefault(limit, defaultRunTimeout),
+		// Compression would hide the Content-Length, which is needed to detect truncation.
 		transport: &http.Transport{DialContext: d.DialContext, DisableCompression: true},
 	}
 }
 
-// run sends a task to the backend server and waits for its end. ctx cancels it.
+// run sends a task to the backend server and waits for its outcome. The task is canceled when ctx is done.
 func (r *runner) run(ctx context.Context, t Run) Outcome {
-	limit := r.limit
+	limit := r.timeout
 	if t.Limit > 0 {
 		limit = min(limit, t.Limit)
 	}
 	ctx, cancel := context.WithTimeout(ctx, limit.Duration())
 	defer cancel()
-	req, err := r.request(ctx, t)
+	req, err := r.newRequest(ctx, t)
 	if err != nil {
 		return notStarted(fmt.Errorf("build request: %w", err))
 	}
-	conn, err := r.take(ctx)
+	conn, err := r.acquireConn(ctx)
 	if err != nil {
 		return notStarted(fmt.Errorf("connect to backend server: %w", err))
 	}
-	begun := r.clock.Now()
-	if begun >= t.NotAfter || ctx.Err() != nil {
-		r.put(conn)
-		return notStarted(errors.New("the right to start ended before the request was sent"))
+	startTime := r.clock.Now()
+	if startTime >= t.NotAfter || ctx.Err() != nil {
+		r.releaseConn(conn)
+		return notStarted(errors.New("lease or deadline expired before the request was sent"))
 	}
-	o, reusable := exchange(conn, req)
-	o.Ran = r.clock.Now() - begun
+	o, reusable := roundTrip(conn, req)
+	o.Ran = r.clock.Now() - startTime
 	if reusable {
-		r.put(conn)
+		r.releaseConn(conn)
 	} else {
-		_ = conn.Close() // the outcome is known or lost already
+		_ = conn.Close() // the outcome is already determined
 	}
 	return o
 }
 
-// request builds the request for t. It has no GetBody, so that net/http cannot send it twice.
-func (r *runner) request(ctx context.Context, t Run) (*http.Request, error) {
+// newRequest builds the request for t. It has no GetBody, so that net/http cannot retry it.
+func (r *runner) newRequest(ctx context.Context, t Run) (*http.Request, error) {
 	if t.Kind == "" || t.Kind == "." || t.Kind == ".." {
-		return nil, fmt.Errorf("kind %q is not a path segment", t.Kind)
+		return nil, fmt.Errorf("kind %q is not a valid path segment", t.Kind)
 	}
 	u := r.base.JoinPath("run", url.PathEscape(t.Kind))
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, u.String(), bytes.NewReader(t.Payload))
@@ -105,19 +106,19 @@
 		return nil, err
 	}
 	req.GetBody = nil
-	req.Header.Set(TaskHeader, headerKey(t.Task))
+	req.Header.Set(TaskHeader, taskHeaderValue(t.Task))
 	return req, nil
 }
 
-// take returns a connection that was in use a moment ago, or a new one.
-func (r *runner) take(ctx context.Context) (*http.ClientConn, error) {
+// acquireConn returns an idle connection that is not older than maxIdleTime, or a new one.
+func (r *runner) acquireConn(ctx context.Context) (*http.ClientConn, error) {
 	now := r.clock.Now()
 	r.mu.Lock()
 	var stale []idleConn
 	for len(r.idle) > 0 {
 		last := r.idle[len(r.idle)-1]
-		if now-last.since > maxIdle {
-			stale, r.idle = r.idle, nil // the others are older
+		if now-last.idleSince > maxIdleTime {
+			stale, r.idle = r.idle, nil // the remaining ones have been idle even longer
 			break
 		}
 		r.idle = r.idle[:len(r.idle)-1]
@@ -134,7 +135,7 @@
 	return r.transport.NewClientConn(ctx, r.base.Scheme, r.base.Host)
 }
 
-func (r *runner) put(c *http.ClientConn) {
+func (r *runner) releaseConn(c *http.ClientConn) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.idle = append(r.idle, idleConn{c, r.clock.Now()})
@@ -150,25 +151,26 @@
 	r.idle = nil
 }
 
-// exchange sends the request and reads the whole answer. Any error after this point leaves the outcome unknown.
-func exchange(conn *http.ClientConn, req *http.Request) (o Outcome, reusable bool) {
+// roundTrip sends the request and reads the whole response. After an error, the outcome of the task is unknown, because
+// the backend server may have received the request.
+func roundTrip(conn *http.ClientConn, req *http.Request) (o Outcome, reusable bool) {
 	resp, err := conn.RoundTrip(req)
 	if err != nil {
-		return unknown(fmt.Errorf("exchange with backend server: %w", err)), false
+		return unknown(fmt.Errorf("request to backend server: %w", err)), false
 	}
-	defer func() { _ = resp.Body.Close() }() // the body was read as far as it is needed
+	defer func() { _ = resp.Body.Close() }() // the needed part of the body was read
 	body, err := io.ReadAll(io.LimitReader(resp.Body, MaxBody+1))
 	switch {
 	case err != nil:
-		return unknown(fmt.Errorf("read answer of backend server: %w", err)), false
+		return unknown(fmt.Errorf("read response of backend server: %w", err)), false
 	case len(body) > MaxBody:
 		return Outcome{Status: encoder.StatusFailed, Reason: fmt.Sprintf("result is larger than %d bytes", MaxBody)}, false
 	case resp.ContentLength < 0 && len(resp.TransferEncoding) == 0:
-		return unknown(errors.New("the answer of the backend server declares no length, so it may be truncated")), false
+		return unknown(errors.New("response of backend server has no declared length and may be truncated")), false
 	case resp.StatusCode == http.StatusServiceUnavailable && resp.Header.Get(StartedHeader) == "false":
-		return notStarted(fmt.Errorf("backend server did not start the task: %s", body[:min(len(body), maxReason)])), true
+		return notStarted(fmt.Errorf("backend server did not start the task: %s", body[:min(len(body), maxReasonBytes)])), true
 	case resp.StatusCode < 200 || resp.StatusCode > 299:
-		reason := fmt.Sprintf("backend server answered %s: %s", resp.Status, body[:min(len(body), maxReason)])
+		reason := fmt.Sprintf("backend server returned %s: %s", resp.Status, body[:min(len(body), maxReasonBytes)])
 		return Outcome{Status: encoder.StatusFailed, Reason: reason}, true
 	}
 	return Outcome{Status: encoder.StatusDone, Body: body}, true
@@ -182,8 +184,8 @@
 	return Outcome{Status: encoder.StatusUnknown, Reason: err.Error()}
 }
 
-// headerKey returns the task key for the header. Submission keys with control or non-ASCII bytes are escaped.
-func headerKey(t encoder.TaskKey) string {
+// taskHeaderValue formats a task key for TaskHeader. Submission keys with control or non-ASCII characters are escaped.
+func taskHeaderValue(t encoder.TaskKey) string {
 	key := t.Job
 	if strings.ContainsFunc(key, func(r rune) bool { return r < ' ' || r > '~' }) {
 		key = url.PathEscape(key)
--- a/starter/sidecar.go
+++ b/starter/sidecar.go
@@ -16,55 +16,57 @@
 )
 
 const (
-	tickPeriod = 50 * time.Millisecond
-	// eventRoom lets a burst of messages queue while the control goroutine works; a full queue slows its sessions down.
-	eventRoom = 1024
+	tickInterval = 50 * time.Millisecond
+	// eventQueueSize is large enough for bursts of messages. If the queue is full, the sessions block until the control
+	// goroutine catches up.
+	eventQueueSize = 1024
 )
 
 type (
-	// Sidecar is the sidecar process. Set the fields before Run is called; ID, Domain, Backend, Entries and TLS are
-	// needed.
+	// Sidecar is the sidecar process. The exported fields must be set before Run is called; ID, Domain, Backend,
+	// Entries and TLS are required.
 	Sidecar struct {
 		ID string
-		// Incarnation must be larger than any earlier one of this ID. 0 means the wall clock in microseconds.
+		// Incarnation must be greater than that of any previous process with this ID. 0 means the Unix time in
+		// microseconds.
 		Incarnation  uint64
 		Domain       string
 		Worker       string
 		Slots        uint32 // default 8
 		MemoryMB     uint64
-		Kinds        []string // empty for all
+		Kinds        []string // kinds of tasks that the backend server runs; empty for all
 		Backend      string   // base URL of the backend server
-		Entries      []string // addresses of entries, or of a balancer before them
+		Entries      []string // addresses of entries or of a load balancer in front of them
 		TLS          *tls.Config
 		Clock        timer.Clock
 		Log          log.Interface // default log.Log
-		RunLimit     timer.Millis  // longest run of any task; default 5 minutes
+		RunLimit     timer.Millis  // maximum run time of a task; default 5 minutes
 		KeyRetention timer.Millis  // default 10 minutes
 
 		once    sync.Once
 		events  chan event
 		drained chan struct{}
 
-		core     Core
-		node     messenger.Node
-		runner   *runner
-		health   *health
-		sessions map[uint64]*messenger.Session
-		numbers  map[*messenger.Session]uint64
-		last     uint64 // number of the newest session
-		dials    map[string]context.CancelFunc
-		runs     map[encoder.TaskKey]context.CancelFunc
-		epoch    uint64 // of the roster that connect has seen
-		changed  bool   // sessions came or went since connect has seen them
-		ready    bool   // the backend server has been healthy
-		backend  error  // why the backend server takes no work
-		draining bool
-		warned   bool // that keys are forgotten early
+		core             Core
+		node             messenger.Node
+		runner           *runner
+		health           *healthChecker
+		sessions         map[uint64]*messenger.Session
+		sessionIDs       map[*messenger.Session]uint64
+		lastSessionID    uint64 // identifier of the latest session
+		cancelDials      map[string]context.CancelFunc
+		cancelRuns       map[encoder.TaskKey]context.CancelFunc
+		connectedEpoch   uint64 // epoch of the roster at the last call of updateConnections
+		connectionsStale bool   // sessions or health changed since the last call of updateConnections
+		wasHealthy       bool   // the backend server has been healthy at least once
+		backendErr       error  // why the backend server is unhealthy; nil if it is healthy
+		draining         bool
+		warnedEvicted    bool // a warning about keys evicted early has been logged
 	}
 
 	eventKind uint8
 
-	// event is what other goroutines report to the control goroutine.
+	// event is sent by other goroutines to the control goroutine.
 	event struct {
 		kind    eventKind
 		session *messenger.Session
@@ -76,76 +78,78 @@
 )
 
 const (
-	eventUp eventKind = iota + 1
+	eventConnected eventKind = iota + 1
 	eventMessage
-	eventDown
-	eventEnded
-	eventHealth
-	eventDrain
+	eventDisconnected
+	eventRunEnded
+	eventHealthChanged
+	eventDrainRequested
 )
 
-// Run runs the sidecar until ctx ends. It waits for the backend server to be healthy before it connects to entries.
-// Tasks that still run when ctx ends are cut off; call Drain first.
+// Run runs the sidecar until ctx is done. It connects to entries once the backend server is healthy. Tasks that are
+// still running when ctx is done are aborted; call Drain first.
 func (s *Sidecar) Run(ctx context.Context) error {
 	base, err := url.Parse(s.Backend)
 	if err != nil {
-		return trace.BadParameter("address of the backend server: %v", err)
+		return trace.BadParameter("invalid backend server address: %v", err)
 	}
 	s.init()
 	ctx, cancel := context.WithCancel(ctx)
-	defer s.node.Wait() // it sends what is queued
+	defer s.node.Wait() // sends the queued messages
 	defer cancel()
 	s.runner = newRunner(base, s.Clock, s.RunLimit)
 	defer s.runner.close()
 	s.node.Hello = s.hello
 	s.node.TLS = s.TLS
-	s.node.OnUp = func(n *messenger.Session) { s.post(ctx, event{kind: eventUp, session: n}) }
-	s.node.OnDown = func(n *messenger.Session, err error) { s.post(ctx, event{kind: eventDown, session: n, err: err}) }
+	s.node.OnUp = func(n *messenger.Session) { s.enqueue(ctx, event{kind: eventConnected, session: n}) }
+	s.node.OnDown = func(n *messenger.Session, err error) {
+		s.enqueue(ctx, event{kind: eventDisconnected, session: n, err: err})
+	}
 	s.node.OnMessage = func(n *messenger.Session, m encoder.Message) {
-		s.post(ctx, event{kind: eventMessage, session: n, message: m})
+		s.enqueue(ctx, event{kind: eventMessage, session: n, message: m})
 	}
 	if s.health == nil {
-		s.health = newHealth(base)
+		s.health = newHealthChecker(base)
 	}
-	go s.health.watch(ctx, func(err error) { s.post(ctx, event{kind: eventHealth, err: err}) })
-	tick := time.NewTicker(tickPeriod)
+	go s.health.watch(ctx, func(err error) { s.enqueue(ctx, event{kind: eventHealthChanged, err: err}) })
+	tick := time.NewTicker(tickInterval)
 	defer tick.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return nil
 		case <-tick.C:
-			s.perform(ctx, s.core.Tick(s.Clock.Now()))
-			s.warnForgotten()
+			s.applyEffects(ctx, s.core.Tick(s.Clock.Now()))
+			s.warnEvictedEarly()
 		case e := <-s.events:
-			s.handle(ctx, e)
+			s.handleEvent(ctx, e)
 		}
-		s.connect(ctx)
+		s.updateConnections(ctx)
 		s.checkDrained()
 	}
 }
 
-// Drain announces that the sidecar is leaving and waits until running tasks have ended and their results are collected.
-// It returns the context's error when that takes too long. Run must be running; it goes on until its context ends.
+// Drain announces that the sidecar is leaving and waits until the running tasks have ended and their results have been
+// collected. It returns an error if ctx is done first. Run must be active; it continues until its own context is done.
 func (s *Sidecar) Drain(ctx context.Context) error {
 	s.init()
-	s.post(ctx, event{kind: eventDrain})
+	s.enqueue(ctx, event{kind: eventDrainRequested})
 	select {
 	case <-s.drained:
 		return nil
 	case <-ctx.Done():
-		return trace.Wrap(ctx.Err(), "tasks still run or results are not collected")
+		return trace.Wrap(ctx.Err(), "drain interrupted: tasks are still running or results have not been collected")
 	}
 }
 
 func (s *Sidecar) init() {
 	s.once.Do(func() {
-		s.events = make(chan event, eventRoom)
+		s.events = make(chan event, eventQueueSize)
 		s.drained = make(chan struct{})
 		s.sessions = map[uint64]*messenger.Session{}
-		s.numbers = map[*messenger.Session]uint64{}
-		s.dials = map[string]context.CancelFunc{}
-		s.runs = map[encoder.TaskKey]context.CancelFunc{}
+		s.sessionIDs = map[*messenger.Session]uint64{}
+		s.cancelDials = map[string]context.CancelFunc{}
+		s.cancelRuns = map[encoder.TaskKey]context.CancelFunc{}
 		if s.Incarnation == 0 {
 			s.Incarnation = uint64(time.Now().UnixMicro())
 		}
@@ -165,69 +169,69 @@
 	}
 }
 
-// post hands an event to the control goroutine.
-func (s *Sidecar) post(ctx context.Context, e event) {
+// enqueue sends an event to the control goroutine.
+func (s *Sidecar) enqueue(ctx context.Context, e event) {
 	select {
 	case s.events <- e:
 	case <-ctx.Done():
 	}
 }
 
-// handle passes an event to the core. The time is read here, after the event was taken, because the process may have
-// been paused while it was queued.
-func (s *Sidecar) handle(ctx context.Context, e event) {
+// handleEvent passes an event to the core. The time is read after the event was dequeued, because the process may have
+// been paused while the event was in the queue.
+func (s *Sidecar) handleEvent(ctx context.Context, e event) {
 	now := s.Clock.Now()
-	s.changed = s.changed || e.kind == eventUp || e.kind == eventDown || e.kind == eventHealth
+	s.connectionsStale = s.connectionsStale || e.kind == eventConnected || e.kind == eventDisconnected || e.kind == eventHealthChanged
 	switch e.kind {
-	case eventUp:
-		s.last++
-		s.sessions[s.last], s.numbers[e.session] = e.session, s.last
+	case eventConnected:
+		s.lastSessionID++
+		s.sessions[s.lastSessionID], s.sessionIDs[e.session] = e.session, s.lastSessionID
 		ack := e.session.Ack()
 		s.Log.Infof("sidecar: connected to entry %s", ack.Member.ID)
-		s.perform(ctx, s.core.Connected(now, s.last, &ack))
+		s.applyEffects(ctx, s.core.Connected(now, s.lastSessionID, &ack))
 	case eventMessage:
-		if n, ok := s.numbers[e.session]; ok {
-			s.perform(ctx, s.core.Receive(now, n, e.message))
+		if n, ok := s.sessionIDs[e.session]; ok {
+			s.applyEffects(ctx, s.core.Receive(now, n, e.message))
 		}
-	case eventDown:
-		if n, ok := s.numbers[e.session]; ok {
+	case eventDisconnected:
+		if n, ok := s.sessionIDs[e.session]; ok {
 			delete(s.sessions, n)
-			delete(s.numbers, e.session)
-			s.Log.Infof("sidecar: lost entry %s: %v", e.session.Ack().Member.ID, e.err)
-			s.perform(ctx, s.core.Disconnected(now, n))
+			delete(s.sessionIDs, e.session)
+			s.Log.Infof("sidecar: disconnected from entry %s: %v", e.session.Ack().Member.ID, e.err)
+			s.applyEffects(ctx, s.core.Disconnected(now, n))
 		}
-	case eventEnded:
-		delete(s.runs, e.task)
+	case eventRunEnded:
+		delete(s.cancelRuns, e.task)
 		if e.outcome.Status == encoder.StatusNotStarted {
 			s.health.recheck()
 		}
-		s.perform(ctx, s.core.Ended(now, e.task, e.outcome))
-	case eventHealth:
-		s.ready, s.backend = true, e.err
+		s.applyEffects(ctx, s.core.Ended(now, e.task, e.outcome))
+	case eventHealthChanged:
+		s.wasHealthy, s.backendErr = true, e.err
 		if e.err != nil {
-			s.Log.Warnf("sidecar: backend server takes no work: %v", e.err)
+			s.Log.Warnf("sidecar: backend server is unhealthy: %v", e.err)
 		} else {
 			s.Log.Info("sidecar: backend server is healthy")
 		}
-		s.perform(ctx, s.core.SetLeaving(now, s.draining || s.backend != nil))
-	case eventDrain:
+		s.applyEffects(ctx, s.core.SetLeaving(now, s.draining || s.backendErr != nil))
+	case eventDrainRequested:
 		s.draining = true
-		s.perform(ctx, s.core.SetLeaving(now, true))
+		s.applyEffects(ctx, s.core.SetLeaving(now, true))
 	}
 }
 
-// perform carries out the core's effects in order.
-func (s *Sidecar) perform(ctx context.Context, effects []Effect) {
+// applyEffects carries out the effects of the core in order.
+func (s *Sidecar) applyEffects(ctx context.Context, effects []Effect) {
 	for _, e := range effects {
 		switch e.Kind {
 		case EffectSend:
 			if n, ok := s.sessions[e.Session]; ok && !n.Send(e.Message) {
-				n.Close() // both ends begin again without credits; a silent loss would leave them at odds
+				n.Close() // a new session starts without credits; a lost message would leave the peers with different credit counts
 			}
 		case EffectRun:
-			s.run(ctx, e.Run)
+			s.startRun(ctx, e.Run)
 		case EffectCancel:
-			if cancel, ok := s.runs[e.Task]; ok {
+			if cancel, ok := s.cancelRuns[e.Task]; ok {
 				cancel()
 			}
 		case EffectReset:
@@ -238,59 +242,60 @@
 	}
 }
 
-func (s *Sidecar) run(ctx context.Context, r Run) {
+func (s *Sidecar) startRun(ctx context.Context, r Run) {
 	runCtx, cancel := context.WithCancel(ctx)
-	s.runs[r.Task] = cancel
+	s.cancelRuns[r.Task] = cancel
 	go func() {
 		defer cancel()
 		o := s.runner.run(runCtx, r)
-		s.post(ctx, event{kind: eventEnded, task: r.Task, outcome: o})
+		s.enqueue(ctx, event{kind: eventRunEnded, task: r.Task, outcome: o})
 	}()
 }
 
-// connect keeps one connection to each entry of the roster. The configured addresses are used until one of those is up.
-func (s *Sidecar) connect(ctx context.Context) {
-	roster, direct := s.core.Roster(), false
-	if !s.ready || !s.changed && roster.Epoch == s.epoch {
+// updateConnections maintains one connection to each entry of the roster. It also connects to the configured addresses
+// until a connection to an entry of the roster is established.
+func (s *Sidecar) updateConnections(ctx context.Context) {
+	roster, rosterConnected := s.core.Roster(), false
+	if !s.wasHealthy || !s.connectionsStale && roster.Epoch == s.connectedEpoch {
 		return
 	}
-	s.changed = false
+	s.connectionsStale = false
 	wanted := map[string]bool{}
 	for _, e := range roster.Entries {
 		wanted[e.Address] = true
 	}
-	for n := range s.numbers {
-		direct = direct || wanted[n.Peer().Address]
+	for n := range s.sessionIDs {
+		rosterConnected = rosterConnected || wanted[n.Peer().Address]
 	}
-	if !direct {
+	if !rosterConnected {
 		for _, a := range s.Entries {
 			wanted[a] = true
 		}
 	}
-	for a, cancel := range s.dials {
+	for a, cancel := range s.cancelDials {
 		if !wanted[a] {
 			cancel()
-			delete(s.dials, a)
+			delete(s.cancelDials, a)
 		}
 	}
 	for a := range wanted {
-		if s.dials[a] == nil {
+		if s.cancelDials[a] == nil {
 			dialCtx, cancel := context.WithCancel(ctx)
-			s.dials[a] = cancel
+			s.cancelDials[a] = cancel
 			s.node.Connect(dialCtx, a)
 		}
 	}
-	if roster.Epoch != s.epoch {
-		s.epoch = roster.Epoch
+	if roster.Epoch != s.connectedEpoch {
+		s.connectedEpoch = roster.Epoch
 		s.Log.Infof("sidecar: roster of epoch %d has %d entries", roster.Epoch, len(roster.Entries))
 	}
 }
 
-// warnForgotten reports once that the started-task table is too small for the rate of starts.
-func (s *Sidecar) warnForgotten() {
-	if n := s.core.ForgottenEarly(); n > 0 && !s.warned {
-		s.warned = true
-		s.Log.Warn("sidecar: the table of started tasks is full; keys are forgotten before their retention is over")
+// warnEvictedEarly logs a warning once if the started-task table is too small for the rate of starts.
+func (s *Sidecar) warnEvictedEarly() {
+	if n := s.core.EvictedEarly(); n > 0 && !s.warnedEvicted {
+		s.warnedEvicted = true
+		s.Log.Warn("sidecar: started-task table is full; keys are evicted before the end of their retention")
 	}
 }
 
--- a/starter/sidecar_test.go
+++ b/starter/sidecar_test.go
@@ -19,7 +19,7 @@
 	"github.com/crocuslb/crocuslb/timer"
 )
 
-// fakeEntry is the only entry of a roster. It answers pings and passes other messages on.
+// fakeEntry is an entry that is alone in its roster. It answers pings and passes all other messages to the test.
 type fakeEntry struct {
 	node     messenger.Node
 	roster   atomic.Pointer[encoder.Roster]
@@ -36,7 +36,7 @@
 	f.node.OnUp = func(s *messenger.Session) { f.sessions <- s }
 	f.node.OnMessage = func(s *messenger.Session, m encoder.Message) {
 		if p, ok := m.(*encoder.Ping); ok {
-			s.Send(goodPong(p.Sequence, *f.roster.Load()))
+			s.Send(validPong(p.Sequence, *f.roster.Load()))
 			return
 		}
 		f.messages <- m
@@ -50,7 +50,7 @@
 	return f
 }
 
-// next returns the next message of type M and drops others.
+// next returns the next message of type M and drops the others.
 func next[M any](f *fakeEntry) M {
 	for {
 		if m, ok := (<-f.messages).(M); ok {
@@ -59,7 +59,7 @@
 	}
 }
 
-// TestSidecar guards the path from a Start on a session to the backend server and back, and the drain.
+// TestSidecar checks the path from a Start on a session to the backend server and back, and the drain.
 func TestSidecar(t *testing.T) {
 	f := newFakeEntry(t)
 	var backend emulator.Backend
@@ -68,15 +68,16 @@
 		t.Fatal(err)
 	}
 	s := &Sidecar{ID: "s1", Domain: "d1", Backend: base, Entries: []string{f.roster.Load().Entries[0].Address}}
-	// Time stands still, so that neither the lease, nor a session, nor a health check ends on a busy machine.
+	// The clock is stopped and the timeouts are long, so that no lease, session or health check expires on a loaded
+	// machine.
 	s.Clock.NowFunc = func() timer.Millis { return timer.Minute }
 	s.node.Silence = timer.Minute
 	u, _ := url.Parse(base)
-	s.health = newHealth(u)
+	s.health = newHealthChecker(u)
 	s.health.client.Timeout = 0
-	ended := make(chan error, 1)
+	runErr := make(chan error, 1)
 	ctx, stop := context.WithCancel(t.Context())
-	go func() { ended <- s.Run(ctx) }()
+	go func() { runErr <- s.Run(ctx) }()
 	session := <-f.sessions
 	if got := next[*encoder.Grant](f).Credits; got != 8 {
 		t.Errorf("credits: got %d, want 8", got)
@@ -86,7 +87,7 @@
 	} {
 		backend.SetTruncated(i == 2)
 		key := encoder.TaskKey{Job: "job", Index: uint32(i)}
-		for range 2 { // the second start must not run the task again, and gets the same answer
+		for range 2 { // the second start must get the same answer without running the task again
 			session.Send(&encoder.Start{
 				Task: key, Epoch: 1, Owner: encoder.Member{ID: "e", Incarnation: 1}, Kind: "k", Payload: []byte(tt.payload),
 			})
@@ -105,34 +106,34 @@
 	}
 	next[*encoder.Leaving](f)
 	stop()
-	if err := <-ended; err != nil {
+	if err := <-runErr; err != nil {
 		t.Errorf("run: %v", err)
 	}
 }
 
-// TestRunner guards the outcomes of exchanges with the backend server: "not started" only when surely nothing was sent,
-// and a success only with the whole body.
+// TestRunner checks the outcomes of requests to the backend server: "not started" is returned only if the backend
+// server certainly did not start the task, and success only with the complete body.
 func TestRunner(t *testing.T) {
 	canceled, cancel := context.WithCancel(t.Context())
 	tests := []struct {
 		name  string
 		ctx   context.Context
-		serve http.HandlerFunc // nil for a server that refuses connections
-		after timer.Millis     // default 2000; it is 1000
+		serve http.HandlerFunc // nil if the server refuses connections
+		after timer.Millis     // Run.NotAfter, default 2000; the clock is at 1000
 		want  encoder.Status
 		hits  int32
 	}{
-		{name: "refused", want: encoder.StatusNotStarted},
-		{name: "paused", serve: func(http.ResponseWriter, *http.Request) {}, after: 1000, want: encoder.StatusNotStarted},
-		{name: "broken off", serve: func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) },
+		{name: "connection refused", want: encoder.StatusNotStarted},
+		{name: "lease expired", serve: func(http.ResponseWriter, *http.Request) {}, after: 1000, want: encoder.StatusNotStarted},
+		{name: "aborted response", serve: func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) },
 			want: encoder.StatusUnknown, hits: 1},
 		{name: "redirect", serve: func(w http.ResponseWriter, r *http.Request) { http.Redirect(w, r, "/", http.StatusFound) },
 			want: encoder.StatusFailed, hits: 1},
-		{name: "no slot free", serve: func(w http.ResponseWriter, _ *http.Request) {
+		{name: "not started by the backend server", serve: func(w http.ResponseWriter, _ *http.Request) {
 			w.Header().Set(StartedHeader, "false")
 			w.WriteHeader(http.StatusServiceUnavailable)
 		}, want: encoder.StatusNotStarted, hits: 1},
-		{name: "unavailable without a promise", serve: func(w http.ResponseWriter, _ *http.Request) {
+		{name: "unavailable without the header", serve: func(w http.ResponseWriter, _ *http.Request) {
 			w.WriteHeader(http.StatusServiceUnavailable)
 		}, want: encoder.StatusFailed, hits: 1},
 		{name: "no length", serve: func(w http.ResponseWriter, _ *http.Request) {
@@ -150,7 +151,7 @@
 		var hits atomic.Int32
 		server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 			hits.Add(1)
-			_, _ = io.Copy(io.Discard, r.Body) // a server notices a lost client only after the whole request
+			_, _ = io.Copy(io.Discard, r.Body) // the server detects a disconnected client only after it has read the request
 			tt.serve(w, r)
 		}))
 		base, _ := url.Parse(server.URL)
@@ -170,7 +171,7 @@
 	}
 }
 
-// TestIdleConnections guards against the reuse of a connection that may have gone silent.
+// TestIdleConnections checks that a connection is not reused after maxIdleTime, because it may be unresponsive.
 func TestIdleConnections(t *testing.T) {
 	var conns atomic.Int32
 	server := httptest.NewUnstartedServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) {}))
@@ -188,7 +189,7 @@
 	for _, tt := range []struct {
 		pause timer.Millis
 		want  int32
-	}{{0, 1}, {maxIdle, 1}, {maxIdle + 1, 2}, {1, 2}} {
+	}{{0, 1}, {maxIdleTime, 1}, {maxIdleTime + 1, 2}, {1, 2}} {
 		now += tt.pause
 		if o := r.run(t.Context(), Run{Kind: "k", NotAfter: 1 << 30}); o.Status != encoder.StatusDone {
 			t.Fatalf("run: %s", o.Reason)
@@ -199,23 +200,25 @@
 	}
 }
 
-// TestHealth guards against new work for a backend server that is leaving or silent; one lost check must not count.
+// TestHealth checks that a backend server is unhealthy while it is leaving or unresponsive, but not after a single
+// timeout.
 func TestHealth(t *testing.T) {
 	var backend emulator.Backend
 	server := httptest.NewServer(&backend)
 	defer server.Close()
 	base, _ := url.Parse(server.URL)
-	h := newHealth(base)
+	h := newHealthChecker(base)
 	for _, tt := range []struct {
 		name                  string
 		leaving, frozen, want bool
 	}{
 		{"healthy", false, false, true}, {"leaving", true, false, false}, {"back", false, false, true},
-		{"silent once", false, true, true}, {"silent twice", false, true, false}, {"thawed", false, false, true},
+		{"one timeout", false, true, true}, {"two timeouts", false, true, false}, {"responsive again", false, false, true},
 	} {
 		backend.SetLeaving(tt.leaving)
 		backend.SetFrozen(tt.frozen)
-		h.client.Timeout = map[bool]time.Duration{true: time.Millisecond}[tt.frozen] // frozen, it never answers in time
+		// A frozen backend server does not answer, so a short timeout suffices.
+		h.client.Timeout = map[bool]time.Duration{true: time.Millisecond}[tt.frozen]
 		if err := h.check(t.Context()); (err == nil) != tt.want {
 			t.Errorf("%s: got error %v, want healthy %v", tt.name, err, tt.want)
 		}
--- a/starter/table.go
+++ b/starter/table.go
@@ -8,72 +8,72 @@
 )
 
 const (
-	// detailOverhead is the size of a detail without its contents. Without it, results without bodies would escape the
-	// bound; a full table of them takes 17 MB.
-	detailOverhead = 64
+	// resultOverhead is the size of a taskResult without its contents. If it were not counted, empty results would not
+	// count toward MaxResultBytes; a full table of them uses 17 MB.
+	resultOverhead = 64
 
-	lostBody = "the task succeeded, but its result was dropped for lack of memory"
+	droppedResultReason = "task succeeded, but its result was dropped to free memory"
 )
 
 type (
-	// table is the started-task table. The zero value is ready to use. Keys are kept by job, because the ownership
-	// of a job is computed once for all its tasks.
-	table struct {
-		jobs        map[string]*job
-		ended       []endedRow // oldest end first, with few exceptions; the first dropped ones have been forgotten
-		dropped     int
-		bodiless    int // rows of ended before this one have lost their bodies
-		bytes       int // of details
-		uncollected int
-		early       uint64 // keys forgotten before their retention was over
+	// startedTable is the started-task table, which deduplicates starts. The zero value is ready to use. Tasks are
+	// grouped by job, so that the owner is computed once per job.
+	startedTable struct {
+		jobs         map[string]*job
+		ended        []endedTask // approximately in order of endedAt; the first evicted elements are cleared
+		evicted      int
+		strippedEnd  int // the results of the elements of ended before this index have been dropped
+		resultBytes  int // total size of the retained results
+		uncollected  int
+		evictedEarly uint64 // number of keys evicted before the end of their retention
 	}
 
 	job struct {
 		key  string
-		rows []row // in order of the index
+		rows []row // sorted by index
 	}
 
 	row struct {
 		index  uint32
 		status encoder.Status
 		state  string
-		detail *detail // nil while the task runs, and when memory was short
+		result *taskResult // nil while the task runs, and after the result was dropped
 	}
 
-	detail struct {
-		body   []byte
-		reason string
-		ran    timer.Millis
+	taskResult struct {
+		body    []byte
+		reason  string
+		runTime timer.Millis
 	}
 
-	endedRow struct {
-		job   *job
-		index uint32
-		at    timer.Millis
+	endedTask struct {
+		job     *job
+		index   uint32
+		endedAt timer.Millis
 	}
 
-	// canceledKeys remembers canceled tasks that were not started here. The zero value is ready to use.
+	// canceledKeys is the set of canceled tasks. The zero value is ready to use.
 	canceledKeys struct {
 		keys  map[encoder.TaskKey]bool
 		order []canceledKey
 	}
 
 	canceledKey struct {
-		task encoder.TaskKey
-		at   timer.Millis
+		task       encoder.TaskKey
+		canceledAt timer.Millis
 	}
 )
 
-// find returns the row of a task, or nil. It is valid until the next change of the table.
-func (t *table) find(k encoder.TaskKey) *row {
+// find returns the row of a task, or nil. The pointer is valid until the next change of the table.
+func (t *startedTable) find(k encoder.TaskKey) *row {
 	if j, ok := t.jobs[k.Job]; ok {
-		return j.find(k.Index)
+		return j.findRow(k.Index)
 	}
 	return nil
 }
 
 // add records a task as running.
-func (t *table) add(k encoder.TaskKey) {
+func (t *startedTable) add(k encoder.TaskKey) {
 	if t.jobs == nil {
 		t.jobs = map[string]*job{}
 	}
@@ -82,26 +82,25 @@
 		j = &job{key: k.Job}
 		t.jobs[k.Job] = j
 	}
-	i, _ := j.search(k.Index)
+	i, _ := j.searchRow(k.Index)
 	j.rows = slices.Insert(j.rows, i, row{index: k.Index, status: encoder.StatusRunning, state: stateRunning})
 }
 
-// end records the end of a running task and returns a copy of its row.
-func (t *table) end(now timer.Millis, k encoder.TaskKey, state string, o Outcome) row {
+// end records the outcome of a running task and returns a copy of its row.
+func (t *startedTable) end(now timer.Millis, k encoder.TaskKey, state string, o Outcome) row {
 	j := t.jobs[k.Job]
-	r := j.find(k.Index)
+	r := j.findRow(k.Index)
 	r.status, r.state = o.Status, state
-	r.detail = &detail{body: o.Body, reason: o.Reason, ran: o.Ran}
-	t.bytes += r.detail.size()
+	r.result = &taskResult{body: o.Body, reason: o.Reason, runTime: o.Ran}
+	t.resultBytes += r.result.size()
 	t.uncollected++
-	t.ended = append(t.ended, endedRow{j, k.Index, now})
+	t.ended = append(t.ended, endedTask{j, k.Index, now})
 	return *r
 }
 
-// remove forgets a task.
-func (t *table) remove(k encoder.TaskKey) {
+func (t *startedTable) remove(k encoder.TaskKey) {
 	j := t.jobs[k.Job]
-	if i, ok := j.search(k.Index); ok {
+	if i, ok := j.searchRow(k.Index); ok {
 		j.rows = slices.Delete(j.rows, i, i+1)
 	}
 	if len(j.rows) == 0 {
@@ -109,85 +108,86 @@
 	}
 }
 
-// collect notes that the owner has the result of an ended task. Other tasks are left alone. The body stays while there
-// is room, because the owner may die before all callers have their answer.
-func (t *table) collect(k encoder.TaskKey) {
+// markCollected records that the owner has the result of an ended task. It ignores other tasks. The result is retained
+// as long as memory allows, because the owner may fail before all callers have received their answers.
+func (t *startedTable) markCollected(k encoder.TaskKey) {
 	if r := t.find(k); r != nil && r.state == stateEnded {
-		r.state = step(attemptChart, r.state, eventCollect)
+		r.state = nextState(attemptChart, r.state, eventCollect)
 		t.uncollected--
 	}
 }
 
-// expire forgets tasks that ended before the given time. It also forgets the oldest collected ones beyond maxKeys, and
-// drops the oldest bodies beyond maxBytes. Tasks without collection stay, because their owner may repeat the start.
-func (t *table) expire(before timer.Millis, maxKeys, maxBytes int) {
-	for t.dropped < len(t.ended) {
-		e := t.ended[t.dropped]
-		r := e.job.find(e.index)
-		if e.at >= before {
-			if kept := len(t.ended) - t.dropped; kept <= maxKeys || kept <= t.uncollected {
+// evict removes tasks that ended before the given time. If more than maxKeys remain, it also removes the oldest
+// collected ones, but not uncollected ones, because their owner may repeat the start. If the results exceed maxBytes,
+// it drops the oldest ones.
+func (t *startedTable) evict(before timer.Millis, maxKeys, maxBytes int) {
+	for t.evicted < len(t.ended) {
+		e := t.ended[t.evicted]
+		r := e.job.findRow(e.index)
+		if e.endedAt >= before {
+			if remaining := len(t.ended) - t.evicted; remaining <= maxKeys || remaining <= t.uncollected {
 				break
 			}
 			if r.state == stateEnded {
 				t.ended = append(t.ended, e)
-				t.ended[t.dropped] = endedRow{}
-				t.dropped++
+				t.ended[t.evicted] = endedTask{}
+				t.evicted++
 				continue
 			}
-			t.early++
+			t.evictedEarly++
 		}
 		if r.state == stateEnded {
 			t.uncollected--
 		}
-		t.strip(r)
-		step(attemptChart, r.state, eventExpire)
+		t.dropResult(r)
+		nextState(attemptChart, r.state, eventExpire)
 		t.remove(encoder.TaskKey{Job: e.job.key, Index: e.index})
-		t.ended[t.dropped] = endedRow{}
-		t.dropped++
+		t.ended[t.evicted] = endedTask{}
+		t.evicted++
 	}
-	for t.bodiless = max(t.bodiless, t.dropped); t.bytes > maxBytes && t.bodiless < len(t.ended); t.bodiless++ {
-		e := t.ended[t.bodiless]
-		t.strip(e.job.find(e.index))
+	for t.strippedEnd = max(t.strippedEnd, t.evicted); t.resultBytes > maxBytes && t.strippedEnd < len(t.ended); t.strippedEnd++ {
+		e := t.ended[t.strippedEnd]
+		t.dropResult(e.job.findRow(e.index))
 	}
-	if t.dropped > 1024 && t.dropped > len(t.ended)/2 {
-		t.ended = append([]endedRow(nil), t.ended[t.dropped:]...)
-		t.bodiless -= t.dropped
-		t.dropped = 0
+	if t.evicted > 1024 && t.evicted > len(t.ended)/2 {
+		t.ended = append([]endedTask(nil), t.ended[t.evicted:]...)
+		t.strippedEnd -= t.evicted
+		t.evicted = 0
 	}
 }
 
-// strip drops the body and the reason of r.
-func (t *table) strip(r *row) {
-	if r.detail != nil {
-		t.bytes -= r.detail.size()
-		r.detail = nil
+// dropResult drops the body and the reason of r.
+func (t *startedTable) dropResult(r *row) {
+	if r.result != nil {
+		t.resultBytes -= r.result.size()
+		r.result = nil
 	}
 }
 
-func (j *job) search(index uint32) (int, bool) {
+func (j *job) searchRow(index uint32) (int, bool) {
 	return slices.BinarySearchFunc(j.rows, index, func(r row, i uint32) int { return int(r.index) - int(i) })
 }
 
-func (j *job) find(index uint32) *row {
-	if i, ok := j.search(index); ok {
+func (j *job) findRow(index uint32) *row {
+	if i, ok := j.searchRow(index); ok {
 		return &j.rows[i]
 	}
 	return nil
 }
 
-// report returns what the sidecar can say about a task. A success without its body is reported as unknown, because an
-// empty body would pass for the result.
-func (r *row) report() (status encoder.Status, body []byte, reason string, ran timer.Millis) {
+// resultFields returns the contents of a Result message for a task. If the body of a success was dropped, the status is
+// unknown, because the owner would take an empty body for the result.
+func (r *row) resultFields() (status encoder.Status, body []byte, reason string, ran timer.Millis) {
 	switch {
-	case r.detail != nil:
-		return r.status, r.detail.body, r.detail.reason, r.detail.ran
+	case r.result != nil:
+		return r.status, r.result.body, r.result.reason, r.result.runTime
 	case r.status == encoder.StatusDone:
-		return encoder.StatusUnknown, nil, lostBody, 0
+		return encoder.StatusUnknown, nil, droppedResultReason, 0
 	}
 	return r.status, nil, "", 0
 }
 
-func (d *detail) size() int { return len(d.body) + len(d.reason) + detailOverhead }
+func (d *taskResult) size() int { return len(d.body) + len(d.reason) + resultOverhead }
 
 func (c *canceledKeys) has(k encoder.TaskKey) bool { return c.keys[k] }
 
@@ -202,9 +202,9 @@
 	c.order = append(c.order, canceledKey{k, now})
 }
 
-// expire forgets keys that were added before the given time, and the oldest ones beyond maxKeys.
-func (c *canceledKeys) expire(before timer.Millis, maxKeys int) {
-	for len(c.order) > 0 && (c.order[0].at < before || len(c.order) > maxKeys) {
+// evict removes keys that were added before the given time, and the oldest ones if there are more than maxKeys.
+func (c *canceledKeys) evict(before timer.Millis, maxKeys int) {
+	for len(c.order) > 0 && (c.order[0].canceledAt < before || len(c.order) > maxKeys) {
 		delete(c.keys, c.order[0].task)
 		c.order = c.order[1:]
 	}
