--- a/interpreter/chart.go
+++ b/interpreter/chart.go
@@ -122,17 +122,17 @@
 	case fields[0] == "final" && len(fields) == 2:
 		c.finals[fields[1]] = true
 	case fields[0] == "on" && len(fields) == 4:
-		s := transition{fields[1], fields[2]}
-		if c.next[s] != "" || c.refused[s] {
-			return fmt.Sprintf("duplicate event %q in state %q", s.event, s.state)
+		t := transition{fields[1], fields[2]}
+		if c.next[t] != "" || c.refused[t] {
+			return fmt.Sprintf("duplicate event %q in state %q", t.event, t.state)
 		}
-		c.next[s] = fields[3]
+		c.next[t] = fields[3]
 	case fields[0] == "refuse" && len(fields) == 3:
-		s := transition{fields[1], fields[2]}
-		if c.next[s] != "" || c.refused[s] {
-			return fmt.Sprintf("duplicate event %q in state %q", s.event, s.state)
+		t := transition{fields[1], fields[2]}
+		if c.next[t] != "" || c.refused[t] {
+			return fmt.Sprintf("duplicate event %q in state %q", t.event, t.state)
 		}
-		c.refused[s] = true
+		c.refused[t] = true
 	default:
 		return fmt.Sprintf("unknown directive %q", strings.Join(fields, " "))
 	}
--- a/starter/core.go
+++ b/starter/core.go
@@ -60,7 +60,7 @@
 		Task    encoder.TaskKey
 		Kind    string
 		Payload []byte
-		Limit   timer.Millis // maximum run time; 0 for the default of the sidecar
+		Timeout timer.Millis // maximum run time; 0 for the default of the sidecar
 		// NotAfter is the earlier of the end of the freshness lease and the deadline of the task. The caller must check
 		// it immediately before it sends the first byte, because the process may have been paused since the core
 		// decided.
@@ -284,8 +284,8 @@
 	if r.Epoch <= c.roster.Epoch {
 		return
 	}
-	home, _ := elector.Home(r, c.ID)
-	c.roster, c.cellOwner = r, home.Member
+	owner, _ := elector.Home(r, c.ID)
+	c.roster, c.cellOwner = r, owner.Member
 	for _, e := range c.entries {
 		if !c.isRosterMember(e) {
 			e.voidCredits()
--- a/starter/core_test.go
+++ b/starter/core_test.go
@@ -130,8 +130,9 @@
 		{name: "none", want: "[run]"},
 		{name: "old epoch", change: func(_ *Core, m *encoder.Start) { m.Epoch = 4 }, want: "[refuse 1 epoch 5]"},
 		{name: "unknown epoch", change: func(_ *Core, m *encoder.Start) { m.Epoch = 6 }, want: "[refuse 1 epoch 5]"},
-		{name: "epoch raised by a census", before: func(c *Core) { c.Receive(1000, 2, &encoder.Census{Roster: newRoster(6, testMembers...)}) },
-			want: "[refuse 1 epoch 6]"},
+		{name: "epoch raised by a census", before: func(c *Core) {
+			c.Receive(1000, 2, &encoder.Census{Roster: newRoster(6, testMembers...)})
+		}, want: "[refuse 1 epoch 6]"},
 		{name: "other owner", change: func(c *Core, m *encoder.Start) { m.Task = taskOfOtherOwner(c, m.Task) }, want: "[refuse 2 epoch 5]"},
 		{name: "other incarnation", change: func(_ *Core, m *encoder.Start) { m.Owner.Incarnation = 2 }, want: "[refuse 2 epoch 5]"},
 		{name: "running", before: func(c *Core) { c.Receive(1000, session(c), own(c)) }, want: "[refuse 3 epoch 5]"},
--- a/starter/freshness.go
+++ b/starter/freshness.go
@@ -77,8 +77,8 @@
 func (c *Core) updateDomain() {
 	known, inForce := false, true
 	for _, e := range c.entries {
-		if s := e.domainReport; s.pongSequence != 0 && s.offset == c.configOffset {
-			known, inForce = true, inForce && s.inForce
+		if r := e.domainReport; r.pongSequence != 0 && r.offset == c.configOffset {
+			known, inForce = true, inForce && r.inForce
 		}
 	}
 	switch {
--- a/starter/gate.go
+++ b/starter/gate.go
@@ -123,7 +123,7 @@
 	a.state = nextState(attemptChart, a.state, eventOpen)
 	c.started.add(a.start.Task)
 	c.running[a.start.Task] = a
-	run := Run{Task: a.start.Task, Kind: a.start.Kind, Payload: a.start.Payload, Limit: a.start.RunLimit, NotAfter: c.leaseEnd}
+	run := Run{Task: a.start.Task, Kind: a.start.Kind, Payload: a.start.Payload, Timeout: a.start.RunLimit, NotAfter: c.leaseEnd}
 	if a.deadline != 0 {
 		run.NotAfter = min(run.NotAfter, a.deadline)
 	}
@@ -212,8 +212,8 @@
 
 // sendResult sends the recorded outcome of a task with the credits granted along with it.
 func (c *Core) sendResult(e *entry, task encoder.TaskKey, r *row, credits uint32) {
-	status, body, reason, ran := r.resultFields()
-	c.send(e, &encoder.Result{Task: task, Status: status, Body: body, Reason: reason, Ran: ran, Credits: credits})
+	status, body, reason, runTime := r.resultFields()
+	c.send(e, &encoder.Result{Task: task, Status: status, Body: body, Reason: reason, Ran: runTime, Credits: credits})
 }
 
 // sendRefusal refuses a start.
--- a/starter/health.go
+++ b/starter/health.go
@@ -38,7 +38,7 @@
 	}
 }
 
-// check returns nil if the backend server is healthy. A timeout is ignored unless it is the second one in a row.
+// check returns nil if the backend server is healthy. Timeouts are ignored until maxTimeouts occur in a row.
 func (h *healthChecker) check(ctx context.Context) error {
 	err := h.get(ctx)
 	var timeout interface{ Timeout() bool }
--- a/starter/results_test.go
+++ b/starter/results_test.go
@@ -118,8 +118,8 @@
 		{"within limits", Core{}, 1000, "[result 1 xxxx] [result 1 xxxx]"},
 		{"retention over", Core{KeyRetention: 500}, 1501, "[run] [run]"},
 		{"within retention", Core{KeyRetention: 500}, 1500, "[result 1 xxxx] [result 1 xxxx]"},
-		{"too longKeys keys", Core{MaxKeys: 1}, 1000, "[result 1 xxxx] [run]"}, // only task 1 is collected
-		{"too longKeys result bytes", Core{MaxResultBytes: 2*(4+resultOverhead) - 1}, 1000, "[result 3 ] [result 1 xxxx]"},
+		{"too many keys", Core{MaxKeys: 1}, 1000, "[result 1 xxxx] [run]"}, // only task 1 is collected
+		{"too many result bytes", Core{MaxResultBytes: 2*(4+resultOverhead) - 1}, 1000, "[result 3 ] [result 1 xxxx]"},
 	} {
 		c := newConnectedCore(testMembers[:3]...)
 		runAndEnd(c, 1000, []byte("xxxx"), task(0), task(1))
--- a/starter/runner.go
+++ b/starter/runner.go
@@ -55,10 +55,10 @@
 	}
 )
 
-func newRunner(base *url.URL, clock timer.Clock, limit timer.Millis) *runner {
+func newRunner(base *url.URL, clock timer.Clock, timeout timer.Millis) *runner {
 	d := &net.Dialer{Timeout: dialTimeout}
 	return &runner{
-		base: base, clock: clock, timeout: orDefault(limit, defaultRunTimeout),
+		base: base, clock: clock, timeout: orDefault(timeout, defaultRunTimeout),
 		// Compression would hide the Content-Length, which is needed to detect truncation.
 		transport: &http.Transport{DialContext: d.DialContext, DisableCompression: true},
 	}
@@ -66,11 +66,11 @@
 
 // run sends a task to the backend server and waits for its outcome. The task is canceled when ctx is done.
 func (r *runner) run(ctx context.Context, t Run) Outcome {
-	limit := r.timeout
-	if t.Limit > 0 {
-		limit = min(limit, t.Limit)
+	timeout := r.timeout
+	if t.Timeout > 0 {
+		timeout = min(timeout, t.Timeout)
 	}
-	ctx, cancel := context.WithTimeout(ctx, limit.Duration())
+	ctx, cancel := context.WithTimeout(ctx, timeout.Duration())
 	defer cancel()
 	req, err := r.newRequest(ctx, t)
 	if err != nil {
--- a/starter/sidecar.go
+++ b/starter/sidecar.go
@@ -40,7 +40,7 @@
 		TLS          *tls.Config
 		Clock        timer.Clock
 		Log          log.Interface // default log.Log
-		RunLimit     timer.Millis  // maximum run time of a task; default 5 minutes
+		RunTimeout   timer.Millis  // maximum run time of a task; default 5 minutes
 		KeyRetention timer.Millis  // default 10 minutes
 
 		once    sync.Once
@@ -97,7 +97,7 @@
 	ctx, cancel := context.WithCancel(ctx)
 	defer s.node.Wait() // sends the queued messages
 	defer cancel()
-	s.runner = newRunner(base, s.Clock, s.RunLimit)
+	s.runner = newRunner(base, s.Clock, s.RunTimeout)
 	defer s.runner.close()
 	s.node.Hello = s.hello
 	s.node.TLS = s.TLS
@@ -181,7 +181,8 @@
 // been paused while the event was in the queue.
 func (s *Sidecar) handleEvent(ctx context.Context, e event) {
 	now := s.Clock.Now()
-	s.connectionsStale = s.connectionsStale || e.kind == eventConnected || e.kind == eventDisconnected || e.kind == eventHealthChanged
+	s.connectionsStale = s.connectionsStale ||
+		e.kind == eventConnected || e.kind == eventDisconnected || e.kind == eventHealthChanged
 	switch e.kind {
 	case eventConnected:
 		s.lastSessionID++
@@ -226,7 +227,8 @@
 		switch e.Kind {
 		case EffectSend:
 			if n, ok := s.sessions[e.Session]; ok && !n.Send(e.Message) {
-				n.Close() // a new session starts without credits; a lost message would leave the peers with different credit counts
+				// Without the message, the peers could have different credit counts. A new session starts without credits.
+				n.Close()
 			}
 		case EffectRun:
 			s.startRun(ctx, e.Run)
--- a/starter/table.go
+++ b/starter/table.go
@@ -177,7 +177,7 @@
 
 // resultFields returns the contents of a Result message for a task. If the body of a success was dropped, the status is
 // unknown, because the owner would take an empty body for the result.
-func (r *row) resultFields() (status encoder.Status, body []byte, reason string, ran timer.Millis) {
+func (r *row) resultFields() (status encoder.Status, body []byte, reason string, runTime timer.Millis) {
 	switch {
 	case r.result != nil:
 		return r.status, r.result.body, r.result.reason, r.result.runTime
@@ -187,7 +187,7 @@
 	return r.status, nil, "", 0
 }
 
-func (d *taskResult) size() int { return len(d.body) + len(d.reason) + resultOverhead }
+func (r *taskResult) size() int { return len(r.body) + len(r.reason) + resultOverhead }
 
 func (c *canceledKeys) has(k encoder.TaskKey) bool { return c.keys[k] }
 
