--- a/starter/core_test.go
+++ b/starter/core_test.go
@@ -171,8 +171,8 @@
 			c.ClaimTimeout = 500
 			c.Receive(1000, session(c), &encoder.Start{Task: task(0), Epoch: 5, Owner: own(c).Owner, Once: true})
 		}, want: "[refuse 3 epoch 5 refuse 11 epoch 5]"},
-		{name: "once, claim awaited", change: func(_ *Core, m *encoder.Start) { m.Once = true }, want: "[]"},
-		{name: "once during a log outage", pong: func(p *encoder.Pong) { p.LogReachable = false },
+		{name: "once", change: func(_ *Core, m *encoder.Start) { m.Once = true }, want: "[]"},
+		{name: "once in an outage", pong: func(p *encoder.Pong) { p.LogReachable = false },
 			change: func(_ *Core, m *encoder.Start) { m.Once = true }, want: "[run]"},
 	}
 	for _, tt := range tests {
