--- a/starter/runner.go
+++ b/starter/runner.go
@@ -83,7 +83,7 @@
 	startTime := r.clock.Now()
 	if startTime >= t.NotAfter || ctx.Err() != nil {
 		r.releaseConn(conn)
-		return notStarted(errors.New("lease or deadline expired before the request was sent"))
+		return notStarted(errors.New("the right to start ended before the request was sent"))
 	}
 	o, reusable := roundTrip(conn, req)
 	o.Ran = r.clock.Now() - startTime
@@ -98,7 +98,7 @@
 // newRequest builds the request for t. It has no GetBody, so that net/http cannot retry it.
 func (r *runner) newRequest(ctx context.Context, t Run) (*http.Request, error) {
 	if t.Kind == "" || t.Kind == "." || t.Kind == ".." {
-		return nil, fmt.Errorf("kind %q is not a valid path segment", t.Kind)
+		return nil, fmt.Errorf("kind %q is not a path segment", t.Kind)
 	}
 	u := r.base.JoinPath("run", url.PathEscape(t.Kind))
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, u.String(), bytes.NewReader(t.Payload))
@@ -156,21 +156,21 @@
 func roundTrip(conn *http.ClientConn, req *http.Request) (o Outcome, reusable bool) {
 	resp, err := conn.RoundTrip(req)
 	if err != nil {
-		return unknown(fmt.Errorf("request to backend server: %w", err)), false
+		return unknown(fmt.Errorf("exchange with backend server: %w", err)), false
 	}
 	defer func() { _ = resp.Body.Close() }() // the needed part of the body was read
 	body, err := io.ReadAll(io.LimitReader(resp.Body, MaxBody+1))
 	switch {
 	case err != nil:
-		return unknown(fmt.Errorf("read response of backend server: %w", err)), false
+		return unknown(fmt.Errorf("read answer of backend server: %w", err)), false
 	case len(body) > MaxBody:
 		return Outcome{Status: encoder.StatusFailed, Reason: fmt.Sprintf("result is larger than %d bytes", MaxBody)}, false
 	case resp.ContentLength < 0 && len(resp.TransferEncoding) == 0:
-		return unknown(errors.New("response of backend server has no declared length and may be truncated")), false
+		return unknown(errors.New("the answer of the backend server declares no length, so it may be truncated")), false
 	case resp.StatusCode == http.StatusServiceUnavailable && resp.Header.Get(StartedHeader) == "false":
 		return notStarted(fmt.Errorf("backend server did not start the task: %s", body[:min(len(body), maxReasonBytes)])), true
 	case resp.StatusCode < 200 || resp.StatusCode > 299:
-		reason := fmt.Sprintf("backend server returned %s: %s", resp.Status, body[:min(len(body), maxReasonBytes)])
+		reason := fmt.Sprintf("backend server answered %s: %s", resp.Status, body[:min(len(body), maxReasonBytes)])
 		return Outcome{Status: encoder.StatusFailed, Reason: reason}, true
 	}
 	return Outcome{Status: encoder.StatusDone, Body: body}, true
--- a/starter/table.go
+++ b/starter/table.go
@@ -12,7 +12,7 @@
 	// count toward MaxResultBytes; a full table of them uses 17 MB.
 	resultOverhead = 64
 
-	droppedResultReason = "task succeeded, but its result was dropped to free memory"
+	droppedResultReason = "the task succeeded, but its result was dropped for lack of memory"
 )
 
 type (
