--- a/archiver/archiver.go
+++ b/archiver/archiver.go
@@ -26,8 +26,8 @@
 
 // Archive has the kept jobs of one partition. The zero value is an empty one.
 type Archive struct {
-	jobs            map[string]*marshaler.JobRecord
-	epoch, previous uint64 // of the latest owner and the one before
+	jobs                 map[string]*marshaler.JobRecord
+	epoch, previousEpoch uint64 // of the latest owner and the one before
 }
 
 // Add applies the next record. A record of a job that is not known is left out: the job's own record has expired, or
@@ -49,7 +49,7 @@
 		}
 	case *marshaler.OwnerRecord:
 		if m.Epoch != a.epoch {
-			a.epoch, a.previous = m.Epoch, a.epoch
+			a.epoch, a.previousEpoch = m.Epoch, a.epoch
 		}
 	case *marshaler.CancelRecord:
 		if j := a.jobs[m.Job]; j != nil && StateOf(j) == Open {
@@ -62,7 +62,7 @@
 }
 
 // Previous returns the epoch of the owner before the latest one, 0 for none that is known.
-func (a *Archive) Previous() uint64 { return a.previous }
+func (a *Archive) Previous() uint64 { return a.previousEpoch }
 
 // Jobs returns the jobs in the order of their identifiers.
 func (a *Archive) Jobs() []*marshaler.JobRecord {
--- a/archiver/archiver_test.go
+++ b/archiver/archiver_test.go
@@ -61,7 +61,7 @@
 }
 
 // TestPrevious guards against an owner between two others that sidecars never hear of.
-func TestPrevious(t *testing.T) {
+func TestPreviousEpoch(t *testing.T) {
 	cases := []struct {
 		epochs []uint64
 		want   uint64
@@ -82,7 +82,7 @@
 }
 
 // TestForeignRecords guards against records of other writers that end the replay.
-func TestForeignRecords(t *testing.T) {
+func TestUnexpectedRecords(t *testing.T) {
 	for _, body := range [][]byte{nil, {0xff}, []byte("text"), marshaler.Append(nil, &marshaler.Beat{})} {
 		var a Archive
 		if err := a.Add(body); err == nil || len(a.Jobs()) != 0 {
--- a/configurer/codec.go
+++ b/configurer/codec.go
@@ -21,15 +21,15 @@
 	tagChanged   = 6
 	tagWithdrawn = 7
 
-	tagOffset  = 1
-	tagEntries = 2
-	tagGone    = 3
+	tagOffset     = 1
+	tagEntries    = 2
+	tagTombstones = 3
 
 	tagKey       = 1
 	tagValue     = 2
 	tagChangedAt = 3
 
-	maxItem = MaxKey + MaxValue + entryOverhead
+	maxEntrySize = MaxKey + MaxValue + entryOverhead
 )
 
 // AppendNote appends the record of a note to dst.
@@ -40,10 +40,10 @@
 	b = appender.AppendText(b, tagComment, n.Comment)
 	b = appender.AppendUint(b, tagBase, n.Base)
 	for _, e := range n.Added {
-		b = appendItem(b, tagAdded, item{key: e.Key, value: e.Value})
+		b = appendEntry(b, tagAdded, versionedEntry{key: e.Key, value: e.Value})
 	}
 	for _, e := range n.Changed {
-		b = appendItem(b, tagChanged, item{key: e.Key, value: e.Value})
+		b = appendEntry(b, tagChanged, versionedEntry{key: e.Key, value: e.Value})
 	}
 	for _, k := range n.Withdrawn {
 		b = protowire.AppendTag(b, tagWithdrawn, protowire.BytesType)
@@ -62,10 +62,10 @@
 	b := make([]byte, 0, s.size)
 	b = appender.AppendUint(b, tagOffset, s.offset)
 	for _, i := range s.entries {
-		b = appendItem(b, tagEntries, i)
+		b = appendEntry(b, tagEntries, i)
 	}
-	for _, i := range s.gone {
-		b = appendItem(b, tagGone, i)
+	for _, i := range s.tombstones {
+		b = appendEntry(b, tagTombstones, i)
 	}
 	dst = protowire.AppendTag(dst, tagCheckpoint, protowire.BytesType)
 	return protowire.AppendBytes(dst, b), nil
@@ -111,11 +111,11 @@
 	err := appender.Fields(b, func(f appender.Field) error {
 		switch f.Tag {
 		case tagID:
-			return f.Text(&n.ID, maxID)
+			return f.Text(&n.ID, maxIDLen)
 		case tagAuthor:
-			return f.Text(&n.Author, maxAuthor)
+			return f.Text(&n.Author, maxAuthorLen)
 		case tagComment:
-			return f.Text(&n.Comment, maxComment)
+			return f.Text(&n.Comment, maxCommentLen)
 		case tagBase:
 			return f.Uint(&n.Base)
 		}
@@ -124,7 +124,7 @@
 		}
 		switch f.Tag {
 		case tagAdded, tagChanged:
-			i, err := decodeItem(f)
+			i, err := decodeEntry(f)
 			if err == nil && i.changedAt != 0 {
 				err = trace.BadParameter("entry of a note has an offset")
 			}
@@ -151,16 +151,16 @@
 		switch f.Tag {
 		case tagOffset:
 			return f.Uint(&s.offset)
-		case tagEntries, tagGone:
-			i, err := decodeItem(f)
+		case tagEntries, tagTombstones:
+			i, err := decodeEntry(f)
 			if err != nil {
 				return err
 			}
-			s.size += i.weight()
+			s.size += i.size()
 			if f.Tag == tagEntries {
 				s.entries = append(s.entries, i)
 			} else {
-				s.gone = append(s.gone, i)
+				s.tombstones = append(s.tombstones, i)
 			}
 			return nil
 		}
@@ -169,20 +169,20 @@
 	if err != nil {
 		return Snapshot{}, err
 	}
-	if err := s.valid(); err != nil {
+	if err := s.validate(); err != nil {
 		return Snapshot{}, err
 	}
-	s.refreshDomains()
+	s.updateWithdrawnDomains()
 	return s, nil
 }
 
 // valid checks what the fold guarantees, so that a checkpoint cannot bring in a state that no fold yields.
-func (s Snapshot) valid() error {
+func (s Snapshot) validate() error {
 	if s.size > MaxSize {
 		return trace.BadParameter("checkpoint counts %d bytes, more than %d", s.size, MaxSize)
 	}
-	var r report
-	for n, list := range [][]item{s.entries, s.gone} {
+	var r findingList
+	for n, list := range [][]versionedEntry{s.entries, s.tombstones} {
 		for i, e := range list {
 			if problem := checkKey(e.key); problem != "" {
 				return trace.BadParameter("checkpoint: %s", problem)
@@ -203,9 +203,9 @@
 	return Err(r.all())
 }
 
-func decodeItem(f appender.Field) (item, error) {
-	var i item
-	b, err := f.Message(maxItem)
+func decodeEntry(f appender.Field) (versionedEntry, error) {
+	var i versionedEntry
+	b, err := f.Message(maxEntrySize)
 	if err != nil {
 		return i, err
 	}
@@ -223,8 +223,8 @@
 	return i, err
 }
 
-func appendItem(b []byte, tag protowire.Number, i item) []byte {
-	size := sizeText(tagKey, i.key) + sizeText(tagValue, i.value)
+func appendEntry(b []byte, tag protowire.Number, i versionedEntry) []byte {
+	size := textFieldSize(tagKey, i.key) + textFieldSize(tagValue, i.value)
 	if i.changedAt != 0 {
 		size += protowire.SizeTag(tagChangedAt) + protowire.SizeVarint(i.changedAt)
 	}
@@ -235,7 +235,7 @@
 	return appender.AppendUint(b, tagChangedAt, i.changedAt)
 }
 
-func sizeText(tag protowire.Number, s string) int {
+func textFieldSize(tag protowire.Number, s string) int {
 	if s == "" {
 		return 0
 	}
--- a/configurer/codec_test.go
+++ b/configurer/codec_test.go
@@ -15,7 +15,7 @@
 )
 
 // largeSnapshot returns a configuration of the size to design for: 800 teams, 8 failure domains and 1,700 workers.
-func largeSnapshot() (s Snapshot) {
+func productionSizeSnapshot() (s Snapshot) {
 	var entries []Entry
 	for i := range 2508 {
 		e := Entry{fmt.Sprintf("setting/worker-%04d", i), "accelerators=4"}
@@ -36,7 +36,7 @@
 func TestNoteCodecs(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := drawNote(t, 1<<40)
-		n.ID, n.Author, n.Comment = rapid.StringN(0, 9, maxID).Draw(t, "id"), rapid.StringN(0, 9, maxAuthor).Draw(t, "author"), rapid.StringN(0, 9, maxComment).Draw(t, "comment")
+		n.ID, n.Author, n.Comment = rapid.StringN(0, 9, maxIDLen).Draw(t, "id"), rapid.StringN(0, 9, maxAuthorLen).Draw(t, "author"), rapid.StringN(0, 9, maxCommentLen).Draw(t, "comment")
 		r, err := DecodeRecord(AppendNote(nil, n))
 		if err != nil || !reflect.DeepEqual(r.Note, n) {
 			t.Fatalf("record: got %+v, error %v, want %+v", r.Note, err, n)
@@ -89,25 +89,25 @@
 }
 
 // Guards against a checkpoint that brings in a state which no fold yields, and against damaged records.
-func TestDecodeRecordRefusals(t *testing.T) {
-	checkpoint := func(offset uint64, entries, gone []item) []byte {
-		return checkpointOf(Snapshot{offset: offset, entries: entries, gone: gone})
+func TestDecodeInvalidRecords(t *testing.T) {
+	checkpoint := func(offset uint64, entries, tombstones []versionedEntry) []byte {
+		return checkpointOf(Snapshot{offset: offset, entries: entries, tombstones: tombstones})
 	}
 	note := AppendNote(nil, Note{Withdrawn: []string{"kind/k"}})
 	for _, c := range []struct {
-		name string
-		body []byte
-		good bool
+		name  string
+		body  []byte
+		valid bool
 	}{
-		{"good", checkpoint(2, []item{{"kind/a", "1", 1}, {"kind/b", "", 2}}, []item{{"kind/c", "", 1}}), true},
-		{"order", checkpoint(2, []item{{"kind/b", "", 1}, {"kind/a", "", 1}}, nil), false},
-		{"twice", checkpoint(2, []item{{"kind/a", "", 1}, {"kind/a", "", 1}}, nil), false},
-		{"changed later", checkpoint(2, []item{{"kind/a", "", 3}}, nil), false},
-		{"changed never", checkpoint(2, []item{{"kind/a", "", 0}}, nil), false},
-		{"withdrawn but present", checkpoint(2, []item{{"kind/a", "", 1}}, []item{{"kind/a", "", 1}}), false},
-		{"withdrawn long ago", checkpoint(BaseWindow+1, nil, []item{{"kind/a", "", 1}}), false},
-		{"key", checkpoint(2, []item{{"kind", "", 1}}, nil), false},
-		{"value", checkpoint(2, []item{{"domain/a", "", 1}}, nil), false},
+		{"good", checkpoint(2, []versionedEntry{{"kind/a", "1", 1}, {"kind/b", "", 2}}, []versionedEntry{{"kind/c", "", 1}}), true},
+		{"order", checkpoint(2, []versionedEntry{{"kind/b", "", 1}, {"kind/a", "", 1}}, nil), false},
+		{"twice", checkpoint(2, []versionedEntry{{"kind/a", "", 1}, {"kind/a", "", 1}}, nil), false},
+		{"changed later", checkpoint(2, []versionedEntry{{"kind/a", "", 3}}, nil), false},
+		{"changed never", checkpoint(2, []versionedEntry{{"kind/a", "", 0}}, nil), false},
+		{"withdrawn but present", checkpoint(2, []versionedEntry{{"kind/a", "", 1}}, []versionedEntry{{"kind/a", "", 1}}), false},
+		{"withdrawn long ago", checkpoint(BaseWindow+1, nil, []versionedEntry{{"kind/a", "", 1}}), false},
+		{"key", checkpoint(2, []versionedEntry{{"kind", "", 1}}, nil), false},
+		{"value", checkpoint(2, []versionedEntry{{"domain/a", "", 1}}, nil), false},
 		{"empty", nil, false},
 		{"two parts", append(note, note...), false},
 		{"truncated", note[:len(note)-1], false},
@@ -117,8 +117,8 @@
 		{"too many keys", AppendNote(nil, Note{Withdrawn: make([]string, MaxEntries+1)}), false},
 		{"long key", AppendNote(nil, Note{Withdrawn: []string{strings.Repeat("k", MaxKey+1)}}), false},
 	} {
-		if _, err := DecodeRecord(c.body); (err == nil) != c.good {
-			t.Errorf("%s: got error %v, want success %v", c.name, err, c.good)
+		if _, err := DecodeRecord(c.body); (err == nil) != c.valid {
+			t.Errorf("%s: got error %v, want success %v", c.name, err, c.valid)
 		}
 	}
 }
@@ -168,17 +168,17 @@
 }
 
 func Benchmark(b *testing.B) {
-	s := largeSnapshot().WithDomainsOut("zone-3")
+	s := productionSizeSnapshot().WithDomainsOut("zone-3")
 	note := AppendNote(nil, Note{ID: "0123456789abcdef0123456789abcdef", Base: s.Offset(), Changed: []Entry{{"domain/zone-4", "out"}}})
 	body := checkpointOf(s)
-	run := func(name string, each, size int, f func()) {
+	run := func(name string, itemsPerOp, size int, f func()) {
 		b.Run(name, func(b *testing.B) {
 			b.ReportAllocs()
 			for b.Loop() {
 				f()
 			}
-			b.ReportMetric(float64(b.Elapsed().Nanoseconds())/float64(b.N*each), "ns/each")
-			b.ReportMetric(float64(size)/float64(each), "B/each")
+			b.ReportMetric(float64(b.Elapsed().Nanoseconds())/float64(b.N*itemsPerOp), "ns/each")
+			b.ReportMetric(float64(size)/float64(itemsPerOp), "B/each")
 		})
 	}
 	run("Get", 1, 0, func() { s.Get("team/team-0400") })
--- a/configurer/fold.go
+++ b/configurer/fold.go
@@ -36,26 +36,26 @@
 }
 
 // fold is Apply. With owned set, it may change the lists of s, because no other snapshot shares them.
-func (s Snapshot) fold(offset uint64, r Record, owned bool) (Snapshot, []Finding) {
+func (s Snapshot) fold(offset uint64, r Record, inPlace bool) (Snapshot, []Finding) {
 	switch {
 	case s.edited:
-		return s, []Finding{{Place: place(offset), Text: "snapshot has local edits and is no state of the log"}}
+		return s, []Finding{{Place: recordLocation(offset), Text: "snapshot has local edits and is no state of the log"}}
 	case offset < s.offset:
 		return s, nil
 	case offset > s.offset:
-		return s, []Finding{{Place: place(offset), Text: "records from offset " + strconv.FormatUint(s.offset, 10) + " on are missing"}}
+		return s, []Finding{{Place: recordLocation(offset), Text: "records from offset " + strconv.FormatUint(s.offset, 10) + " on are missing"}}
 	}
 	var findings []Finding
 	next := s
 	switch r.Kind {
 	case KindNote:
-		next, findings = s.apply(r.Note, owned)
+		next, findings = s.apply(r.Note, inPlace)
 	case KindCheckpoint:
 		if r.Checkpoint.offset == s.offset && !r.Checkpoint.Equal(s) {
-			findings = []Finding{{Place: place(offset), Text: "checkpoint differs from the state folded from the log"}}
+			findings = []Finding{{Place: recordLocation(offset), Text: "checkpoint differs from the state folded from the log"}}
 		}
 	default:
-		findings = []Finding{{Place: place(offset), Text: "record is not a configuration record"}}
+		findings = []Finding{{Place: recordLocation(offset), Text: "record is not a configuration record"}}
 	}
 	next.offset = offset + 1
 	return next.prune(), findings
@@ -65,11 +65,11 @@
 func Fold(s Snapshot, offset uint64, body []byte) (Snapshot, []Finding) {
 	r, err := DecodeRecord(body)
 	next, findings := Apply(s, offset, r)
-	return next, explain(findings, err)
+	return next, addDecodeError(findings, err)
 }
 
 // explain adds the reason why a record could not be decoded to its finding.
-func explain(findings []Finding, err error) []Finding {
+func addDecodeError(findings []Finding, err error) []Finding {
 	if err != nil && len(findings) > 0 {
 		findings[0].Text += ": " + err.Error()
 	}
@@ -78,13 +78,13 @@
 
 // Check returns what Apply would find if the note were the next record, without changing anything.
 func Check(s Snapshot, n Note) []Finding {
-	return s.findings(n)
+	return s.checkNote(n)
 }
 
 // findings returns what is wrong with the note as the next record.
-func (s Snapshot) findings(n Note) []Finding {
-	var r report
-	if !n.checkForm(&r) {
+func (s Snapshot) checkNote(n Note) []Finding {
+	var r findingList
+	if !n.checkFormat(&r) {
 		return r.all()
 	}
 	if n.Base > s.offset {
@@ -96,19 +96,19 @@
 		if _, _, ok := s.Get(e.Key); ok {
 			r.add("added["+strconv.Itoa(i)+"].key", "key %q exists already", e.Key)
 		}
-		s.conflict(&r, "added["+strconv.Itoa(i)+"].key", e.Key, n.Base)
+		s.checkConflict(&r, "added["+strconv.Itoa(i)+"].key", e.Key, n.Base)
 	}
 	for i, e := range n.Changed {
 		if _, _, ok := s.Get(e.Key); !ok {
 			r.add("changed["+strconv.Itoa(i)+"].key", "key %q does not exist", e.Key)
 		}
-		s.conflict(&r, "changed["+strconv.Itoa(i)+"].key", e.Key, n.Base)
+		s.checkConflict(&r, "changed["+strconv.Itoa(i)+"].key", e.Key, n.Base)
 	}
 	for i, k := range n.Withdrawn {
 		if _, _, ok := s.Get(k); !ok {
 			r.add("withdrawn["+strconv.Itoa(i)+"]", "key %q does not exist", k)
 		}
-		s.conflict(&r, "withdrawn["+strconv.Itoa(i)+"]", k, n.Base)
+		s.checkConflict(&r, "withdrawn["+strconv.Itoa(i)+"]", k, n.Base)
 	}
 	if len(r.findings) > 0 {
 		return r.all()
@@ -121,21 +121,21 @@
 
 // apply returns the state after the note, with the offset unchanged, or s and the findings. With owned set, it changes
 // the lists of s in place.
-func (s Snapshot) apply(n Note, owned bool) (Snapshot, []Finding) {
-	if findings := s.findings(n); len(findings) > 0 {
+func (s Snapshot) apply(n Note, inPlace bool) (Snapshot, []Finding) {
+	if findings := s.checkNote(n); len(findings) > 0 {
 		return s, findings
 	}
-	next, at := s, s.offset+1
-	if !owned {
+	next, changedAt := s, s.offset+1
+	if !inPlace {
 		next = s.clone()
 	}
 	for _, e := range slices.Concat(n.Added, n.Changed) {
-		next.put(e.Key, e.Value, at)
+		next.set(e.Key, e.Value, changedAt)
 	}
 	for _, k := range n.Withdrawn {
-		next.drop(k, at)
+		next.remove(k, changedAt)
 	}
-	next.refreshDomains()
+	next.updateWithdrawnDomains()
 	return next, nil
 }
 
@@ -143,9 +143,9 @@
 func (s Snapshot) sizeAfter(n Note) int {
 	size := s.size
 	for _, e := range n.Added {
-		size += item{key: e.Key, value: e.Value}.weight()
-		if i, ok := search(s.gone, e.Key); ok {
-			size -= s.gone[i].weight()
+		size += versionedEntry{key: e.Key, value: e.Value}.size()
+		if i, ok := search(s.tombstones, e.Key); ok {
+			size -= s.tombstones[i].size()
 		}
 	}
 	for _, e := range n.Changed {
@@ -160,31 +160,31 @@
 }
 
 // conflict reports a key that was changed after the base.
-func (s Snapshot) conflict(r *report, place, key string, base uint64) {
-	if _, at, ok := s.Get(key); ok && at > base {
-		r.add(place, "key %q was changed at %d, after base %d", key, at, base)
+func (s Snapshot) checkConflict(r *findingList, location, key string, base uint64) {
+	if _, changedAt, ok := s.Get(key); ok && changedAt > base {
+		r.add(location, "key %q was changed at %d, after base %d", key, changedAt, base)
 	}
-	if i, ok := search(s.gone, key); ok && s.gone[i].changedAt > base {
-		r.add(place, "key %q was withdrawn at %d, after base %d", key, s.gone[i].changedAt, base)
+	if i, ok := search(s.tombstones, key); ok && s.tombstones[i].changedAt > base {
+		r.add(location, "key %q was withdrawn at %d, after base %d", key, s.tombstones[i].changedAt, base)
 	}
 }
 
 // prune forgets withdrawn keys that lie outside the base window.
 func (s Snapshot) prune() Snapshot {
-	old := func(i item) bool { return i.changedAt+BaseWindow <= s.offset }
-	if !slices.ContainsFunc(s.gone, old) {
+	expired := func(i versionedEntry) bool { return i.changedAt+BaseWindow <= s.offset }
+	if !slices.ContainsFunc(s.tombstones, expired) {
 		return s
 	}
-	kept := make([]item, 0, len(s.gone))
-	for _, i := range s.gone {
-		if old(i) {
-			s.size -= i.weight()
+	retained := make([]versionedEntry, 0, len(s.tombstones))
+	for _, i := range s.tombstones {
+		if expired(i) {
+			s.size -= i.size()
 		} else {
-			kept = append(kept, i)
+			retained = append(retained, i)
 		}
 	}
-	s.gone = kept
+	s.tombstones = retained
 	return s
 }
 
-func place(offset uint64) string { return "record " + strconv.FormatUint(offset, 10) }
+func recordLocation(offset uint64) string { return "record " + strconv.FormatUint(offset, 10) }
--- a/configurer/fold_test.go
+++ b/configurer/fold_test.go
@@ -47,34 +47,34 @@
 		)
 		for offset := range rapid.Uint64Range(1, 40).Draw(t, "records") {
 			n := drawNote(t, offset)
-			want, good := maps.Clone(values), true
-			touch := func(k string, mustExist bool) {
+			want, accepted := maps.Clone(values), true
+			expectKey := func(k string, mustExist bool) {
 				_, exists := values[k]
-				late := slices.ContainsFunc(history[k], func(at uint64) bool { return at > n.Base })
-				good = good && exists == mustExist && !late
+				changedSinceBase := slices.ContainsFunc(history[k], func(changedAt uint64) bool { return changedAt > n.Base })
+				accepted = accepted && exists == mustExist && !changedSinceBase
 			}
 			for _, e := range n.Added {
-				touch(e.Key, false)
+				expectKey(e.Key, false)
 				want[e.Key] = e.Value
 			}
 			for _, e := range n.Changed {
-				touch(e.Key, true)
+				expectKey(e.Key, true)
 				want[e.Key] = e.Value
 			}
 			for _, k := range n.Withdrawn {
-				touch(k, true)
+				expectKey(k, true)
 				delete(want, k)
 			}
-			if good {
+			if accepted {
 				values = want
-				for _, k := range touched(n) {
+				for _, k := range noteKeys(n) {
 					history[k] = append(history[k], offset+1)
 				}
 			}
 			check, before := Check(s, n), s
 			next, findings := Fold(s, offset, AppendNote(nil, n))
-			if got := len(findings) == 0; got != good || len(check) != len(findings) || !before.Equal(s) {
-				t.Fatalf("offset %d, note %+v: got findings %v, check %v, want accepted %v", offset, n, findings, check, good)
+			if got := len(findings) == 0; got != accepted || len(check) != len(findings) || !before.Equal(s) {
+				t.Fatalf("offset %d, note %+v: got findings %v, check %v, want accepted %v", offset, n, findings, check, accepted)
 			}
 			s = next
 			if s.Offset() != offset+1 || s.Len() != len(values) {
@@ -95,7 +95,7 @@
 }
 
 // touched returns the keys of a note.
-func touched(n Note) []string {
+func noteKeys(n Note) []string {
 	keys := slices.Clone(n.Withdrawn)
 	for _, e := range slices.Concat(n.Added, n.Changed) {
 		keys = append(keys, e.Key)
@@ -112,16 +112,16 @@
 			s, _ = Apply(s, 0, Record{Kind: KindNote, Note: notes[0]})
 			notes = []Note{{Base: 1, Changed: []Entry{{"domain/a", "in"}}}, {Base: 1, Withdrawn: []string{"domain/a"}}}
 		}
-		won := 0
+		accepted := 0
 		for range rapid.IntRange(2, 5).Draw(t, "operators") {
 			var findings []Finding
 			s, findings = Apply(s, s.Offset(), Record{Kind: KindNote, Note: rapid.SampledFrom(notes).Draw(t, "note")})
 			if len(findings) == 0 {
-				won++
+				accepted++
 			}
 		}
-		if won != 1 {
-			t.Fatalf("got %d winners, want 1", won)
+		if accepted != 1 {
+			t.Fatalf("got %d winners, want 1", accepted)
 		}
 	})
 }
@@ -164,11 +164,11 @@
 		known := rapid.IntRange(0, len(records)).Draw(t, "known offset")
 		p := &Replay{state: Snapshot{}.WithDomainsOut("zone")}
 		p.Adopt(states[known])
-		closes, before := known >= first, p.state
+		stateKnown, before := known >= first, p.state
 		for i, r := range records[first:] {
 			p.Add(r)
 			c, err := DecodeRecord(r.Body)
-			closes = closes || err == nil && c.Kind == KindCheckpoint && c.Checkpoint.Offset() >= uint64(first)
+			stateKnown = stateKnown || err == nil && c.Kind == KindCheckpoint && c.Checkpoint.Offset() >= uint64(first)
 			if rapid.IntRange(0, 2).Draw(t, "look") > 0 {
 				continue // the next record may be folded in place
 			}
@@ -176,8 +176,8 @@
 			switch next := max(first+i+1, known); {
 			case after.Offset() < before.Offset() || !before.Equal(states[before.Offset()]):
 				t.Fatalf("offset went from %d back to %d, or an earlier snapshot changed", before.Offset(), after.Offset())
-			case ok != closes:
-				t.Fatalf("record %d: got state known %v, want %v", r.Offset, ok, closes)
+			case ok != stateKnown:
+				t.Fatalf("record %d: got state known %v, want %v", r.Offset, ok, stateKnown)
 			case ok && (!after.Equal(states[next]) || !bytes.Equal(checkpointOf(after), checkpointOf(states[next]))):
 				t.Fatalf("record %d: got %+v, want %+v", r.Offset, after, states[next])
 			case after.DomainInForce("zone"):
@@ -189,7 +189,7 @@
 }
 
 // Guards against Diff and the With methods that do not lead to the edited state.
-func TestDiffLeadsToEdit(t *testing.T) {
+func TestApplyDiff(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		_, states := drawStream(t)
 		s := states[len(states)-1]
@@ -255,8 +255,8 @@
 		}
 		s, _ = Apply(s, s.Offset(), Record{})
 	}
-	if len(s.gone) != 0 || s.size != 0 {
-		t.Errorf("got %d withdrawn keys of size %d, want none", len(s.gone), s.size)
+	if len(s.tombstones) != 0 || s.size != 0 {
+		t.Errorf("got %d withdrawn keys of size %d, want none", len(s.tombstones), s.size)
 	}
 	if got := Check(s, Note{Base: 1, Added: []Entry{{"kind/k", "1"}}}); len(got) != 1 || got[0].Place != "base" {
 		t.Errorf("got %v, want one finding at base", got)
@@ -273,16 +273,16 @@
 	}
 	old, _ := Fold(Snapshot{}, 0, add("kind/a", 0).Body)
 	later, _ := Fold(old, 1, add("kind/b", 1).Body)
-	falsely, _ := Fold(old, 1, add("kind/false", 1).Body)
+	conflicting, _ := Fold(old, 1, add("kind/false", 1).Body)
 	if got, findings := Fold(later, 0, add("kind/b", 0).Body); len(findings) > 0 || !got.Equal(later) {
 		t.Errorf("folded already: got %+v, findings %v", got, findings)
 	}
-	for _, r := range []appender.Record{add("kind/c", 3), checkpoint(falsely, 3)} {
+	for _, r := range []appender.Record{add("kind/c", 3), checkpoint(conflicting, 3)} {
 		if got, findings := Fold(later, r.Offset, r.Body); len(findings) != 1 || !got.Equal(later) {
 			t.Errorf("too early: got %+v, findings %v", got, findings)
 		}
 	}
-	if _, findings := Fold(later, 2, checkpoint(falsely, 2).Body); len(findings) != 1 {
+	if _, findings := Fold(later, 2, checkpoint(conflicting, 2).Body); len(findings) != 1 {
 		t.Errorf("checkpoint that differs: got findings %v", findings)
 	}
 	p := &Replay{}
@@ -307,7 +307,7 @@
 }
 
 // Guards against a configuration whose checkpoint does not fit into a record.
-func TestSizeBound(t *testing.T) {
+func TestMaxSize(t *testing.T) {
 	var s Snapshot
 	for full := false; !full; {
 		n := Note{Base: s.Offset()}
--- a/configurer/json.go
+++ b/configurer/json.go
@@ -28,7 +28,7 @@
 func ParseNote(body []byte) (Note, []Finding) {
 	var (
 		n Note
-		r report
+		r findingList
 	)
 	if len(body) > MaxNoteJSON {
 		r.add("", "note of %d bytes is larger than %d", len(body), MaxNoteJSON)
@@ -65,7 +65,7 @@
 		}
 	}
 	if len(r.findings) == 0 {
-		n.checkForm(&r)
+		n.checkFormat(&r)
 	}
 	return n, r.all()
 }
@@ -93,26 +93,26 @@
 	return b
 }
 
-func parseEntries(r *report, place string, b []byte) []Entry {
+func parseEntries(r *findingList, location string, b []byte) []Entry {
 	var entries []Entry
-	for i, v := range parseArray(r, place, b) {
+	for i, v := range parseArray(r, location, b) {
 		var e Entry
-		at := place + "[" + strconv.Itoa(i) + "]"
+		entryLocation := location + "[" + strconv.Itoa(i) + "]"
 		seen := map[string]bool{}
-		for _, m := range parseObject(r, at, v) {
+		for _, m := range parseObject(r, entryLocation, v) {
 			seen[m.name] = true
 			switch m.name {
 			case "key":
-				e.Key = parseText(r, at+".key", m.value)
+				e.Key = parseText(r, entryLocation+".key", m.value)
 			case "value":
-				e.Value = parseText(r, at+".value", m.value)
+				e.Value = parseText(r, entryLocation+".value", m.value)
 			default:
-				r.add(at+"."+m.name, "field is unknown")
+				r.add(entryLocation+"."+m.name, "field is unknown")
 			}
 		}
 		for _, name := range []string{"key", "value"} {
 			if !seen[name] {
-				r.add(at+"."+name, "field is missing")
+				r.add(entryLocation+"."+name, "field is missing")
 			}
 		}
 		entries = append(entries, e)
@@ -121,10 +121,10 @@
 }
 
 // parseObject returns the members of an object in valid JSON, in order, and reports names that occur twice.
-func parseObject(r *report, place string, b []byte) []member {
+func parseObject(r *findingList, location string, b []byte) []member {
 	d := json.NewDecoder(bytes.NewReader(b))
 	if t, err := d.Token(); err != nil || t != json.Delim('{') {
-		r.add(place, "is not an object")
+		r.add(location, "is not an object")
 		return nil
 	}
 	var members []member
@@ -134,12 +134,12 @@
 		name, ok := t.(string)
 		var m member
 		if err != nil || !ok || d.Decode(&m.value) != nil {
-			r.add(place, "is not a valid object")
+			r.add(location, "is not a valid object")
 			return nil
 		}
-		m.name = clip(name)
+		m.name = truncateName(name)
 		if seen[name] {
-			r.add(join(place, m.name), "field occurs more than once")
+			r.add(memberLocation(location, m.name), "field occurs more than once")
 			continue
 		}
 		seen[name] = true
@@ -149,21 +149,21 @@
 }
 
 // parseArray returns at most MaxEntries elements; a longer array is a finding.
-func parseArray(r *report, place string, b []byte) []json.RawMessage {
+func parseArray(r *findingList, location string, b []byte) []json.RawMessage {
 	d := json.NewDecoder(bytes.NewReader(b))
 	if t, err := d.Token(); err != nil || t != json.Delim('[') {
-		r.add(place, "is not an array")
+		r.add(location, "is not an array")
 		return nil
 	}
 	var elements []json.RawMessage
 	for d.More() {
 		if len(elements) == MaxEntries {
-			r.add(place, "has more than %d elements", MaxEntries)
+			r.add(location, "has more than %d elements", MaxEntries)
 			break
 		}
 		var v json.RawMessage
 		if d.Decode(&v) != nil {
-			r.add(place, "is not a valid array")
+			r.add(location, "is not a valid array")
 			break
 		}
 		elements = append(elements, v)
@@ -171,36 +171,36 @@
 	return elements
 }
 
-func parseText(r *report, place string, b []byte) string {
+func parseText(r *findingList, location string, b []byte) string {
 	var s *string
 	if json.Unmarshal(b, &s) != nil || s == nil {
-		r.add(place, "is not a string")
+		r.add(location, "is not a string")
 		return ""
 	}
 	return *s
 }
 
-func parseNumber(r *report, place string, b []byte) uint64 {
+func parseNumber(r *findingList, location string, b []byte) uint64 {
 	var n *uint64
 	if json.Unmarshal(b, &n) != nil || n == nil {
-		r.add(place, "is not a whole number from 0 to 2^64-1")
+		r.add(location, "is not a whole number from 0 to 2^64-1")
 		return 0
 	}
 	return *n
 }
 
-func join(place, name string) string {
-	if place == "" {
+func memberLocation(location, name string) string {
+	if location == "" {
 		return name
 	}
-	return place + "." + name
+	return location + "." + name
 }
 
 // clip shortens a name that comes from outside for use in a report.
-func clip(name string) string {
-	const longest = 64
-	if len(name) > longest {
-		return strings.ToValidUTF8(name[:longest], "") + "..."
+func truncateName(name string) string {
+	const maxLen = 64
+	if len(name) > maxLen {
+		return strings.ToValidUTF8(name[:maxLen], "") + "..."
 	}
 	return name
 }
--- a/configurer/note.go
+++ b/configurer/note.go
@@ -22,9 +22,9 @@
 	// MaxSize bounds the configuration in bytes, so that a checkpoint fits into one record of the log.
 	MaxSize = 768 << 10
 
-	maxID      = 64
-	maxAuthor  = 128
-	maxComment = 1024
+	maxIDLen      = 64
+	maxAuthorLen  = 128
+	maxCommentLen = 1024
 	// maxFindings bounds a report; the rest is summed up in one line.
 	maxFindings = 100
 
@@ -33,8 +33,8 @@
 	kindGroup    = "kind"
 	settingGroup = "setting"
 
-	domainIn  = "in"
-	domainOut = "out"
+	domainInService = "in"
+	domainWithdrawn = "out"
 )
 
 type (
@@ -61,9 +61,9 @@
 	}
 
 	// report collects findings up to a bound.
-	report struct {
+	findingList struct {
 		findings []Finding
-		more     int
+		omitted  int
 	}
 )
 
@@ -121,29 +121,29 @@
 	return fmt.Sprintf("weight=%d quota=%d", t.Weight, t.Quota)
 }
 
-func (r *report) add(place, format string, args ...any) {
+func (r *findingList) add(location, format string, args ...any) {
 	if len(r.findings) >= maxFindings {
-		r.more++
+		r.omitted++
 		return
 	}
-	r.findings = append(r.findings, Finding{Place: place, Text: fmt.Sprintf(format, args...)})
+	r.findings = append(r.findings, Finding{Place: location, Text: fmt.Sprintf(format, args...)})
 }
 
-func (r *report) all() []Finding {
-	if r.more == 0 {
+func (r *findingList) all() []Finding {
+	if r.omitted == 0 {
 		return r.findings
 	}
-	return append(r.findings[:len(r.findings):len(r.findings)], Finding{Text: fmt.Sprintf("%d more findings", r.more)})
+	return append(r.findings[:len(r.findings):len(r.findings)], Finding{Text: fmt.Sprintf("%d more findings", r.omitted)})
 }
 
 // checkForm reports what is wrong with the note whatever the state is. It reports whether the entries can be looked at
 // one by one.
-func (n Note) checkForm(r *report) bool {
+func (n Note) checkFormat(r *findingList) bool {
 	for _, f := range []struct {
-		place, text string
-		limit       int
-	}{{"id", n.ID, maxID}, {"author", n.Author, maxAuthor}, {"comment", n.Comment, maxComment}} {
-		checkText(r, f.place, f.text, f.limit)
+		location, text string
+		limit          int
+	}{{"id", n.ID, maxIDLen}, {"author", n.Author, maxAuthorLen}, {"comment", n.Comment, maxCommentLen}} {
+		checkText(r, f.location, f.text, f.limit)
 	}
 	total := len(n.Added) + len(n.Changed) + len(n.Withdrawn)
 	switch {
@@ -154,25 +154,25 @@
 		return false
 	}
 	seen := make(map[string]string, total)
-	key := func(place, k string) {
+	key := func(location, k string) {
 		if problem := checkKey(k); problem != "" {
-			r.add(place, "%s", problem)
+			r.add(location, "%s", problem)
 			return
 		}
 		if first, ok := seen[k]; ok {
-			r.add(place, "key %q is also at %s", k, first)
+			r.add(location, "key %q is also at %s", k, first)
 			return
 		}
-		seen[k] = place
+		seen[k] = location
 	}
 	for _, list := range []struct {
 		name    string
 		entries []Entry
 	}{{"added", n.Added}, {"changed", n.Changed}} {
 		for i, e := range list.entries {
-			place := list.name + "[" + strconv.Itoa(i) + "]"
-			key(place+".key", e.Key)
-			checkValue(r, place+".value", e)
+			location := list.name + "[" + strconv.Itoa(i) + "]"
+			key(location+".key", e.Key)
+			checkValue(r, location+".value", e)
 		}
 	}
 	for i, k := range n.Withdrawn {
@@ -181,12 +181,12 @@
 	return true
 }
 
-func checkText(r *report, place, text string, limit int) {
+func checkText(r *findingList, location, text string, limit int) {
 	switch {
 	case len(text) > limit:
-		r.add(place, "text of %d bytes is longer than %d", len(text), limit)
+		r.add(location, "text of %d bytes is longer than %d", len(text), limit)
 	case !utf8.ValidString(text):
-		r.add(place, "text is not valid UTF-8")
+		r.add(location, "text is not valid UTF-8")
 	}
 }
 
@@ -213,20 +213,20 @@
 	return ""
 }
 
-func checkValue(r *report, place string, e Entry) {
+func checkValue(r *findingList, location string, e Entry) {
 	before := len(r.findings)
-	checkText(r, place, e.Value, MaxValue)
+	checkText(r, location, e.Value, MaxValue)
 	if len(r.findings) > before {
 		return
 	}
 	switch group, _, _ := strings.Cut(e.Key, "/"); group {
 	case domainGroup:
-		if e.Value != domainIn && e.Value != domainOut {
-			r.add(place, "domain value %q is not %q or %q", e.Value, domainIn, domainOut)
+		if e.Value != domainInService && e.Value != domainWithdrawn {
+			r.add(location, "domain value %q is not %q or %q", e.Value, domainInService, domainWithdrawn)
 		}
 	case teamGroup:
 		if _, err := ParseTeam(e.Value); err != nil {
-			r.add(place, "%s", trace.UserMessage(err))
+			r.add(location, "%s", trace.UserMessage(err))
 		}
 	}
 }
--- a/configurer/replay.go
+++ b/configurer/replay.go
@@ -6,33 +6,35 @@
 // until a checkpoint closes the gap it holds the records. The zero value begins with the empty configuration. A Replay
 // is used by one goroutine.
 type Replay struct {
-	state      Snapshot
-	gap        appender.Gap
-	checkpoint uint64 // offset after the last checkpoint record, 0 for none
+	state           Snapshot
+	gap             appender.Gap
+	afterCheckpoint uint64 // offset after the last checkpoint record, 0 for none
 	// owned means that the state's lists were copied and not handed out since, so that the next note needs no copy of
 	// its own. A new process folds many thousand records before it looks at the state.
-	owned bool
+	exclusive bool
 }
 
 // Snapshot returns the state so far. ok is false while records are missing between it and those that were added.
 func (p *Replay) Snapshot() (s Snapshot, ok bool) {
-	p.owned = false
+	p.exclusive = false
 	return p.state, !p.gap.Open()
 }
 
 // SinceCheckpoint returns the number of records that were folded after the last checkpoint. A checkpoint is due when
 // it reaches half of the log's retention.
-func (p *Replay) SinceCheckpoint() uint64 { return p.state.offset - min(p.checkpoint, p.state.offset) }
+func (p *Replay) SinceCheckpoint() uint64 {
+	return p.state.offset - min(p.afterCheckpoint, p.state.offset)
+}
 
 // Adopt takes over a state fetched from elsewhere when it is later than the own one, and reports whether it did.
 func (p *Replay) Adopt(s Snapshot) bool {
 	if s.offset <= p.state.offset || s.edited {
 		return false
 	}
-	s.local = p.state.local
-	p.state, p.owned = s, false
-	rest, _ := p.gap.Close(s.offset)
-	for _, r := range rest {
+	s.provisionalDomains = p.state.provisionalDomains
+	p.state, p.exclusive = s, false
+	held, _ := p.gap.Close(s.offset)
+	for _, r := range held {
 		p.fold(r) // findings were reported by the processes that were up to date
 	}
 	return true
@@ -58,11 +60,11 @@
 		return nil
 	}
 	record, err := DecodeRecord(r.Body)
-	next, findings := p.state.fold(r.Offset, record, p.owned)
-	p.owned = p.owned || record.Kind == KindNote && len(findings) == 0
+	next, findings := p.state.fold(r.Offset, record, p.exclusive)
+	p.exclusive = p.exclusive || record.Kind == KindNote && len(findings) == 0
 	p.state = next
 	if record.Kind == KindCheckpoint {
-		p.checkpoint = r.Offset + 1
+		p.afterCheckpoint = r.Offset + 1
 	}
-	return explain(findings, err)
+	return addDecodeError(findings, err)
 }
--- a/configurer/snapshot.go
+++ b/configurer/snapshot.go
@@ -14,16 +14,16 @@
 	// Snapshot is the configuration at an offset. It is immutable: methods that change it return a copy. The zero value
 	// is the empty configuration before the first record.
 	Snapshot struct {
-		offset  uint64
-		entries []item   // sorted by key
-		gone    []item   // withdrawn keys within the base window, sorted by key, without values
-		out     []string // names of withdrawn domains, sorted
-		local   []string // domains that are out on this process only, sorted
-		size    int      // what entries and gone count for
-		edited  bool     // made by With or Without, so not a state of the log
+		offset             uint64
+		entries            []versionedEntry // sorted by key
+		tombstones         []versionedEntry // withdrawn keys within the base window, sorted by key, without values
+		withdrawnDomains   []string         // names of withdrawn domains, sorted
+		provisionalDomains []string         // domains that are out on this process only, sorted
+		size               int              // what entries and gone count for
+		edited             bool             // made by With or Without, so not a state of the log
 	}
 
-	item struct {
+	versionedEntry struct {
 		key, value string
 		changedAt  uint64
 	}
@@ -56,12 +56,12 @@
 
 // DomainInForce reports whether tasks may start in the failure domain. Domains without a key are in force.
 func (s Snapshot) DomainInForce(domain string) bool {
-	if len(s.out) == 0 && len(s.local) == 0 {
+	if len(s.withdrawnDomains) == 0 && len(s.provisionalDomains) == 0 {
 		return true
 	}
-	_, out := slices.BinarySearch(s.out, domain)
-	_, local := slices.BinarySearch(s.local, domain)
-	return !out && !local
+	_, withdrawn := slices.BinarySearch(s.withdrawnDomains, domain)
+	_, provisional := slices.BinarySearch(s.provisionalDomains, domain)
+	return !withdrawn && !provisional
 }
 
 // Team returns the weight and quota of a team. Teams without a key have weight 1 and no quota.
@@ -80,24 +80,24 @@
 // WithDomainsOut returns a copy in which exactly the given domains are out of force beside those that the log has
 // withdrawn. It is for provisional withdrawals: Get, Apply and checkpoints disregard it, and Apply keeps it.
 func (s Snapshot) WithDomainsOut(domains ...string) Snapshot {
-	s.local = slices.Compact(slices.Sorted(slices.Values(domains)))
+	s.provisionalDomains = slices.Compact(slices.Sorted(slices.Values(domains)))
 	return s
 }
 
 // WithDomain returns an edited copy in which the domain is in or out of force.
 func (s Snapshot) WithDomain(domain string, inForce bool) Snapshot {
 	if inForce {
-		return s.With(domainGroup+"/"+domain, domainIn)
+		return s.With(domainGroup+"/"+domain, domainInService)
 	}
-	return s.With(domainGroup+"/"+domain, domainOut)
+	return s.With(domainGroup+"/"+domain, domainWithdrawn)
 }
 
 // With returns an edited copy in which key has the value. An edited copy is meant for Diff; Apply and checkpoints
 // refuse it.
 func (s Snapshot) With(key, value string) Snapshot {
 	s = s.clone()
-	s.put(key, value, s.offset)
-	s.refreshDomains()
+	s.set(key, value, s.offset)
+	s.updateWithdrawnDomains()
 	s.edited = true
 	return s
 }
@@ -105,8 +105,8 @@
 // Without returns an edited copy that lacks the key.
 func (s Snapshot) Without(key string) Snapshot {
 	s = s.clone()
-	s.drop(key, s.offset)
-	s.refreshDomains()
+	s.remove(key, s.offset)
+	s.updateWithdrawnDomains()
 	s.edited = true
 	return s
 }
@@ -114,7 +114,7 @@
 // Equal reports whether both snapshots are the same state of the log. Provisional withdrawals are disregarded.
 func (s Snapshot) Equal(t Snapshot) bool {
 	return s.offset == t.offset && s.edited == t.edited && s.size == t.size &&
-		slices.Equal(s.entries, t.entries) && slices.Equal(s.gone, t.gone) && slices.Equal(s.out, t.out)
+		slices.Equal(s.entries, t.entries) && slices.Equal(s.tombstones, t.tombstones) && slices.Equal(s.withdrawnDomains, t.withdrawnDomains)
 }
 
 // Diff returns the note that turns from into to. Its base is the offset of from.
@@ -141,52 +141,52 @@
 
 // clone returns a copy whose lists may be changed in place.
 func (s Snapshot) clone() Snapshot {
-	s.entries, s.gone = slices.Clone(s.entries), slices.Clone(s.gone)
+	s.entries, s.tombstones = slices.Clone(s.entries), slices.Clone(s.tombstones)
 	return s
 }
 
 // put sets the key in a clone. A withdrawn key that is added again is no longer remembered as withdrawn.
-func (s *Snapshot) put(key, value string, at uint64) {
+func (s *Snapshot) set(key, value string, changedAt uint64) {
 	i, ok := search(s.entries, key)
 	if ok {
-		s.size -= s.entries[i].weight()
-		s.entries[i] = item{key: key, value: value, changedAt: at}
+		s.size -= s.entries[i].size()
+		s.entries[i] = versionedEntry{key: key, value: value, changedAt: changedAt}
 	} else {
-		s.entries = slices.Insert(s.entries, i, item{key: key, value: value, changedAt: at})
+		s.entries = slices.Insert(s.entries, i, versionedEntry{key: key, value: value, changedAt: changedAt})
 	}
-	s.size += s.entries[i].weight()
-	if j, ok := search(s.gone, key); ok {
-		s.size -= s.gone[j].weight()
-		s.gone = slices.Delete(s.gone, j, j+1)
+	s.size += s.entries[i].size()
+	if j, ok := search(s.tombstones, key); ok {
+		s.size -= s.tombstones[j].size()
+		s.tombstones = slices.Delete(s.tombstones, j, j+1)
 	}
 }
 
 // drop removes the key from a clone and remembers it as withdrawn.
-func (s *Snapshot) drop(key string, at uint64) {
+func (s *Snapshot) remove(key string, changedAt uint64) {
 	i, ok := search(s.entries, key)
 	if !ok {
 		return
 	}
-	s.size -= s.entries[i].weight()
+	s.size -= s.entries[i].size()
 	s.entries = slices.Delete(s.entries, i, i+1)
-	j, _ := search(s.gone, key)
-	s.gone = slices.Insert(s.gone, j, item{key: key, changedAt: at})
-	s.size += s.gone[j].weight()
+	j, _ := search(s.tombstones, key)
+	s.tombstones = slices.Insert(s.tombstones, j, versionedEntry{key: key, changedAt: changedAt})
+	s.size += s.tombstones[j].size()
 }
 
 // refreshDomains computes the withdrawn domains from the entries.
-func (s *Snapshot) refreshDomains() {
-	s.out = nil
+func (s *Snapshot) updateWithdrawnDomains() {
+	s.withdrawnDomains = nil
 	i, _ := search(s.entries, domainGroup+"/")
 	for ; i < len(s.entries) && strings.HasPrefix(s.entries[i].key, domainGroup+"/"); i++ {
-		if s.entries[i].value == domainOut {
-			s.out = append(s.out, s.entries[i].key[len(domainGroup)+1:])
+		if s.entries[i].value == domainWithdrawn {
+			s.withdrawnDomains = append(s.withdrawnDomains, s.entries[i].key[len(domainGroup)+1:])
 		}
 	}
 }
 
-func (i item) weight() int { return len(i.key) + len(i.value) + entryOverhead }
+func (i versionedEntry) size() int { return len(i.key) + len(i.value) + entryOverhead }
 
-func search(items []item, key string) (int, bool) {
-	return slices.BinarySearchFunc(items, key, func(i item, k string) int { return strings.Compare(i.key, k) })
+func search(items []versionedEntry, key string) (int, bool) {
+	return slices.BinarySearchFunc(items, key, func(i versionedEntry, k string) int { return strings.Compare(i.key, k) })
 }
--- a/recorder/recorder.go
+++ b/recorder/recorder.go
@@ -18,11 +18,11 @@
 
 const (
 	// defaultBuffer is the number of bytes that wait for a slow reader before lines are dropped.
-	defaultBuffer = 256 << 10
+	defaultBufferSize = 256 << 10
 	// defaultRate is the number of lines a second that are written on average; a burst of twice as many is allowed.
 	defaultRate = 4000
 	// flushPeriod is how long lines are gathered, so that each write carries many.
-	flushPeriod = 20 * time.Millisecond
+	flushDelay = 20 * time.Millisecond
 )
 
 // Recorder is a log handler. Set the exported fields before Run; the zero values of Buffer and Rate mean 256 KiB and
@@ -32,20 +32,20 @@
 	Buffer int // bytes
 	Rate   int // lines a second
 
-	mu      sync.Mutex
-	pending []byte
-	tokens  float64
-	filled  time.Time
-	wake    chan struct{}
-	once    sync.Once
-	dropped atomic.Uint64
+	mu         sync.Mutex
+	pending    []byte
+	tokens     float64
+	refilledAt time.Time
+	wakeup     chan struct{}
+	wakeupOnce sync.Once
+	dropped    atomic.Uint64
 }
 
 // HandleLog implements log.Handler. It never blocks on the writer.
 func (r *Recorder) HandleLog(e *log.Entry) error {
 	line := encode(e)
 	r.mu.Lock()
-	if !r.admit(e.Timestamp, len(line)) {
+	if !r.allow(e.Timestamp, len(line)) {
 		r.mu.Unlock()
 		r.dropped.Add(1)
 		return nil
@@ -55,7 +55,7 @@
 	r.mu.Unlock()
 	if first {
 		select {
-		case r.waker() <- struct{}{}:
+		case r.wakeupChan() <- struct{}{}:
 		default:
 		}
 	}
@@ -63,21 +63,21 @@
 }
 
 // admit takes a token for a line, of which Rate a second are added.
-func (r *Recorder) admit(now time.Time, size int) bool {
-	rate, buffer := float64(r.Rate), r.Buffer
+func (r *Recorder) allow(now time.Time, lineSize int) bool {
+	rate, bufferSize := float64(r.Rate), r.Buffer
 	if rate <= 0 {
 		rate = defaultRate
 	}
-	if buffer <= 0 {
-		buffer = defaultBuffer
+	if bufferSize <= 0 {
+		bufferSize = defaultBufferSize
 	}
-	if passed := now.Sub(r.filled).Seconds(); passed > 0 || r.filled.IsZero() {
-		r.tokens = min(2*rate, r.tokens+min(passed, 2)*rate)
-		r.filled = now
-	} else if passed < -1 { // the time of day was set back
-		r.filled = now
+	if elapsed := now.Sub(r.refilledAt).Seconds(); elapsed > 0 || r.refilledAt.IsZero() {
+		r.tokens = min(2*rate, r.tokens+min(elapsed, 2)*rate)
+		r.refilledAt = now
+	} else if elapsed < -1 { // the time of day was set back
+		r.refilledAt = now
 	}
-	if r.tokens < 1 || len(r.pending)+size > buffer {
+	if r.tokens < 1 || len(r.pending)+lineSize > bufferSize {
 		return false
 	}
 	r.tokens--
@@ -91,8 +91,8 @@
 func (r *Recorder) Run(done <-chan struct{}) {
 	for {
 		select {
-		case <-r.waker():
-			time.Sleep(flushPeriod)
+		case <-r.wakeupChan():
+			time.Sleep(flushDelay)
 			r.flush()
 		case <-done:
 			r.flush()
@@ -114,9 +114,9 @@
 	}
 }
 
-func (r *Recorder) waker() chan struct{} {
-	r.once.Do(func() { r.wake = make(chan struct{}, 1) })
-	return r.wake
+func (r *Recorder) wakeupChan() chan struct{} {
+	r.wakeupOnce.Do(func() { r.wakeup = make(chan struct{}, 1) })
+	return r.wakeup
 }
 
 // encode returns an entry as one line of JSON with its fields in order.
@@ -139,7 +139,7 @@
 func appendValue(b []byte, v any) []byte {
 	switch v := v.(type) {
 	case string:
-		if plain(v) {
+		if needsNoEscaping(v) {
 			b = append(b, '"')
 			b = append(b, v...)
 			return append(b, '"')
@@ -159,7 +159,7 @@
 }
 
 // plain reports whether a text needs no escapes.
-func plain(s string) bool {
+func needsNoEscaping(s string) bool {
 	for i := range len(s) {
 		if s[i] < ' ' || s[i] > '~' || s[i] == '"' || s[i] == '\\' {
 			return false
--- a/recorder/recorder_test.go
+++ b/recorder/recorder_test.go
@@ -13,7 +13,7 @@
 )
 
 // TestReaderStandsStill guards against a process that waits for the reader of its logs.
-func TestReaderStandsStill(t *testing.T) {
+func TestBlockedWriter(t *testing.T) {
 	reader, writer := io.Pipe()
 	defer func() { _ = reader.Close() }()
 	r := &Recorder{Writer: writer, Buffer: 10_000, Rate: 1_000_000}
@@ -21,15 +21,15 @@
 	go r.Run(done)
 	defer close(done)
 	logger := &log.Logger{Handler: r, Level: log.InfoLevel}
-	finished := make(chan struct{})
+	logged := make(chan struct{})
 	go func() {
 		for range 5000 {
 			logger.WithField("job", "00").Info("entry: answer")
 		}
-		close(finished)
+		close(logged)
 	}()
 	select {
-	case <-finished:
+	case <-logged:
 	case <-time.After(10 * time.Second):
 		t.Fatal("logging blocked on a reader that stands still")
 	}
@@ -39,7 +39,7 @@
 }
 
 // TestVolume guards against logs that grow with the load.
-func TestVolume(t *testing.T) {
+func TestRateLimit(t *testing.T) {
 	var out bytes.Buffer
 	r := &Recorder{Writer: &out, Rate: 100}
 	logger := &log.Logger{Handler: r, Level: log.InfoLevel}
@@ -56,7 +56,7 @@
 }
 
 // TestLines guards against lines that a log reader cannot parse.
-func TestLines(t *testing.T) {
+func TestOutputIsValidJSON(t *testing.T) {
 	cases := []log.Fields{
 		{}, {"job": `quote " and \ and ` + "\n"}, {"n": 1, "m": int64(-2), "u": uint64(3)}, {"list": []string{"a"}, "none": []string(nil)},
 		{"error": errors.New("x").Error()}, {"text": "äö"}, {"bad": "\xff"}, {"f": 1.5, "b": true},
--- a/router/codec.go
+++ b/router/codec.go
@@ -10,8 +10,8 @@
 )
 
 const (
-	maxText = 4096
-	maxBody = 4 << 20 // bytes of one encoded snapshot
+	maxTextLen    = 4096
+	maxEncodedLen = 4 << 20 // bytes of one encoded snapshot
 )
 
 // Append appends the encoding of s, by which processes pass a configuration on to each other.
@@ -62,7 +62,7 @@
 			return err
 		case 7:
 			var domain string
-			err := f.Text(&domain, maxText)
+			err := f.Text(&domain, maxTextLen)
 			s = s.WithDomain(domain, true)
 			return err
 		}
@@ -87,7 +87,7 @@
 }
 
 func decodeQueue(f appender.Field) (q Queue, err error) {
-	body, err := f.Message(maxBody)
+	body, err := f.Message(maxEncodedLen)
 	if err != nil {
 		return q, err
 	}
@@ -95,13 +95,13 @@
 	err = appender.Fields(body, func(f appender.Field) error {
 		switch f.Tag {
 		case 1:
-			return f.Text(&q.Name, maxText)
+			return f.Text(&q.Name, maxTextLen)
 		case 2:
-			return f.Text(&q.Host, maxText)
+			return f.Text(&q.Host, maxTextLen)
 		case 3:
-			return f.Text(&q.Prefix, maxText)
+			return f.Text(&q.Prefix, maxTextLen)
 		case 4:
-			return f.Text(&q.Service, maxText)
+			return f.Text(&q.Service, maxTextLen)
 		case 5:
 			return f.Uint(&q.Priority)
 		case 6:
@@ -120,7 +120,7 @@
 }
 
 func decodeService(f appender.Field) (v Service, err error) {
-	body, err := f.Message(maxBody)
+	body, err := f.Message(maxEncodedLen)
 	if err != nil {
 		return v, err
 	}
@@ -128,7 +128,7 @@
 	err = appender.Fields(body, func(f appender.Field) error {
 		switch f.Tag {
 		case 1:
-			return f.Text(&v.Name, maxText)
+			return f.Text(&v.Name, maxTextLen)
 		case 2:
 			return f.Uint(&guarded)
 		case 3:
--- a/router/relay.go
+++ b/router/relay.go
@@ -9,61 +9,61 @@
 const (
 	// relayAfter is how long another process may take to get a configuration from the store before it is passed on. A
 	// process that reaches the store has it within 100 ms.
-	relayAfter = 600 * timer.Millisecond
+	relayDelay = 600 * timer.Millisecond
 	// relayFirst is the same for a process that has no configuration yet and can do nothing without one.
-	relayFirst = 150 * timer.Millisecond
+	initialRelayDelay = 150 * timer.Millisecond
 	// relaySpread is the time over which several processes pass on to the same one. Most of them then see that it is
 	// not needed any more.
-	relaySpread = 400 * timer.Millisecond
+	relayJitter = 400 * timer.Millisecond
 	// relayAgain is the pause before the same process gets it again.
-	relayAgain = timer.Second
+	relayInterval = timer.Second
 )
 
 // Relay decides when a process passes its configuration on to others that have an older one, because they do not reach
 // the store. Without a pause each process would send it to all others at each change. The zero value is ready to use.
 type Relay struct {
-	changed timer.Millis
-	up      map[string]timer.Millis
-	sent    map[string]timer.Millis
+	changedAt       timer.Millis
+	sessionOpenedAt map[string]timer.Millis
+	sentAt          map[string]timer.Millis
 }
 
 // Changed takes a change of this process's configuration.
-func (r *Relay) Changed(now timer.Millis) { r.changed, r.sent = now, nil }
+func (r *Relay) Changed(now timer.Millis) { r.changedAt, r.sentAt = now, nil }
 
 // Up takes a new session with another process.
-func (r *Relay) Up(now timer.Millis, to string) {
-	if r.up == nil {
-		r.up = map[string]timer.Millis{}
+func (r *Relay) Up(now timer.Millis, peer string) {
+	if r.sessionOpenedAt == nil {
+		r.sessionOpenedAt = map[string]timer.Millis{}
 	}
-	r.up[to] = now
-	delete(r.sent, to)
+	r.sessionOpenedAt[peer] = now
+	delete(r.sentAt, peer)
 }
 
 // Down forgets another process.
-func (r *Relay) Down(to string) {
-	delete(r.up, to)
-	delete(r.sent, to)
+func (r *Relay) Down(peer string) {
+	delete(r.sessionOpenedAt, peer)
+	delete(r.sentAt, peer)
 }
 
 // Due reports whether the process named self sends its configuration now to one that has another position. none says that
 // the other one has no configuration.
-func (r *Relay) Due(now timer.Millis, self, to string, none bool) bool {
-	wait := relayAfter
-	if none {
-		wait = relayFirst
+func (r *Relay) Due(now timer.Millis, self, peer string, unconfigured bool) bool {
+	delay := relayDelay
+	if unconfigured {
+		delay = initialRelayDelay
 	}
 	h := fnv.New32a()
-	_, _ = h.Write([]byte(self + " " + to)) // a hash accepts all bytes
-	wait += timer.Millis(h.Sum32() % uint32(relaySpread))
-	if now < max(r.changed, r.up[to])+wait {
+	_, _ = h.Write([]byte(self + " " + peer)) // a hash accepts all bytes
+	delay += timer.Millis(h.Sum32() % uint32(relayJitter))
+	if now < max(r.changedAt, r.sessionOpenedAt[peer])+delay {
 		return false
 	}
-	if sent, ok := r.sent[to]; ok && now < sent+relayAgain {
+	if sentAt, ok := r.sentAt[peer]; ok && now < sentAt+relayInterval {
 		return false
 	}
-	if r.sent == nil {
-		r.sent = map[string]timer.Millis{}
+	if r.sentAt == nil {
+		r.sentAt = map[string]timer.Millis{}
 	}
-	r.sent[to] = now
+	r.sentAt[peer] = now
 	return true
 }
--- a/router/relay_test.go
+++ b/router/relay_test.go
@@ -11,14 +11,14 @@
 // processes without the store that wait too long for one.
 func TestRelay(t *testing.T) {
 	cases := []struct {
-		name      string
-		changed   timer.Millis
-		up        timer.Millis
-		none      bool
-		catchesUp timer.Millis // time at which the other process gets it from the store; 0 for never
-		senders   int
-		first     timer.Millis // latest first message
-		most      int          // messages of all senders in 2 s
+		name            string
+		changedAt       timer.Millis
+		sessionOpenedAt timer.Millis
+		unconfigured    bool
+		updatedAt       timer.Millis // time at which the other process gets it from the store; 0 for never
+		senders         int
+		first           timer.Millis // latest first message
+		maxMessages     int          // messages of all senders in 2 s
 	}{
 		{"others read the store", 1000, 0, false, 1100, 20, 0, 0},
 		{"one is cut off", 1000, 0, false, 0, 20, 1600 + 50, 40},
@@ -30,27 +30,27 @@
 		sent, first := 0, timer.Millis(0)
 		relays := make([]Relay, c.senders)
 		for i := range relays {
-			if c.changed > 0 {
+			if c.changedAt > 0 {
 				relays[i].Up(0, "other")
-				relays[i].Changed(c.changed)
+				relays[i].Changed(c.changedAt)
 			} else {
-				relays[i].Up(c.up, "other")
+				relays[i].Up(c.sessionOpenedAt, "other")
 			}
 		}
 		for now := timer.Millis(1000); now < 3000; now += 25 {
 			for i := range relays {
-				if c.catchesUp > 0 && now >= c.catchesUp {
+				if c.updatedAt > 0 && now >= c.updatedAt {
 					continue
 				}
-				if relays[i].Due(now, fmt.Sprint("self-", i), "other", c.none) {
+				if relays[i].Due(now, fmt.Sprint("self-", i), "other", c.unconfigured) {
 					if sent++; first == 0 {
 						first = now
 					}
 				}
 			}
 		}
-		if first > c.first || sent > c.most || c.most > 0 && sent == 0 {
-			t.Errorf("%s: got the first of %d messages at %d, want at most %d, the first by %d", c.name, sent, first, c.most, c.first)
+		if first > c.first || sent > c.maxMessages || c.maxMessages > 0 && sent == 0 {
+			t.Errorf("%s: got the first of %d messages at %d, want at most %d, the first by %d", c.name, sent, first, c.maxMessages, c.first)
 		}
 	}
 }
--- a/router/snapshot_test.go
+++ b/router/snapshot_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-var queues = []Queue{
+var testQueues = []Queue{
 	{Name: "a", Host: "h", Prefix: "/a/", Service: "s", Priority: 2, Attempts: 3, Stretch: 1.5, Target: 60},
 	{Name: "ab", Host: "h", Prefix: "/a/b/", Service: "s", Attempts: 1, Stretch: 2},
 	{Name: "other", Host: "o", Prefix: "/a/", Service: "t", Attempts: 1, Stretch: 2, Advised: true},
@@ -13,7 +13,7 @@
 
 // TestMatch guards against requests that reach another queue.
 func TestMatch(t *testing.T) {
-	s := Snapshot{}.WithConfiguration(1, queues, nil, Limits{})
+	s := Snapshot{}.WithConfiguration(1, testQueues, nil, Limits{})
 	cases := []struct{ host, path, queue, rest string }{
 		{"h", "/a/1", "a", "1"}, {"h", "/a/b/1", "ab", "1"}, {"o", "/a/b/1", "other", "b/1"}, {"h", "/a/", "a", ""},
 		{"h", "/a", "", ""}, {"x", "/a/1", "", ""}, {"", "", "", ""},
@@ -28,7 +28,7 @@
 
 // TestForward guards against configurations that go back.
 func TestForward(t *testing.T) {
-	s := Snapshot{}.WithConfiguration(5, queues, nil, Limits{BodyBytes: 1}).WithOffset(9)
+	s := Snapshot{}.WithConfiguration(5, testQueues, nil, Limits{BodyBytes: 1}).WithOffset(9)
 	s = s.WithConfiguration(4, nil, nil, Limits{}).WithOffset(3)
 	if s.Version != 5 || len(s.Queues()) != 3 || s.Offset != 9 || s.Limits.BodyBytes != 1 {
 		t.Errorf("got version %d, %d queues, offset %d, want 5, 3 and 9", s.Version, len(s.Queues()), s.Offset)
@@ -39,7 +39,7 @@
 	if older.Withdrawn("north") || !s.Withdrawn("north") || returned.Withdrawn("north") {
 		t.Error("got a snapshot that changed, want copies")
 	}
-	next := s.WithConfiguration(6, append([]Queue{{Name: "new", Prefix: "/n/"}}, queues[1:]...), nil, Limits{})
+	next := s.WithConfiguration(6, append([]Queue{{Name: "new", Prefix: "/n/"}}, testQueues[1:]...), nil, Limits{})
 	if got, want := next.Since(&s), (Change{Added: []string{"new"}, Withdrawn: []string{"a"}}); !reflect.DeepEqual(got, want) {
 		t.Errorf("got %+v, want %+v", got, want)
 	}
@@ -47,16 +47,16 @@
 
 // TestCodec guards against processes that pass on less than they know.
 func TestCodec(t *testing.T) {
-	want := Snapshot{}.WithConfiguration(5, queues, []Service{{Name: "s", Guarded: true}, {Name: "t", Standby: true}}, Limits{HeaderBytes: 2, BodyBytes: 3}).
+	want := Snapshot{}.WithConfiguration(5, testQueues, []Service{{Name: "s", Guarded: true}, {Name: "t", Standby: true}}, Limits{HeaderBytes: 2, BodyBytes: 3}).
 		WithDomain("north", true).WithOffset(17)
 	got, err := Decode(want.Append(nil))
 	if err != nil || !reflect.DeepEqual(got, want) {
 		t.Errorf("got %+v, %v, want %+v", got, err, want)
 	}
-	for cut := 1; cut < 40; cut++ {
+	for truncated := 1; truncated < 40; truncated++ {
 		body := want.Append(nil)
-		if _, err := Decode(body[:len(body)-cut]); err == nil && cut < 5 {
-			t.Errorf("cut by %d bytes: got no error", cut)
+		if _, err := Decode(body[:len(body)-truncated]); err == nil && truncated < 5 {
+			t.Errorf("cut by %d bytes: got no error", truncated)
 		}
 	}
 }
