--- a/configurer/codec.go
+++ b/configurer/codec.go
@@ -7,8 +7,8 @@
 	"github.com/crocuslb/crocuslb/appender"
 )
 
-// Field numbers of the record format. A record has one of tagNote and tagCheckpoint. Unknown fields make a record
-// undecodable, so that processes of different versions refuse it alike.
+// Field numbers of the record format. A record contains either tagNote or tagCheckpoint. A record with an unknown field
+// cannot be decoded, so that processes of all versions reject it consistently.
 const (
 	tagNote       = 1
 	tagCheckpoint = 2
@@ -32,7 +32,7 @@
 	maxEntrySize = MaxKey + MaxValue + entryOverhead
 )
 
-// AppendNote appends the record of a note to dst.
+// AppendNote appends the encoded record of a note to dst.
 func AppendNote(dst []byte, n Note) []byte {
 	var b []byte
 	b = appender.AppendText(b, tagID, n.ID)
@@ -53,25 +53,25 @@
 	return protowire.AppendBytes(dst, b)
 }
 
-// AppendCheckpoint appends the record of a checkpoint to dst. Equal snapshots give equal bytes. It fails for an edited
-// snapshot, which is no state of the log.
+// AppendCheckpoint appends the encoded record of a checkpoint to dst. The encoding is deterministic. It returns an
+// error for an edited snapshot, which is not a state of the log.
 func AppendCheckpoint(dst []byte, s Snapshot) ([]byte, error) {
 	if s.edited {
-		return dst, trace.BadParameter("snapshot has local edits and is no state of the log")
+		return dst, trace.BadParameter("snapshot has local edits and is not a state of the log")
 	}
 	b := make([]byte, 0, s.size)
 	b = appender.AppendUint(b, tagOffset, s.offset)
-	for _, i := range s.entries {
-		b = appendEntry(b, tagEntries, i)
+	for _, e := range s.entries {
+		b = appendEntry(b, tagEntries, e)
 	}
-	for _, i := range s.tombstones {
-		b = appendEntry(b, tagTombstones, i)
+	for _, e := range s.tombstones {
+		b = appendEntry(b, tagTombstones, e)
 	}
 	dst = protowire.AppendTag(dst, tagCheckpoint, protowire.BytesType)
 	return protowire.AppendBytes(dst, b), nil
 }
 
-// DecodeRecord decodes the body of a record. The record is the zero value when there is an error.
+// DecodeRecord decodes the body of a record. It returns the zero Record on error.
 func DecodeRecord(body []byte) (Record, error) {
 	var r Record
 	if len(body) > appender.MaxBody {
@@ -124,14 +124,14 @@
 		}
 		switch f.Tag {
 		case tagAdded, tagChanged:
-			i, err := decodeEntry(f)
-			if err == nil && i.changedAt != 0 {
+			e, err := decodeEntry(f)
+			if err == nil && e.changedAt != 0 {
 				err = trace.BadParameter("entry of a note has an offset")
 			}
 			if f.Tag == tagAdded {
-				n.Added = append(n.Added, Entry{Key: i.key, Value: i.value})
+				n.Added = append(n.Added, Entry{Key: e.key, Value: e.value})
 			} else {
-				n.Changed = append(n.Changed, Entry{Key: i.key, Value: i.value})
+				n.Changed = append(n.Changed, Entry{Key: e.key, Value: e.value})
 			}
 			return err
 		case tagWithdrawn:
@@ -152,15 +152,15 @@
 		case tagOffset:
 			return f.Uint(&s.offset)
 		case tagEntries, tagTombstones:
-			i, err := decodeEntry(f)
+			e, err := decodeEntry(f)
 			if err != nil {
 				return err
 			}
-			s.size += i.size()
+			s.size += e.encodedSizeBound()
 			if f.Tag == tagEntries {
-				s.entries = append(s.entries, i)
+				s.entries = append(s.entries, e)
 			} else {
-				s.tombstones = append(s.tombstones, i)
+				s.tombstones = append(s.tombstones, e)
 			}
 			return nil
 		}
@@ -176,10 +176,10 @@
 	return s, nil
 }
 
-// valid checks what the fold guarantees, so that a checkpoint cannot bring in a state that no fold yields.
+// validate checks the invariants of the fold, so that a checkpoint cannot introduce a state that no fold produces.
 func (s Snapshot) validate() error {
 	if s.size > MaxSize {
-		return trace.BadParameter("checkpoint counts %d bytes, more than %d", s.size, MaxSize)
+		return trace.BadParameter("checkpoint has a size of %d bytes, more than %d", s.size, MaxSize)
 	}
 	var r findingList
 	for n, list := range [][]versionedEntry{s.entries, s.tombstones} {
@@ -190,13 +190,13 @@
 			if n == 0 {
 				checkValue(&r, e.key, Entry{Key: e.key, Value: e.value})
 			} else if _, ok := search(s.entries, e.key); ok || e.value != "" || e.changedAt+BaseWindow <= s.offset {
-				return trace.BadParameter("checkpoint: withdrawn key %q does not fit", e.key)
+				return trace.BadParameter("checkpoint: withdrawn key %q is still present, has a value or is older than the base window", e.key)
 			}
 			if i > 0 && list[i-1].key >= e.key {
 				return trace.BadParameter("checkpoint: key %q is not in order", e.key)
 			}
 			if e.changedAt == 0 || e.changedAt > s.offset {
-				return trace.BadParameter("checkpoint: key %q was changed at %d, outside of its offset %d", e.key, e.changedAt, s.offset)
+				return trace.BadParameter("checkpoint: key %q was changed at %d, not between 1 and the checkpoint's offset %d", e.key, e.changedAt, s.offset)
 			}
 		}
 	}
@@ -204,35 +204,35 @@
 }
 
 func decodeEntry(f appender.Field) (versionedEntry, error) {
-	var i versionedEntry
+	var e versionedEntry
 	b, err := f.Message(maxEntrySize)
 	if err != nil {
-		return i, err
+		return e, err
 	}
 	err = appender.Fields(b, func(f appender.Field) error {
 		switch f.Tag {
 		case tagKey:
-			return f.Text(&i.key, MaxKey)
+			return f.Text(&e.key, MaxKey)
 		case tagValue:
-			return f.Text(&i.value, MaxValue)
+			return f.Text(&e.value, MaxValue)
 		case tagChangedAt:
-			return f.Uint(&i.changedAt)
+			return f.Uint(&e.changedAt)
 		}
 		return f.Unknown()
 	})
-	return i, err
+	return e, err
 }
 
-func appendEntry(b []byte, tag protowire.Number, i versionedEntry) []byte {
-	size := textFieldSize(tagKey, i.key) + textFieldSize(tagValue, i.value)
-	if i.changedAt != 0 {
-		size += protowire.SizeTag(tagChangedAt) + protowire.SizeVarint(i.changedAt)
+func appendEntry(b []byte, tag protowire.Number, e versionedEntry) []byte {
+	size := textFieldSize(tagKey, e.key) + textFieldSize(tagValue, e.value)
+	if e.changedAt != 0 {
+		size += protowire.SizeTag(tagChangedAt) + protowire.SizeVarint(e.changedAt)
 	}
 	b = protowire.AppendTag(b, tag, protowire.BytesType)
 	b = protowire.AppendVarint(b, uint64(size))
-	b = appender.AppendText(b, tagKey, i.key)
-	b = appender.AppendText(b, tagValue, i.value)
-	return appender.AppendUint(b, tagChangedAt, i.changedAt)
+	b = appender.AppendText(b, tagKey, e.key)
+	b = appender.AppendText(b, tagValue, e.value)
+	return appender.AppendUint(b, tagChangedAt, e.changedAt)
 }
 
 func textFieldSize(tag protowire.Number, s string) int {
--- a/configurer/codec_test.go
+++ b/configurer/codec_test.go
@@ -14,7 +14,8 @@
 	"github.com/crocuslb/crocuslb/appender"
 )
 
-// largeSnapshot returns a configuration of the size to design for: 800 teams, 8 failure domains and 1,700 workers.
+// productionSizeSnapshot returns a configuration of the size that the system is designed for: 800 teams, 8 failure
+// domains and 1,700 workers.
 func productionSizeSnapshot() (s Snapshot) {
 	var entries []Entry
 	for i := range 2508 {
@@ -32,7 +33,8 @@
 	return s
 }
 
-// Guards against fields that a codec forgets.
+// TestNoteCodecs checks that notes survive a round trip through the record and JSON formats, so that no codec omits a
+// field.
 func TestNoteCodecs(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := drawNote(t, 1<<40)
@@ -48,7 +50,7 @@
 	})
 }
 
-// Guards against a malformed note that is accepted, or whose findings lack their place.
+// TestParseNoteFindings checks that malformed notes are rejected and that each finding states its location.
 func TestParseNoteFindings(t *testing.T) {
 	many := `{"withdrawn":[` + strings.Repeat(`"kind/k",`, MaxEntries) + `"kind/k"]}`
 	for _, c := range []struct {
@@ -88,7 +90,8 @@
 	}
 }
 
-// Guards against a checkpoint that brings in a state which no fold yields, and against damaged records.
+// TestDecodeInvalidRecords checks that damaged records are rejected, as well as checkpoints with a state that no fold
+// produces.
 func TestDecodeInvalidRecords(t *testing.T) {
 	checkpoint := func(offset uint64, entries, tombstones []versionedEntry) []byte {
 		return checkpointOf(Snapshot{offset: offset, entries: entries, tombstones: tombstones})
@@ -99,21 +102,21 @@
 		body  []byte
 		valid bool
 	}{
-		{"good", checkpoint(2, []versionedEntry{{"kind/a", "1", 1}, {"kind/b", "", 2}}, []versionedEntry{{"kind/c", "", 1}}), true},
-		{"order", checkpoint(2, []versionedEntry{{"kind/b", "", 1}, {"kind/a", "", 1}}, nil), false},
-		{"twice", checkpoint(2, []versionedEntry{{"kind/a", "", 1}, {"kind/a", "", 1}}, nil), false},
-		{"changed later", checkpoint(2, []versionedEntry{{"kind/a", "", 3}}, nil), false},
-		{"changed never", checkpoint(2, []versionedEntry{{"kind/a", "", 0}}, nil), false},
+		{"valid", checkpoint(2, []versionedEntry{{"kind/a", "1", 1}, {"kind/b", "", 2}}, []versionedEntry{{"kind/c", "", 1}}), true},
+		{"keys out of order", checkpoint(2, []versionedEntry{{"kind/b", "", 1}, {"kind/a", "", 1}}, nil), false},
+		{"duplicate key", checkpoint(2, []versionedEntry{{"kind/a", "", 1}, {"kind/a", "", 1}}, nil), false},
+		{"changed after the checkpoint", checkpoint(2, []versionedEntry{{"kind/a", "", 3}}, nil), false},
+		{"no change offset", checkpoint(2, []versionedEntry{{"kind/a", "", 0}}, nil), false},
 		{"withdrawn but present", checkpoint(2, []versionedEntry{{"kind/a", "", 1}}, []versionedEntry{{"kind/a", "", 1}}), false},
-		{"withdrawn long ago", checkpoint(BaseWindow+1, nil, []versionedEntry{{"kind/a", "", 1}}), false},
-		{"key", checkpoint(2, []versionedEntry{{"kind", "", 1}}, nil), false},
-		{"value", checkpoint(2, []versionedEntry{{"domain/a", "", 1}}, nil), false},
-		{"empty", nil, false},
+		{"expired tombstone", checkpoint(BaseWindow+1, nil, []versionedEntry{{"kind/a", "", 1}}), false},
+		{"invalid key", checkpoint(2, []versionedEntry{{"kind", "", 1}}, nil), false},
+		{"invalid value", checkpoint(2, []versionedEntry{{"domain/a", "", 1}}, nil), false},
+		{"empty record", nil, false},
 		{"two parts", append(note, note...), false},
 		{"truncated", note[:len(note)-1], false},
 		{"unknown field", protowire.AppendBytes(protowire.AppendTag(nil, 9, protowire.BytesType), nil), false},
-		{"wrong type", protowire.AppendVarint(protowire.AppendTag(nil, tagNote, protowire.VarintType), 1), false},
-		{"group", protowire.AppendTag(nil, tagNote, protowire.StartGroupType), false},
+		{"wrong wire type", protowire.AppendVarint(protowire.AppendTag(nil, tagNote, protowire.VarintType), 1), false},
+		{"group wire type", protowire.AppendTag(nil, tagNote, protowire.StartGroupType), false},
 		{"too many keys", AppendNote(nil, Note{Withdrawn: make([]string, MaxEntries+1)}), false},
 		{"long key", AppendNote(nil, Note{Withdrawn: []string{strings.Repeat("k", MaxKey+1)}}), false},
 	} {
@@ -123,7 +126,7 @@
 	}
 }
 
-// Guards against damaged records that panic, and against records that do not survive a second encoding.
+// FuzzDecodeRecord checks that arbitrary bodies do not cause a panic and that decoded records survive a round trip.
 func FuzzDecodeRecord(f *testing.F) {
 	s, _ := Apply(Snapshot{}, 0, Record{Kind: KindNote, Note: Note{Added: []Entry{{"domain/a", "out"}, {"kind/k", "1"}}}})
 	s, _ = Apply(s, 1, Record{Kind: KindNote, Note: Note{Base: 1, Withdrawn: []string{"kind/k"}}})
@@ -149,7 +152,8 @@
 	})
 }
 
-// Guards against notes that panic, and against an accepted note that Check refuses for its form or that JSON changes.
+// FuzzParseNote checks that arbitrary input does not cause a panic, and that accepted notes survive a round trip
+// through JSON and can be decoded as records.
 func FuzzParseNote(f *testing.F) {
 	f.Add([]byte(`{"id":"i","author":"a","comment":"c","base":1,"added":[{"key":"team/x","value":"weight=1 quota=2"}],"changed":[],"withdrawn":["kind/k"]}`))
 	f.Add([]byte(`{"added":[{"key":"domain/a","value":"out"}],"base":1e3,"x":{"y":[null]}}`))
@@ -188,7 +192,7 @@
 	run("EncodeAndReplayNote", 1, len(note), func() {
 		n := Note{Base: p.state.offset, Changed: []Entry{{"domain/zone-4", "out"}}}
 		if p.Add(appender.Record{Offset: n.Base, Body: AppendNote(nil, n)}) != nil {
-			b.Fatal("note was refused")
+			b.Fatal("note was rejected")
 		}
 	})
 	run("CheckpointEncode", s.Len(), len(body), func() { body, _ = AppendCheckpoint(body[:0], s) })
--- a/configurer/fold.go
+++ b/configurer/fold.go
@@ -6,21 +6,22 @@
 )
 
 const (
-	// BaseWindow is how many records a note's base may lie behind the note. Withdrawn keys are remembered that long,
-	// so that a note which adds one of them again without having seen the withdrawal is refused.
+	// BaseWindow is the maximum number of records by which the base of a note may precede the note. Withdrawn keys are
+	// retained as tombstones for this long, so that a note is rejected if it adds such a key again and its base
+	// precedes the withdrawal.
 	BaseWindow = 4096
 
-	// KindNote is a record with a note.
+	// KindNote is a record that contains a note.
 	KindNote RecordKind = 1
-	// KindCheckpoint is a record that restates the configuration, so that older records may be dropped by the log.
+	// KindCheckpoint is a record that contains the complete configuration, so that the log may delete older records.
 	KindCheckpoint RecordKind = 2
 )
 
 type (
-	// RecordKind is the kind of a record of the configuration stream.
+	// RecordKind determines which field of a Record is set.
 	RecordKind uint8
 
-	// Record is a record of the configuration stream. The zero value stands for a record that cannot be decoded.
+	// Record is a record of the configuration stream. The zero value represents a record that cannot be decoded.
 	Record struct {
 		Kind       RecordKind
 		Note       Note
@@ -28,14 +29,15 @@
 	}
 )
 
-// Apply folds the record at the given offset into s. A record with findings changes nothing; the offset advances
-// nevertheless, so that every reader of the same records has the same state. Records before the snapshot's offset are
-// ignored, and records beyond it are refused without an advance, because records between are missing.
+// Apply folds the record at the given offset into s. A record with findings does not change the configuration, but the
+// offset still advances, so that all readers of the same records reach the same state. Records before the snapshot's
+// offset are ignored. Records after it are rejected without advancing the offset, because the records in between are
+// missing.
 func Apply(s Snapshot, offset uint64, r Record) (Snapshot, []Finding) {
 	return s.fold(offset, r, false)
 }
 
-// fold is Apply. With owned set, it may change the lists of s, because no other snapshot shares them.
+// fold implements Apply. If inPlace is set, no other snapshot shares the slices of s, and fold may modify them.
 func (s Snapshot) fold(offset uint64, r Record, inPlace bool) (Snapshot, []Finding) {
 	switch {
 	case s.edited:
@@ -61,14 +63,15 @@
 	return next.prune(), findings
 }
 
-// Fold decodes and applies the body of the record at the given offset. A body that cannot be decoded is a finding.
+// Fold decodes the body of the record at the given offset and applies it. A body that cannot be decoded results in a
+// finding.
 func Fold(s Snapshot, offset uint64, body []byte) (Snapshot, []Finding) {
 	r, err := DecodeRecord(body)
 	next, findings := Apply(s, offset, r)
 	return next, addDecodeError(findings, err)
 }
 
-// explain adds the reason why a record could not be decoded to its finding.
+// addDecodeError appends the decoding error of a record, if any, to the text of its finding.
 func addDecodeError(findings []Finding, err error) []Finding {
 	if err != nil && len(findings) > 0 {
 		findings[0].Text += ": " + err.Error()
@@ -76,12 +79,12 @@
 	return findings
 }
 
-// Check returns what Apply would find if the note were the next record, without changing anything.
+// Check returns the findings that Apply would return if the note were the next record.
 func Check(s Snapshot, n Note) []Finding {
 	return s.checkNote(n)
 }
 
-// findings returns what is wrong with the note as the next record.
+// checkNote validates the note as the next record.
 func (s Snapshot) checkNote(n Note) []Finding {
 	var r findingList
 	if !n.checkFormat(&r) {
@@ -119,33 +122,33 @@
 	return nil
 }
 
-// apply returns the state after the note, with the offset unchanged, or s and the findings. With owned set, it changes
-// the lists of s in place.
+// apply returns the state after the note, with the offset unchanged. If the note has findings, it returns s and the
+// findings. If inPlace is set, it modifies the slices of s in place.
 func (s Snapshot) apply(n Note, inPlace bool) (Snapshot, []Finding) {
 	if findings := s.checkNote(n); len(findings) > 0 {
 		return s, findings
 	}
-	next, changedAt := s, s.offset+1
+	next, newOffset := s, s.offset+1
 	if !inPlace {
 		next = s.clone()
 	}
 	for _, e := range slices.Concat(n.Added, n.Changed) {
-		next.set(e.Key, e.Value, changedAt)
+		next.set(e.Key, e.Value, newOffset)
 	}
 	for _, k := range n.Withdrawn {
-		next.remove(k, changedAt)
+		next.remove(k, newOffset)
 	}
 	next.updateWithdrawnDomains()
 	return next, nil
 }
 
-// sizeAfter returns the size of the state after a note without findings.
+// sizeAfter returns the size of the state after applying a valid note.
 func (s Snapshot) sizeAfter(n Note) int {
 	size := s.size
 	for _, e := range n.Added {
-		size += versionedEntry{key: e.Key, value: e.Value}.size()
+		size += versionedEntry{key: e.Key, value: e.Value}.encodedSizeBound()
 		if i, ok := search(s.tombstones, e.Key); ok {
-			size -= s.tombstones[i].size()
+			size -= s.tombstones[i].encodedSizeBound()
 		}
 	}
 	for _, e := range n.Changed {
@@ -159,28 +162,28 @@
 	return size
 }
 
-// conflict reports a key that was changed after the base.
+// checkConflict reports a key that was changed or withdrawn after the base.
 func (s Snapshot) checkConflict(r *findingList, location, key string, base uint64) {
-	if _, changedAt, ok := s.Get(key); ok && changedAt > base {
-		r.add(location, "key %q was changed at %d, after base %d", key, changedAt, base)
+	if _, lastChange, ok := s.Get(key); ok && lastChange > base {
+		r.add(location, "key %q was changed at %d, after base %d", key, lastChange, base)
 	}
 	if i, ok := search(s.tombstones, key); ok && s.tombstones[i].changedAt > base {
 		r.add(location, "key %q was withdrawn at %d, after base %d", key, s.tombstones[i].changedAt, base)
 	}
 }
 
-// prune forgets withdrawn keys that lie outside the base window.
+// prune removes tombstones that are older than BaseWindow records.
 func (s Snapshot) prune() Snapshot {
-	expired := func(i versionedEntry) bool { return i.changedAt+BaseWindow <= s.offset }
+	expired := func(e versionedEntry) bool { return e.changedAt+BaseWindow <= s.offset }
 	if !slices.ContainsFunc(s.tombstones, expired) {
 		return s
 	}
 	retained := make([]versionedEntry, 0, len(s.tombstones))
-	for _, i := range s.tombstones {
-		if expired(i) {
-			s.size -= i.size()
+	for _, e := range s.tombstones {
+		if expired(e) {
+			s.size -= e.encodedSizeBound()
 		} else {
-			retained = append(retained, i)
+			retained = append(retained, e)
 		}
 	}
 	s.tombstones = retained
--- a/configurer/fold_test.go
+++ b/configurer/fold_test.go
@@ -13,10 +13,10 @@
 	"github.com/crocuslb/crocuslb/appender"
 )
 
-// A fixed seed makes runs repeatable; -rapid.seed tries others.
+// A fixed seed makes test runs reproducible; -rapid.seed overrides it.
 var _ = flag.Set("rapid.seed", "1")
 
-// drawNote draws a note on a few keys, so that notes collide.
+// drawNote generates a note from a small set of keys, so that notes conflict.
 func drawNote(t *rapid.T, offset uint64) Note {
 	n := Note{Base: offset - rapid.Uint64Range(0, min(offset, 3)).Draw(t, "behind")}
 	keys := rapid.SliceOfNDistinct(rapid.SampledFrom([]string{"domain/a", "domain/b", "team/x", "kind/k", "setting/s"}), 1, 3, rapid.ID).Draw(t, "keys")
@@ -37,7 +37,8 @@
 	return n
 }
 
-// Guards against a conflicting note that is accepted, a good one that is refused, and notes that are applied in part.
+// TestFoldMatchesModel compares the fold with a simple model. It detects conflicting notes that are accepted, valid
+// notes that are rejected, and notes that are applied only in part.
 func TestFoldMatchesModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var (
@@ -87,14 +88,14 @@
 			}
 			for _, d := range []string{"a", "b", "unknown"} {
 				if got, want := s.DomainInForce(d), values["domain/"+d] != "out"; got != want {
-					t.Fatalf("domain %s in force: got %v, want %v", d, got, want)
+					t.Fatalf("domain %s in service: got %v, want %v", d, got, want)
 				}
 			}
 		}
 	})
 }
 
-// touched returns the keys of a note.
+// noteKeys returns the keys that a note adds, changes or withdraws.
 func noteKeys(n Note) []string {
 	keys := slices.Clone(n.Withdrawn)
 	for _, e := range slices.Concat(n.Added, n.Changed) {
@@ -103,7 +104,7 @@
 	return keys
 }
 
-// Guards against racing notes on one key of which more or fewer than one wins.
+// TestRacingNotes checks that exactly one of several concurrent notes on the same key is accepted.
 func TestRacingNotes(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var s Snapshot
@@ -121,12 +122,12 @@
 			}
 		}
 		if accepted != 1 {
-			t.Fatalf("got %d winners, want 1", accepted)
+			t.Fatalf("got %d accepted notes, want 1", accepted)
 		}
 	})
 }
 
-// checkpointOf returns the body of a checkpoint of s.
+// checkpointOf returns the encoded checkpoint record of s.
 func checkpointOf(s Snapshot) []byte {
 	b, err := AppendCheckpoint(nil, s)
 	if err != nil {
@@ -135,15 +136,15 @@
 	return b
 }
 
-// drawStream draws the bodies of a stream with notes, checkpoints of earlier states, and damaged records. It returns the
-// state before each record and after the last.
+// drawStream generates a stream of notes, checkpoints of current or earlier states, and damaged records. It also
+// returns the state before each record and after the last one.
 func drawStream(t *rapid.T) (records []appender.Record, states []Snapshot) {
 	states = []Snapshot{{}}
 	for offset := range rapid.Uint64Range(1, 40).Draw(t, "records") {
 		var body []byte
 		switch rapid.IntRange(0, 9).Draw(t, "kind") {
 		case 0, 1:
-			// An appender of a checkpoint may have been slow, so that its state is older than its record.
+			// If the append of a checkpoint is delayed, its state is older than its record.
 			body = checkpointOf(states[rapid.IntRange(0, len(states)-1).Draw(t, "state")])
 		case 2:
 			body = rapid.SliceOfN(rapid.Byte(), 0, 20).Draw(t, "damaged")
@@ -156,7 +157,8 @@
 	return records, states
 }
 
-// Guards against readers of one prefix with different states or checkpoints, and against a state that moves back.
+// TestReplayFromAnywhere checks that a Replay reaches the same state and checkpoint from any first retained record and
+// any known state, and that its state never reverts to an earlier offset.
 func TestReplayFromAnywhere(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		records, states := drawStream(t)
@@ -170,7 +172,7 @@
 			c, err := DecodeRecord(r.Body)
 			stateKnown = stateKnown || err == nil && c.Kind == KindCheckpoint && c.Checkpoint.Offset() >= uint64(first)
 			if rapid.IntRange(0, 2).Draw(t, "look") > 0 {
-				continue // the next record may be folded in place
+				continue // without a call of Snapshot, the next record may be folded in place
 			}
 			after, ok := p.Snapshot()
 			switch next := max(first+i+1, known); {
@@ -181,14 +183,15 @@
 			case ok && (!after.Equal(states[next]) || !bytes.Equal(checkpointOf(after), checkpointOf(states[next]))):
 				t.Fatalf("record %d: got %+v, want %+v", r.Offset, after, states[next])
 			case after.DomainInForce("zone"):
-				t.Fatalf("record %d: the provisional withdrawal is lost", r.Offset)
+				t.Fatalf("record %d: the provisional withdrawal was lost", r.Offset)
 			}
 			before = after
 		}
 	})
 }
 
-// Guards against Diff and the With methods that do not lead to the edited state.
+// TestApplyDiff checks that applying the note returned by Diff results in the edited state, and that edited snapshots
+// cannot be folded.
 func TestApplyDiff(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		_, states := drawStream(t)
@@ -200,12 +203,13 @@
 			t.Fatalf("got %v from note %+v, findings %v, want %v", got.Keys(""), n, findings, edited.Keys(""))
 		}
 		if _, findings := Apply(edited, s.Offset(), Record{Kind: KindNote, Note: n}); len(findings) == 0 {
-			t.Fatal("an edited snapshot was folded on")
+			t.Fatal("Apply accepted an edited snapshot")
 		}
 	})
 }
 
-// Guards against wrong or missing findings, and against a late note that revives a withdrawn key.
+// TestFindings checks the locations of findings, and that a note which does not know of the withdrawal of a key cannot
+// add the key again.
 func TestFindings(t *testing.T) {
 	s, _ := Apply(Snapshot{}, 0, Record{Kind: KindNote, Note: Note{Added: []Entry{{"domain/a", "in"}, {"team/x", "weight=1"}, {"setting/s", ""}}}})
 	s, _ = Apply(s, 1, Record{Kind: KindNote, Note: Note{Base: 1, Changed: []Entry{{"team/x", "weight=2"}}, Withdrawn: []string{"setting/s"}}})
@@ -217,53 +221,55 @@
 	for _, c := range []struct {
 		name string
 		note Note
-		want []string // places
+		want []string // locations of the findings
 	}{
-		{"good", Note{Base: 2, Changed: []Entry{{"domain/a", "out"}}}, nil},
-		{"empty", Note{Base: 2}, []string{""}},
-		{"base ahead", Note{Base: 3, Changed: []Entry{{"domain/a", "out"}}}, []string{"base"}},
-		{"untouched key may be older", Note{Base: 1, Changed: []Entry{{"domain/a", "out"}}}, nil},
+		{"valid", Note{Base: 2, Changed: []Entry{{"domain/a", "out"}}}, nil},
+		{"no changes", Note{Base: 2}, []string{""}},
+		{"base after the current offset", Note{Base: 3, Changed: []Entry{{"domain/a", "out"}}}, []string{"base"}},
+		{"old base without conflict", Note{Base: 1, Changed: []Entry{{"domain/a", "out"}}}, nil},
 		{"changed after base", Note{Base: 1, Changed: []Entry{{"team/x", "weight=3"}}}, []string{"changed[0].key"}},
 		{"withdrawn after base", Note{Base: 1, Added: []Entry{{"setting/s", "1"}}}, []string{"added[0].key"}},
 		{"added again", Note{Base: 2, Added: []Entry{{"setting/s", "1"}}}, nil},
-		{"exists", Note{Base: 2, Added: []Entry{{"kind/k", ""}, {"team/x", "weight=1"}}}, []string{"added[1].key"}},
-		{"missing", Note{Base: 2, Changed: []Entry{{"kind/k", ""}}, Withdrawn: []string{"kind/j"}}, []string{"changed[0].key", "withdrawn[0]"}},
-		{"duplicate", Note{Base: 2, Changed: []Entry{{"team/x", "weight=1"}}, Withdrawn: []string{"team/x"}}, []string{"withdrawn[0]"}},
-		{"domain value", Note{Base: 2, Changed: []Entry{{"domain/a", "maybe"}}}, []string{"changed[0].value"}},
-		{"team value", Note{Base: 2, Changed: []Entry{{"team/x", "weight=0 quota=1"}}}, []string{"changed[0].value"}},
-		{"group", Note{Base: 2, Added: []Entry{{"rack/r", "1"}, {"kind/", ""}, {"kind/a b", ""}}}, []string{"added[0].key", "added[1].key", "added[2].key"}},
+		{"added key exists", Note{Base: 2, Added: []Entry{{"kind/k", ""}, {"team/x", "weight=1"}}}, []string{"added[1].key"}},
+		{"changed and withdrawn keys do not exist", Note{Base: 2, Changed: []Entry{{"kind/k", ""}}, Withdrawn: []string{"kind/j"}}, []string{"changed[0].key", "withdrawn[0]"}},
+		{"duplicate key", Note{Base: 2, Changed: []Entry{{"team/x", "weight=1"}}, Withdrawn: []string{"team/x"}}, []string{"withdrawn[0]"}},
+		{"invalid domain value", Note{Base: 2, Changed: []Entry{{"domain/a", "maybe"}}}, []string{"changed[0].value"}},
+		{"invalid team value", Note{Base: 2, Changed: []Entry{{"team/x", "weight=0 quota=1"}}}, []string{"changed[0].value"}},
+		{"invalid group or name", Note{Base: 2, Added: []Entry{{"rack/r", "1"}, {"kind/", ""}, {"kind/a b", ""}}}, []string{"added[0].key", "added[1].key", "added[2].key"}},
 		{"too long", Note{ID: long, Base: 2, Added: []Entry{{"kind/" + long, ""}, {"kind/k", string(make([]byte, MaxValue+1))}}}, []string{"id", "added[0].key", "added[1].value"}},
-		{"too many", many, []string{""}},
+		{"too many keys", many, []string{""}},
 	} {
 		var got []string
 		for _, f := range Check(s, c.note) {
 			got = append(got, f.Place)
 		}
 		if !slices.Equal(got, c.want) {
-			t.Errorf("%s: got places %q, want %q", c.name, got, c.want)
+			t.Errorf("%s: got findings at %q, want %q", c.name, got, c.want)
 		}
 	}
 }
 
-// Guards against memory that grows with withdrawn keys, and against notes older than what is remembered.
+// TestBaseWindow checks that tombstones are removed after BaseWindow records, so that they do not accumulate in memory,
+// and that a note with an older base is rejected.
 func TestBaseWindow(t *testing.T) {
 	s, _ := Apply(Snapshot{}, 0, Record{Kind: KindNote, Note: Note{Added: []Entry{{"kind/k", "1"}}}})
 	s, _ = Apply(s, 1, Record{Kind: KindNote, Note: Note{Base: 1, Withdrawn: []string{"kind/k"}}})
 	for s.Offset() < BaseWindow+2 {
 		if late := Check(s, Note{Base: 1, Added: []Entry{{"kind/k", "1"}}}); len(late) == 0 {
-			t.Fatalf("offset %d: a note that had not seen the withdrawal was accepted", s.Offset())
+			t.Fatalf("offset %d: accepted a note whose base precedes the withdrawal", s.Offset())
 		}
 		s, _ = Apply(s, s.Offset(), Record{})
 	}
 	if len(s.tombstones) != 0 || s.size != 0 {
-		t.Errorf("got %d withdrawn keys of size %d, want none", len(s.tombstones), s.size)
+		t.Errorf("got %d tombstones with a total size of %d, want none", len(s.tombstones), s.size)
 	}
 	if got := Check(s, Note{Base: 1, Added: []Entry{{"kind/k", "1"}}}); len(got) != 1 || got[0].Place != "base" {
 		t.Errorf("got %v, want one finding at base", got)
 	}
 }
 
-// Guards against records that are folded twice, too early, or from a false checkpoint.
+// TestOffsets checks that records are not folded twice or before preceding records, and that invalid checkpoints are
+// rejected.
 func TestOffsets(t *testing.T) {
 	add := func(key string, offset uint64) appender.Record {
 		return appender.Record{Offset: offset, Body: AppendNote(nil, Note{Base: offset, Added: []Entry{{key, ""}}})}
@@ -275,27 +281,27 @@
 	later, _ := Fold(old, 1, add("kind/b", 1).Body)
 	conflicting, _ := Fold(old, 1, add("kind/false", 1).Body)
 	if got, findings := Fold(later, 0, add("kind/b", 0).Body); len(findings) > 0 || !got.Equal(later) {
-		t.Errorf("folded already: got %+v, findings %v", got, findings)
+		t.Errorf("record before the current offset: got %+v, findings %v", got, findings)
 	}
 	for _, r := range []appender.Record{add("kind/c", 3), checkpoint(conflicting, 3)} {
 		if got, findings := Fold(later, r.Offset, r.Body); len(findings) != 1 || !got.Equal(later) {
-			t.Errorf("too early: got %+v, findings %v", got, findings)
+			t.Errorf("record after missing records: got %+v, findings %v", got, findings)
 		}
 	}
 	if _, findings := Fold(later, 2, checkpoint(conflicting, 2).Body); len(findings) != 1 {
-		t.Errorf("checkpoint that differs: got findings %v", findings)
+		t.Errorf("checkpoint with a different state: got findings %v", findings)
 	}
 	p := &Replay{}
 	p.Adopt(later)
 	p.Add(appender.Record{Offset: 2, Body: AppendNote(nil, Note{Base: 2, Withdrawn: []string{"kind/a"}})})
 	if _, _, ok := later.Get("kind/a"); !ok || p.state.Len() != 1 {
-		t.Errorf("an adopted snapshot changed, or the own one did not: %d keys", p.state.Len())
+		t.Errorf("an adopted snapshot was modified, or the replay was not: %d keys", p.state.Len())
 	}
 	p = &Replay{state: old}
 	p.Add(add("kind/c", 5))
 	p.Add(checkpoint(Snapshot{offset: 8}, 6))
 	if s, ok := p.Snapshot(); ok || !s.Equal(old) {
-		t.Errorf("checkpoint from the future: got %+v, %v", s, ok)
+		t.Errorf("checkpoint later than its own record: got %+v, %v", s, ok)
 	}
 	p.Add(checkpoint(Snapshot{offset: 5}, 7))
 	if s, ok := p.Snapshot(); !ok || s.Offset() != 8 || p.SinceCheckpoint() != 0 {
@@ -306,7 +312,7 @@
 	}
 }
 
-// Guards against a configuration whose checkpoint does not fit into a record.
+// TestMaxSize checks that the checkpoint of a configuration of the maximum size fits into a log record.
 func TestMaxSize(t *testing.T) {
 	var s Snapshot
 	for full := false; !full; {
--- a/configurer/json.go
+++ b/configurer/json.go
@@ -9,22 +9,22 @@
 )
 
 const (
-	// MaxNoteJSON is the largest note in JSON, in bytes.
+	// MaxNoteJSON is the maximum size of a JSON-encoded note in bytes.
 	MaxNoteJSON = 1 << 20
 )
 
-// member is one member of a JSON object.
+// member is a name/value pair of a JSON object.
 type member struct {
 	name  string
 	value json.RawMessage
 }
 
-// ParseNote reads a note from JSON:
+// ParseNote parses a note in JSON:
 //
 //	{"id": "...", "author": "...", "comment": "...", "base": 12,
 //	 "added": [{"key": "...", "value": "..."}], "changed": [...], "withdrawn": ["..."]}
 //
-// All findings that do not depend on the state are reported together. The note is usable only when there are none.
+// It returns all findings that do not depend on the current state. The note is valid only if there are none.
 func ParseNote(body []byte) (Note, []Finding) {
 	var (
 		n Note
@@ -70,7 +70,7 @@
 	return n, r.all()
 }
 
-// FormatNote returns the note in the form that ParseNote reads.
+// FormatNote encodes the note in the format that ParseNote accepts.
 func FormatNote(n Note) []byte {
 	entries := func(list []Entry) []map[string]string {
 		out := make([]map[string]string, 0, len(list))
@@ -88,7 +88,7 @@
 		"added": entries(n.Added), "changed": entries(n.Changed), "withdrawn": withdrawn,
 	})
 	if err != nil {
-		panic(err) // maps of strings and numbers always encode
+		panic(err) // cannot happen: strings, numbers and maps of strings can always be encoded
 	}
 	return b
 }
@@ -120,7 +120,7 @@
 	return entries
 }
 
-// parseObject returns the members of an object in valid JSON, in order, and reports names that occur twice.
+// parseObject returns the members of a JSON object in order and reports duplicate names. b must be valid JSON.
 func parseObject(r *findingList, location string, b []byte) []member {
 	d := json.NewDecoder(bytes.NewReader(b))
 	if t, err := d.Token(); err != nil || t != json.Delim('{') {
@@ -148,7 +148,7 @@
 	return members
 }
 
-// parseArray returns at most MaxEntries elements; a longer array is a finding.
+// parseArray returns at most MaxEntries elements and reports a longer array as a finding.
 func parseArray(r *findingList, location string, b []byte) []json.RawMessage {
 	d := json.NewDecoder(bytes.NewReader(b))
 	if t, err := d.Token(); err != nil || t != json.Delim('[') {
@@ -196,7 +196,7 @@
 	return location + "." + name
 }
 
-// clip shortens a name that comes from outside for use in a report.
+// truncateName limits the length of a name from untrusted input for use in a finding.
 func truncateName(name string) string {
 	const maxLen = 64
 	if len(name) > maxLen {
--- a/configurer/note.go
+++ b/configurer/note.go
@@ -1,5 +1,5 @@
-// Package configurer holds the configuration: changes made by operators (notes), the immutable snapshot, and the pure
-// fold of the configuration stream with its checkpoints.
+// Package configurer maintains the configuration: the changes made by operators (notes), an immutable snapshot of the
+// current state, and the pure fold of the configuration stream, including its checkpoints, into snapshots.
 package configurer
 
 import (
@@ -11,21 +11,21 @@
 	"github.com/gravitational/trace"
 )
 
-// The bounds are part of the record format: every reader of the log must apply the same ones.
+// The limits are part of the record format: all readers of the log must apply the same ones.
 const (
-	// MaxKey is the longest key in bytes.
+	// MaxKey is the maximum length of a key in bytes.
 	MaxKey = 128
-	// MaxValue is the longest value in bytes.
+	// MaxValue is the maximum length of a value in bytes.
 	MaxValue = 1024
-	// MaxEntries is the largest number of keys that one note may touch.
+	// MaxEntries is the maximum number of keys that one note may add, change and withdraw.
 	MaxEntries = 256
-	// MaxSize bounds the configuration in bytes, so that a checkpoint fits into one record of the log.
+	// MaxSize is the maximum size of the configuration in bytes. It ensures that a checkpoint fits into one log record.
 	MaxSize = 768 << 10
 
 	maxIDLen      = 64
 	maxAuthorLen  = 128
 	maxCommentLen = 1024
-	// maxFindings bounds a report; the rest is summed up in one line.
+	// maxFindings limits the findings reported for a note; the last line states how many were omitted.
 	maxFindings = 100
 
 	domainGroup  = "domain"
@@ -38,7 +38,8 @@
 )
 
 type (
-	// Note is a configuration change. Base is the Offset of the snapshot that its author has seen.
+	// Note is a configuration change published by an operator. Base is the Offset of the snapshot that the change was
+	// based on.
 	Note struct {
 		ID, Author, Comment string
 		Base                uint64
@@ -49,25 +50,24 @@
 	// Entry is a key with its value. Keys have the form group/NAME; the groups are domain, team, kind and setting.
 	Entry struct{ Key, Value string }
 
-	// Finding is one reason why a note is refused, with the place in the note.
+	// Finding is one reason why a note or a record is rejected. Place is its location, for example added[0].key.
 	Finding struct{ Place, Text string }
 
-	// Team is the value of a team's key.
+	// Team is the value of a key in the team group.
 	Team struct {
-		// Weight is the team's share when capacity is short.
+		// Weight determines the team's share of the capacity when capacity is scarce.
 		Weight uint32
-		// Quota is the largest number of tasks that the team may run at a time; 0 means no limit.
+		// Quota is the maximum number of tasks that the team may run concurrently; 0 means unlimited.
 		Quota uint32
 	}
 
-	// report collects findings up to a bound.
+	// findingList collects up to maxFindings findings and counts the others.
 	findingList struct {
 		findings []Finding
 		omitted  int
 	}
 )
 
-// String returns the finding in one line.
 func (f Finding) String() string {
 	if f.Place == "" {
 		return f.Text
@@ -75,7 +75,7 @@
 	return f.Place + ": " + f.Text
 }
 
-// Err returns the findings as one error, or nil when there are none.
+// Err combines the findings into one error. It returns nil if there are none.
 func Err(findings []Finding) error {
 	if len(findings) == 0 {
 		return nil
@@ -113,7 +113,7 @@
 	return t, nil
 }
 
-// String returns the team in the form that ParseTeam reads.
+// String returns the team in the format that ParseTeam accepts.
 func (t Team) String() string {
 	if t.Quota == 0 {
 		return fmt.Sprintf("weight=%d", t.Weight)
@@ -136,8 +136,8 @@
 	return append(r.findings[:len(r.findings):len(r.findings)], Finding{Text: fmt.Sprintf("%d more findings", r.omitted)})
 }
 
-// checkForm reports what is wrong with the note whatever the state is. It reports whether the entries can be looked at
-// one by one.
+// checkFormat validates the parts of the note that do not depend on the current state. It returns false if the note has
+// too many entries for them to be checked individually.
 func (n Note) checkFormat(r *findingList) bool {
 	for _, f := range []struct {
 		location, text string
@@ -190,7 +190,7 @@
 	}
 }
 
-// checkKey returns what is wrong with a key, or nothing.
+// checkKey returns a description of the problem with a key, or an empty string if the key is valid.
 func checkKey(k string) string {
 	if len(k) > MaxKey {
 		return fmt.Sprintf("key of %d bytes is longer than %d", len(k), MaxKey)
--- a/configurer/replay.go
+++ b/configurer/replay.go
@@ -2,31 +2,32 @@
 
 import "github.com/crocuslb/crocuslb/appender"
 
-// Replay folds the stream for a process that has no state or an old one. It may begin at the first retained record:
-// until a checkpoint closes the gap it holds the records. The zero value begins with the empty configuration. A Replay
-// is used by one goroutine.
+// Replay folds the configuration stream in a process whose state is empty or outdated. It can start at the first
+// retained record: it buffers records until a checkpoint closes the gap between its state and them. The zero value
+// starts with the empty configuration. A Replay is not safe for concurrent use.
 type Replay struct {
 	state           Snapshot
 	gap             appender.Gap
-	afterCheckpoint uint64 // offset after the last checkpoint record, 0 for none
-	// owned means that the state's lists were copied and not handed out since, so that the next note needs no copy of
-	// its own. A new process folds many thousand records before it looks at the state.
+	afterCheckpoint uint64 // offset following the last checkpoint record; 0 if there was none
+	// exclusive is set if the slices of the state were copied and the state has not been returned since. The next note
+	// can then be applied in place. A new process folds many thousands of records before it reads the state.
 	exclusive bool
 }
 
-// Snapshot returns the state so far. ok is false while records are missing between it and those that were added.
+// Snapshot returns the current state. ok is false while records are missing between it and the buffered records.
 func (p *Replay) Snapshot() (s Snapshot, ok bool) {
 	p.exclusive = false
 	return p.state, !p.gap.Open()
 }
 
-// SinceCheckpoint returns the number of records that were folded after the last checkpoint. A checkpoint is due when
-// it reaches half of the log's retention.
+// SinceCheckpoint returns the number of records folded after the last checkpoint. A new checkpoint is due when it
+// reaches half of the log's retention.
 func (p *Replay) SinceCheckpoint() uint64 {
 	return p.state.offset - min(p.afterCheckpoint, p.state.offset)
 }
 
-// Adopt takes over a state fetched from elsewhere when it is later than the own one, and reports whether it did.
+// Adopt replaces the state with s, for example from a checkpoint or a peer, if s has a later offset. It reports whether
+// the state was replaced.
 func (p *Replay) Adopt(s Snapshot) bool {
 	if s.offset <= p.state.offset || s.edited {
 		return false
@@ -35,20 +36,20 @@
 	p.state, p.exclusive = s, false
 	held, _ := p.gap.Close(s.offset)
 	for _, r := range held {
-		p.fold(r) // findings were reported by the processes that were up to date
+		p.fold(r) // the findings were already reported by the processes that were up to date
 	}
 	return true
 }
 
-// Add folds the next record of the stream and returns the findings that made it ineffective. A checkpoint closes a gap
-// before the held records.
+// Add folds the next record of the stream and returns the findings for which it was rejected. If records before it are
+// missing, it buffers the record instead. A checkpoint closes such a gap.
 func (p *Replay) Add(r appender.Record) []Finding {
 	if r.Offset <= p.state.offset {
 		return p.fold(r)
 	}
 	p.gap.Add(r)
 	c, err := DecodeRecord(r.Body)
-	// A checkpoint whose state lies after its own record is false.
+	// A checkpoint is invalid if its state is later than its own record.
 	if err == nil && c.Kind == KindCheckpoint && c.Checkpoint.offset <= r.Offset {
 		p.Adopt(c.Checkpoint)
 	}
--- a/configurer/snapshot.go
+++ b/configurer/snapshot.go
@@ -6,21 +6,22 @@
 )
 
 const (
-	// entryOverhead is what an entry counts for beside its key and value: tags, lengths and offset in a checkpoint.
+	// entryOverhead is an upper bound for the encoded size of an entry in a checkpoint without its key and value: tags,
+	// lengths and offset.
 	entryOverhead = 24
 )
 
 type (
-	// Snapshot is the configuration at an offset. It is immutable: methods that change it return a copy. The zero value
-	// is the empty configuration before the first record.
+	// Snapshot is the configuration at an offset of the log. It is immutable: its exported methods return modified
+	// copies. The zero value is the empty configuration before the first record.
 	Snapshot struct {
 		offset             uint64
 		entries            []versionedEntry // sorted by key
-		tombstones         []versionedEntry // withdrawn keys within the base window, sorted by key, without values
+		tombstones         []versionedEntry // withdrawn keys within BaseWindow, sorted by key, without values
 		withdrawnDomains   []string         // names of withdrawn domains, sorted
-		provisionalDomains []string         // domains that are out on this process only, sorted
-		size               int              // what entries and gone count for
-		edited             bool             // made by With or Without, so not a state of the log
+		provisionalDomains []string         // domains withdrawn provisionally, in this process only, sorted
+		size               int              // upper bound for the encoded size of entries and tombstones
+		edited             bool             // made by With or Without, hence not a state of the log
 	}
 
 	versionedEntry struct {
@@ -29,13 +30,13 @@
 	}
 )
 
-// Offset returns the offset of the first record that is not part of the snapshot. It is 0 for the zero value.
+// Offset returns the offset of the first record that is not included in the snapshot. It is 0 for the zero value.
 func (s Snapshot) Offset() uint64 { return s.offset }
 
 // Len returns the number of keys.
 func (s Snapshot) Len() int { return len(s.entries) }
 
-// Get returns the value of key. changedAt is the Offset of the first snapshot that has this value.
+// Get returns the value of a key. changedAt is the Offset of the first snapshot that includes this value.
 func (s Snapshot) Get(key string) (value string, changedAt uint64, ok bool) {
 	i, ok := search(s.entries, key)
 	if !ok {
@@ -44,7 +45,7 @@
 	return s.entries[i].value, s.entries[i].changedAt, true
 }
 
-// Keys returns the keys that begin with prefix, sorted.
+// Keys returns the keys with the given prefix in sorted order.
 func (s Snapshot) Keys(prefix string) []string {
 	var keys []string
 	i, _ := search(s.entries, prefix)
@@ -54,7 +55,7 @@
 	return keys
 }
 
-// DomainInForce reports whether tasks may start in the failure domain. Domains without a key are in force.
+// DomainInForce reports whether tasks may start in the failure domain. Domains without a key are in service.
 func (s Snapshot) DomainInForce(domain string) bool {
 	if len(s.withdrawnDomains) == 0 && len(s.provisionalDomains) == 0 {
 		return true
@@ -64,7 +65,7 @@
 	return !withdrawn && !provisional
 }
 
-// Team returns the weight and quota of a team. Teams without a key have weight 1 and no quota.
+// Team returns the weight and quota of a team. Teams without a key have a weight of 1 and no quota.
 func (s Snapshot) Team(name string) Team {
 	v, _, ok := s.Get(teamGroup + "/" + name)
 	if !ok {
@@ -77,23 +78,24 @@
 	return t
 }
 
-// WithDomainsOut returns a copy in which exactly the given domains are out of force beside those that the log has
-// withdrawn. It is for provisional withdrawals: Get, Apply and checkpoints disregard it, and Apply keeps it.
+// WithDomainsOut returns a copy in which the given domains are withdrawn provisionally, in addition to those withdrawn
+// in the log. They replace any previous provisional withdrawals. Get, Apply and checkpoints ignore provisional
+// withdrawals, and Apply preserves them.
 func (s Snapshot) WithDomainsOut(domains ...string) Snapshot {
 	s.provisionalDomains = slices.Compact(slices.Sorted(slices.Values(domains)))
 	return s
 }
 
-// WithDomain returns an edited copy in which the domain is in or out of force.
-func (s Snapshot) WithDomain(domain string, inForce bool) Snapshot {
-	if inForce {
+// WithDomain returns an edited copy in which the domain is in service or withdrawn.
+func (s Snapshot) WithDomain(domain string, inService bool) Snapshot {
+	if inService {
 		return s.With(domainGroup+"/"+domain, domainInService)
 	}
 	return s.With(domainGroup+"/"+domain, domainWithdrawn)
 }
 
-// With returns an edited copy in which key has the value. An edited copy is meant for Diff; Apply and checkpoints
-// refuse it.
+// With returns an edited copy in which key is set to value. Edited copies are intended for Diff; Apply and
+// AppendCheckpoint reject them.
 func (s Snapshot) With(key, value string) Snapshot {
 	s = s.clone()
 	s.set(key, value, s.offset)
@@ -102,7 +104,7 @@
 	return s
 }
 
-// Without returns an edited copy that lacks the key.
+// Without returns an edited copy without the key.
 func (s Snapshot) Without(key string) Snapshot {
 	s = s.clone()
 	s.remove(key, s.offset)
@@ -111,13 +113,13 @@
 	return s
 }
 
-// Equal reports whether both snapshots are the same state of the log. Provisional withdrawals are disregarded.
+// Equal reports whether both snapshots are the same state of the log. It ignores provisional withdrawals.
 func (s Snapshot) Equal(t Snapshot) bool {
 	return s.offset == t.offset && s.edited == t.edited && s.size == t.size &&
 		slices.Equal(s.entries, t.entries) && slices.Equal(s.tombstones, t.tombstones) && slices.Equal(s.withdrawnDomains, t.withdrawnDomains)
 }
 
-// Diff returns the note that turns from into to. Its base is the offset of from.
+// Diff returns the note that changes the configuration from into to. Its base is the offset of from.
 func Diff(from, to Snapshot) Note {
 	n := Note{Base: from.offset}
 	a, b := from.entries, to.entries
@@ -139,42 +141,42 @@
 	return n
 }
 
-// clone returns a copy whose lists may be changed in place.
+// clone returns a copy whose entries and tombstones may be modified in place.
 func (s Snapshot) clone() Snapshot {
 	s.entries, s.tombstones = slices.Clone(s.entries), slices.Clone(s.tombstones)
 	return s
 }
 
-// put sets the key in a clone. A withdrawn key that is added again is no longer remembered as withdrawn.
-func (s *Snapshot) set(key, value string, changedAt uint64) {
+// set sets a key in a clone. If the key was withdrawn before, its tombstone is removed.
+func (s *Snapshot) set(key, value string, offset uint64) {
 	i, ok := search(s.entries, key)
 	if ok {
-		s.size -= s.entries[i].size()
-		s.entries[i] = versionedEntry{key: key, value: value, changedAt: changedAt}
+		s.size -= s.entries[i].encodedSizeBound()
+		s.entries[i] = versionedEntry{key: key, value: value, changedAt: offset}
 	} else {
-		s.entries = slices.Insert(s.entries, i, versionedEntry{key: key, value: value, changedAt: changedAt})
+		s.entries = slices.Insert(s.entries, i, versionedEntry{key: key, value: value, changedAt: offset})
 	}
-	s.size += s.entries[i].size()
+	s.size += s.entries[i].encodedSizeBound()
 	if j, ok := search(s.tombstones, key); ok {
-		s.size -= s.tombstones[j].size()
+		s.size -= s.tombstones[j].encodedSizeBound()
 		s.tombstones = slices.Delete(s.tombstones, j, j+1)
 	}
 }
 
-// drop removes the key from a clone and remembers it as withdrawn.
-func (s *Snapshot) remove(key string, changedAt uint64) {
+// remove removes a key from a clone and adds a tombstone for it.
+func (s *Snapshot) remove(key string, offset uint64) {
 	i, ok := search(s.entries, key)
 	if !ok {
 		return
 	}
-	s.size -= s.entries[i].size()
+	s.size -= s.entries[i].encodedSizeBound()
 	s.entries = slices.Delete(s.entries, i, i+1)
 	j, _ := search(s.tombstones, key)
-	s.tombstones = slices.Insert(s.tombstones, j, versionedEntry{key: key, changedAt: changedAt})
-	s.size += s.tombstones[j].size()
+	s.tombstones = slices.Insert(s.tombstones, j, versionedEntry{key: key, changedAt: offset})
+	s.size += s.tombstones[j].encodedSizeBound()
 }
 
-// refreshDomains computes the withdrawn domains from the entries.
+// updateWithdrawnDomains recomputes the list of withdrawn domains from the entries.
 func (s *Snapshot) updateWithdrawnDomains() {
 	s.withdrawnDomains = nil
 	i, _ := search(s.entries, domainGroup+"/")
@@ -185,8 +187,8 @@
 	}
 }
 
-func (i versionedEntry) size() int { return len(i.key) + len(i.value) + entryOverhead }
+func (e versionedEntry) encodedSizeBound() int { return len(e.key) + len(e.value) + entryOverhead }
 
 func search(items []versionedEntry, key string) (int, bool) {
-	return slices.BinarySearchFunc(items, key, func(i versionedEntry, k string) int { return strings.Compare(i.key, k) })
+	return slices.BinarySearchFunc(items, key, func(e versionedEntry, k string) int { return strings.Compare(e.key, k) })
 }
