--- a/archiver/archiver.go
+++ b/archiver/archiver.go
@@ -1,4 +1,5 @@
-// Package archiver folds the records of kept jobs in one partition of the store into the jobs as they stand. It is pure.
+// Package archiver folds the records of the durable jobs in one partition of the store into the current state of the
+// jobs. It has no side effects.
 package archiver
 
 import (
@@ -10,32 +11,33 @@
 	"github.com/crocuslb/crocuslb/marshaler"
 )
 
-// State is what is known of a kept job.
+// State is the state of a durable job.
 type State uint8
 
 const (
-	// Open means that some tasks have not ended for good.
+	// Open means that some tasks have neither succeeded nor failed permanently.
 	Open State = iota + 1
-	// Succeeded means that all tasks are done.
+	// Succeeded means that all tasks succeeded.
 	Succeeded
-	// Failed means that a task has failed as often as its queue allows.
+	// Failed means that a task has reached the maximum number of failed attempts of its queue.
 	Failed
-	// Cancelled means that a caller cancelled the job before it had ended.
+	// Cancelled means that a caller cancelled the job before it ended.
 	Cancelled
 )
 
-// Archive has the kept jobs of one partition. The zero value is an empty one.
+// Archive contains the durable jobs of one partition. The zero value is empty and ready to use.
 type Archive struct {
 	jobs                 map[string]*marshaler.JobRecord
-	epoch, previousEpoch uint64 // of the latest owner and the one before
+	epoch, previousEpoch uint64 // epochs of the latest owner and the one before it
 }
 
-// Add applies the next record. A record of a job that is not known is left out: the job's own record has expired, or
-// another writer made it. The error says what cannot be read; the archive is unchanged then.
+// Add applies the next record. Records of unknown jobs are ignored: the record of the job itself has expired, or the
+// record comes from another writer. If the record cannot be decoded or has an unexpected type, Add returns an error and
+// leaves the archive unchanged.
 func (a *Archive) Add(body []byte) error {
 	m, err := marshaler.Decode(body)
 	if err != nil {
-		return trace.BadParameter("record of a kept job: %v", err)
+		return trace.BadParameter("durable job record: %v", err)
 	}
 	if a.jobs == nil {
 		a.jobs = map[string]*marshaler.JobRecord{}
@@ -56,15 +58,15 @@
 			j.Cancelled = true
 		}
 	default:
-		return trace.BadParameter("record of a kept job: unexpected %T", m)
+		return trace.BadParameter("durable job record: unexpected %T", m)
 	}
 	return nil
 }
 
-// Previous returns the epoch of the owner before the latest one, 0 for none that is known.
+// Previous returns the epoch of the owner before the latest one, or 0 if unknown.
 func (a *Archive) Previous() uint64 { return a.previousEpoch }
 
-// Jobs returns the jobs in the order of their identifiers.
+// Jobs returns the jobs sorted by identifier.
 func (a *Archive) Jobs() []*marshaler.JobRecord {
 	var jobs []*marshaler.JobRecord
 	for _, j := range marshaler.InOrder(a.jobs) {
@@ -73,7 +75,8 @@
 	return jobs
 }
 
-// AddEnd applies the end of a run to its job. An end that is recorded already changes nothing.
+// AddEnd applies the end of a run to its job. It ignores ends of tasks that have already succeeded and of attempts that
+// are not later than the last recorded one.
 func AddEnd(j *marshaler.JobRecord, e *marshaler.EndRecord) {
 	i, ok := slices.BinarySearchFunc(j.Tasks, e.Run.Index, func(t marshaler.TaskRecord, index uint64) int {
 		return cmp.Compare(t.Index, index)
@@ -93,7 +96,7 @@
 	}
 }
 
-// StateOf returns the state of a job.
+// StateOf computes the state of a job from its recorded ends and cancellation.
 func StateOf(j *marshaler.JobRecord) State {
 	var done, tasks uint64
 	for i := range j.Steps {
--- a/archiver/archiver_test.go
+++ b/archiver/archiver_test.go
@@ -18,8 +18,8 @@
 	return &marshaler.EndRecord{Run: marshaler.RunKey{Job: "job", Index: marshaler.TaskIndex(step, index), Attempt: attempt}, Status: s}
 }
 
-// TestArchive guards against jobs that a new owner takes for finished, or runs again, in another state than the records
-// say.
+// TestArchive checks the state computed from a job's records. A wrong state would make a new owner regard an unfinished
+// job as finished, or run a finished job again.
 func TestArchive(t *testing.T) {
 	done, failed := marshaler.StatusDone, marshaler.StatusFailed
 	cases := []struct {
@@ -34,12 +34,12 @@
 		{"one of two steps", []marshaler.Message{job(1, 1), end(0, 0, 1, done)}, Open, 0},
 		{"both steps", []marshaler.Message{job(1, 1), end(1, 0, 1, done), end(0, 0, 1, done)}, Succeeded, 0},
 		{"failed once", []marshaler.Message{job(1), end(0, 0, 1, failed)}, Open, 1},
-		{"the same failure twice", []marshaler.Message{job(1), end(0, 0, 1, failed), end(0, 0, 1, failed)}, Open, 1},
+		{"duplicate record of a failure", []marshaler.Message{job(1), end(0, 0, 1, failed), end(0, 0, 1, failed)}, Open, 1},
 		{"failed twice", []marshaler.Message{job(1), end(0, 0, 1, failed), end(0, 0, 2, failed)}, Failed, 2},
 		{"failed, then done", []marshaler.Message{job(1), end(0, 0, 1, failed), end(0, 0, 2, done)}, Succeeded, 1},
 		{"cancelled", []marshaler.Message{job(1), &marshaler.CancelRecord{Job: "job"}}, Cancelled, 0},
-		{"cancelled after its end", []marshaler.Message{job(1), end(0, 0, 1, done), &marshaler.CancelRecord{Job: "job"}}, Succeeded, 0},
-		{"end after a cancel", []marshaler.Message{job(1), &marshaler.CancelRecord{Job: "job"}, end(0, 0, 1, done)}, Cancelled, 0},
+		{"cancelled after the end of the job", []marshaler.Message{job(1), end(0, 0, 1, done), &marshaler.CancelRecord{Job: "job"}}, Succeeded, 0},
+		{"end after the cancellation", []marshaler.Message{job(1), &marshaler.CancelRecord{Job: "job"}, end(0, 0, 1, done)}, Cancelled, 0},
 		{"records of an unknown job", []marshaler.Message{end(0, 0, 1, done), &marshaler.CancelRecord{Job: "job"}, job(1)}, Open, 0},
 	}
 	for _, c := range cases {
@@ -60,7 +60,8 @@
 	}
 }
 
-// TestPrevious guards against an owner between two others that sidecars never hear of.
+// TestPreviousEpoch checks that the previous epoch is that of the immediate predecessor. Sidecars use it to detect that
+// they missed an owner in between.
 func TestPreviousEpoch(t *testing.T) {
 	cases := []struct {
 		epochs []uint64
@@ -81,7 +82,7 @@
 	}
 }
 
-// TestForeignRecords guards against records of other writers that end the replay.
+// TestUnexpectedRecords checks that records of other writers are rejected and leave the archive unchanged.
 func TestUnexpectedRecords(t *testing.T) {
 	for _, body := range [][]byte{nil, {0xff}, []byte("text"), marshaler.Append(nil, &marshaler.Beat{})} {
 		var a Archive
--- a/recorder/recorder.go
+++ b/recorder/recorder.go
@@ -1,5 +1,5 @@
-// Package recorder writes structured log lines without ever blocking its caller: lines that find the buffer full, and
-// lines beyond the allowed rate, are counted and dropped.
+// Package recorder writes structured log lines without blocking the caller: lines that exceed the buffer or the rate
+// limit are dropped and counted.
 package recorder
 
 import (
@@ -17,20 +17,21 @@
 )
 
 const (
-	// defaultBuffer is the number of bytes that wait for a slow reader before lines are dropped.
+	// defaultBufferSize is the number of bytes buffered for a slow reader before lines are dropped.
 	defaultBufferSize = 256 << 10
-	// defaultRate is the number of lines a second that are written on average; a burst of twice as many is allowed.
+	// defaultRate is the average number of lines per second that are written. Bursts of twice as many lines are
+	// allowed.
 	defaultRate = 4000
-	// flushPeriod is how long lines are gathered, so that each write carries many.
+	// flushDelay is how long lines are collected before they are written, so that each write contains many lines.
 	flushDelay = 20 * time.Millisecond
 )
 
-// Recorder is a log handler. Set the exported fields before Run; the zero values of Buffer and Rate mean 256 KiB and
-// 4,000 lines a second.
+// Recorder is a log handler. Its exported fields must be set before Run is called. If Buffer and Rate are zero, they
+// default to 256 KiB and 4,000 lines per second.
 type Recorder struct {
 	Writer io.Writer
 	Buffer int // bytes
-	Rate   int // lines a second
+	Rate   int // lines per second
 
 	mu         sync.Mutex
 	pending    []byte
@@ -41,7 +42,7 @@
 	dropped    atomic.Uint64
 }
 
-// HandleLog implements log.Handler. It never blocks on the writer.
+// HandleLog implements log.Handler. It never waits for the writer.
 func (r *Recorder) HandleLog(e *log.Entry) error {
 	line := encode(e)
 	r.mu.Lock()
@@ -62,7 +63,8 @@
 	return nil
 }
 
-// admit takes a token for a line, of which Rate a second are added.
+// allow takes a token from a token bucket to which Rate tokens are added per second. It reports whether the line fits
+// the rate limit and the buffer.
 func (r *Recorder) allow(now time.Time, lineSize int) bool {
 	rate, bufferSize := float64(r.Rate), r.Buffer
 	if rate <= 0 {
@@ -74,7 +76,7 @@
 	if elapsed := now.Sub(r.refilledAt).Seconds(); elapsed > 0 || r.refilledAt.IsZero() {
 		r.tokens = min(2*rate, r.tokens+min(elapsed, 2)*rate)
 		r.refilledAt = now
-	} else if elapsed < -1 { // the time of day was set back
+	} else if elapsed < -1 { // the system clock was set back
 		r.refilledAt = now
 	}
 	if r.tokens < 1 || len(r.pending)+lineSize > bufferSize {
@@ -84,10 +86,10 @@
 	return true
 }
 
-// Dropped returns the number of lines that were not written.
+// Dropped returns the number of lines that were dropped.
 func (r *Recorder) Dropped() uint64 { return r.dropped.Load() }
 
-// Run writes lines until done is closed, then what is left.
+// Run writes lines until done is closed, and then writes the remaining ones.
 func (r *Recorder) Run(done <-chan struct{}) {
 	for {
 		select {
@@ -110,7 +112,7 @@
 		return
 	}
 	if _, err := r.Writer.Write(batch); err != nil {
-		r.dropped.Add(uint64(bytes.Count(batch, []byte{'\n'}))) // there is nowhere else to report it
+		r.dropped.Add(uint64(bytes.Count(batch, []byte{'\n'}))) // the error cannot be logged, because this is the log writer
 	}
 }
 
@@ -119,7 +121,7 @@
 	return r.wakeup
 }
 
-// encode returns an entry as one line of JSON with its fields in order.
+// encode returns an entry as one line of JSON with its fields sorted by name.
 func encode(e *log.Entry) []byte {
 	b := append(make([]byte, 0, 256), `{"time":"`...)
 	b = e.Timestamp.UTC().AppendFormat(b, "2006-01-02T15:04:05.000Z")
@@ -153,12 +155,12 @@
 	}
 	text, err := json.Marshal(v)
 	if err != nil {
-		text, _ = json.Marshal(err.Error()) // a string always has an encoding
+		text, _ = json.Marshal(err.Error()) // strings can always be encoded
 	}
 	return append(b, text...)
 }
 
-// plain reports whether a text needs no escapes.
+// needsNoEscaping reports whether s can be written as a JSON string without escape sequences.
 func needsNoEscaping(s string) bool {
 	for i := range len(s) {
 		if s[i] < ' ' || s[i] > '~' || s[i] == '"' || s[i] == '\\' {
--- a/recorder/recorder_test.go
+++ b/recorder/recorder_test.go
@@ -12,7 +12,7 @@
 	"github.com/apex/log"
 )
 
-// TestReaderStandsStill guards against a process that waits for the reader of its logs.
+// TestBlockedWriter checks that logging does not block while the reader of the logs does not read.
 func TestBlockedWriter(t *testing.T) {
 	reader, writer := io.Pipe()
 	defer func() { _ = reader.Close() }()
@@ -31,14 +31,14 @@
 	select {
 	case <-logged:
 	case <-time.After(10 * time.Second):
-		t.Fatal("logging blocked on a reader that stands still")
+		t.Fatal("logging blocked while the reader did not read")
 	}
 	if r.Dropped() == 0 {
 		t.Error("got 0 dropped lines, want those that exceed the buffer")
 	}
 }
 
-// TestVolume guards against logs that grow with the load.
+// TestRateLimit checks that the volume of the log is limited and does not grow with the load.
 func TestRateLimit(t *testing.T) {
 	var out bytes.Buffer
 	r := &Recorder{Writer: &out, Rate: 100}
@@ -55,7 +55,7 @@
 	}
 }
 
-// TestLines guards against lines that a log reader cannot parse.
+// TestOutputIsValidJSON checks that each line is a valid JSON object that contains all fields.
 func TestOutputIsValidJSON(t *testing.T) {
 	cases := []log.Fields{
 		{}, {"job": `quote " and \ and ` + "\n"}, {"n": 1, "m": int64(-2), "u": uint64(3)}, {"list": []string{"a"}, "none": []string(nil)},
--- a/router/codec.go
+++ b/router/codec.go
@@ -10,11 +10,11 @@
 )
 
 const (
-	maxTextLen    = 4096
-	maxEncodedLen = 4 << 20 // bytes of one encoded snapshot
+	maxTextLen    = 4096    // bytes
+	maxMessageLen = 4 << 20 // bytes, of an encoded queue or service
 )
 
-// Append appends the encoding of s, by which processes pass a configuration on to each other.
+// Append appends the encoded snapshot to b. Processes use this format to forward the configuration to each other.
 func (s *Snapshot) Append(b []byte) []byte {
 	b = appender.AppendUint(b, 1, s.Offset)
 	b = appender.AppendUint(b, 2, s.Version)
@@ -35,7 +35,7 @@
 	return b
 }
 
-// Decode reads the encoding of a snapshot.
+// Decode decodes a snapshot encoded by Append. It ignores unknown fields.
 func Decode(b []byte) (Snapshot, error) {
 	var (
 		s        Snapshot
@@ -87,7 +87,7 @@
 }
 
 func decodeQueue(f appender.Field) (q Queue, err error) {
-	body, err := f.Message(maxEncodedLen)
+	body, err := f.Message(maxMessageLen)
 	if err != nil {
 		return q, err
 	}
@@ -120,7 +120,7 @@
 }
 
 func decodeService(f appender.Field) (v Service, err error) {
-	body, err := f.Message(maxEncodedLen)
+	body, err := f.Message(maxMessageLen)
 	if err != nil {
 		return v, err
 	}
--- a/router/relay.go
+++ b/router/relay.go
@@ -7,30 +7,30 @@
 )
 
 const (
-	// relayAfter is how long another process may take to get a configuration from the store before it is passed on. A
-	// process that reaches the store has it within 100 ms.
+	// relayDelay is how long another process may take to read a configuration from the store before it is forwarded. A
+	// process that can reach the store reads it within 100 ms.
 	relayDelay = 600 * timer.Millisecond
-	// relayFirst is the same for a process that has no configuration yet and can do nothing without one.
+	// initialRelayDelay applies instead to a process that has no configuration yet and cannot operate without one.
 	initialRelayDelay = 150 * timer.Millisecond
-	// relaySpread is the time over which several processes pass on to the same one. Most of them then see that it is
-	// not needed any more.
+	// relayJitter is the period over which the senders to the same process are spread. Most of them then find that the
+	// process has received the configuration already.
 	relayJitter = 400 * timer.Millisecond
-	// relayAgain is the pause before the same process gets it again.
+	// relayInterval is the minimum interval between configurations sent to the same process.
 	relayInterval = timer.Second
 )
 
-// Relay decides when a process passes its configuration on to others that have an older one, because they do not reach
-// the store. Without a pause each process would send it to all others at each change. The zero value is ready to use.
+// Relay decides when a process forwards its configuration to processes with an older one, which may be unable to reach
+// the store. Without a delay, each process would send every change to all others. The zero value is ready to use.
 type Relay struct {
 	changedAt       timer.Millis
 	sessionOpenedAt map[string]timer.Millis
 	sentAt          map[string]timer.Millis
 }
 
-// Changed takes a change of this process's configuration.
+// Changed records that this process's configuration changed.
 func (r *Relay) Changed(now timer.Millis) { r.changedAt, r.sentAt = now, nil }
 
-// Up takes a new session with another process.
+// Up records that a session with another process was opened.
 func (r *Relay) Up(now timer.Millis, peer string) {
 	if r.sessionOpenedAt == nil {
 		r.sessionOpenedAt = map[string]timer.Millis{}
@@ -39,21 +39,21 @@
 	delete(r.sentAt, peer)
 }
 
-// Down forgets another process.
+// Down removes a process whose session was closed.
 func (r *Relay) Down(peer string) {
 	delete(r.sessionOpenedAt, peer)
 	delete(r.sentAt, peer)
 }
 
-// Due reports whether the process named self sends its configuration now to one that has another position. none says that
-// the other one has no configuration.
+// Due reports whether the process named self should now send its configuration to a peer with an older one, and records
+// that it was sent. unconfigured is set if the peer has no configuration yet.
 func (r *Relay) Due(now timer.Millis, self, peer string, unconfigured bool) bool {
 	delay := relayDelay
 	if unconfigured {
 		delay = initialRelayDelay
 	}
 	h := fnv.New32a()
-	_, _ = h.Write([]byte(self + " " + peer)) // a hash accepts all bytes
+	_, _ = h.Write([]byte(self + " " + peer)) // writing to a hash never returns an error
 	delay += timer.Millis(h.Sum32() % uint32(relayJitter))
 	if now < max(r.changedAt, r.sessionOpenedAt[peer])+delay {
 		return false
--- a/router/relay_test.go
+++ b/router/relay_test.go
@@ -7,24 +7,24 @@
 	"github.com/crocuslb/crocuslb/timer"
 )
 
-// TestRelay guards against configurations that every process sends to every other one at each change, and against
-// processes without the store that wait too long for one.
+// TestRelay checks that not every process sends each change to every other process, and that a process that cannot
+// reach the store receives the configuration in time.
 func TestRelay(t *testing.T) {
 	cases := []struct {
 		name            string
 		changedAt       timer.Millis
 		sessionOpenedAt timer.Millis
 		unconfigured    bool
-		updatedAt       timer.Millis // time at which the other process gets it from the store; 0 for never
+		updatedAt       timer.Millis // time at which the other process reads it from the store; 0 for never
 		senders         int
-		first           timer.Millis // latest first message
-		maxMessages     int          // messages of all senders in 2 s
+		first           timer.Millis // latest time of the first message
+		maxMessages     int          // maximum number of messages from all senders in 2 s
 	}{
-		{"others read the store", 1000, 0, false, 1100, 20, 0, 0},
-		{"one is cut off", 1000, 0, false, 0, 20, 1600 + 50, 40},
+		{"peer reads the store", 1000, 0, false, 1100, 20, 0, 0},
+		{"peer cannot reach the store", 1000, 0, false, 0, 20, 1600 + 50, 40},
 		{"one sender", 1000, 0, false, 0, 1, 2000, 2},
-		{"restarted beside the store", 0, 1000, true, 1050, 20, 0, 0},
-		{"restarted without the store", 0, 1000, true, 0, 20, 1150 + 50, 40},
+		{"restarted peer reads the store", 0, 1000, true, 1050, 20, 0, 0},
+		{"restarted peer cannot reach the store", 0, 1000, true, 0, 20, 1150 + 50, 40},
 	}
 	for _, c := range cases {
 		sent, first := 0, timer.Millis(0)
@@ -50,7 +50,7 @@
 			}
 		}
 		if first > c.first || sent > c.maxMessages || c.maxMessages > 0 && sent == 0 {
-			t.Errorf("%s: got the first of %d messages at %d, want at most %d, the first by %d", c.name, sent, first, c.maxMessages, c.first)
+			t.Errorf("%s: got %d messages, the first at %d, want at most %d, the first by %d", c.name, sent, first, c.maxMessages, c.first)
 		}
 	}
 }
--- a/router/snapshot.go
+++ b/router/snapshot.go
@@ -1,5 +1,6 @@
-// Package router holds the configuration of the path of restartable jobs: which queue a request belongs to, which
-// service runs it, and which failure domains are withdrawn. Snapshots are immutable and only move forward.
+// Package router holds the routing configuration of jobs: which queue a request belongs to, which service runs its
+// tasks, and which failure domains are withdrawn. Snapshots are immutable, and their versions and offsets never
+// decrease.
 package router
 
 import (
@@ -11,76 +12,78 @@
 )
 
 const (
-	// defaultAttempts applies to queues whose configuration names no number of attempts.
+	// defaultAttempts applies to queues whose configuration does not set the number of attempts.
 	defaultAttempts = 1
-	// defaultStretch applies to queues whose configuration names no ratio.
+	// defaultStretch applies to queues whose configuration does not set the ratio.
 	defaultStretch = 2.0
 )
 
 type (
-	// Queue is a named entrance for jobs.
+	// Queue is a route for jobs: requests to a host with a path prefix, and the service that runs their tasks.
 	Queue struct {
 		Name     string
 		Host     string
-		Prefix   string // of the path, ends in a slash
+		Prefix   string // path prefix, ends in a slash
 		Service  string
-		Priority uint64 // 0 comes first
-		Attempts uint64 // failed attempts of one task after which its job has failed; 0 means 1
-		// Stretch times the longest task, plus Target, is the response time that callers expect.
+		Priority uint64 // 0 is the highest priority
+		Attempts uint64 // number of failed attempts of one task after which the job fails; 0 means 1
+		// Stretch and Target determine the response time that callers expect: Stretch times the duration of the
+		// critical path, plus Target.
 		Stretch float64
 		Target  timer.Millis
-		// Advised says that an advice service decides which backend servers may run a step. Such queues are not supported.
+		// Advised is set if an advice service selects the backend servers that may run a step. Such queues are not
+		// supported.
 		Advised bool
 	}
 
-	// Service is a group of interchangeable backend servers.
+	// Service is a group of equivalent backend servers.
 	Service struct {
 		Name string
-		// Guarded says that its backend servers refuse what exceeds their room.
+		// Guarded is set if the backend servers reject requests that exceed their capacity.
 		Guarded bool
-		// Standby says that its backend servers are switched off.
+		// Standby is set if the backend servers are switched off.
 		Standby bool
 	}
 
-	// Limits bound the requests of callers.
+	// Limits are the maximum sizes of callers' requests.
 	Limits struct {
 		HeaderBytes uint64
 		BodyBytes   uint64
 	}
 
-	// Snapshot is the configuration at one position of the store. The zero value has no configuration.
+	// Snapshot is the configuration at an offset of the store. The zero value has no configuration.
 	Snapshot struct {
-		// Offset is the position in the store up to which changes are included.
+		// Offset is the offset in the store up to which changes are included.
 		Offset uint64
-		// Version is the operator's number of the configuration; 0 means that there is none yet.
+		// Version is the version number assigned by the operator; 0 means that there is no configuration yet.
 		Version  uint64
 		Limits   Limits
 		queues   []Queue
 		services map[string]Service
-		// withdrawn has the failure domains that get no new work.
+		// withdrawn contains the failure domains that are not assigned new tasks.
 		withdrawn map[string]bool
 	}
 
-	// Change says what a version added, changed and withdrew, by the names of queues.
+	// Change lists the names of the queues that were added, changed and withdrawn.
 	Change struct{ Added, Changed, Withdrawn []string }
 )
 
-// Queues returns the queues in the order in which Match tries them. The result must not be changed.
+// Queues returns the queues in the order in which Match tries them. The result must not be modified.
 func (s *Snapshot) Queues() []Queue { return s.queues }
 
-// Service returns the service of that name.
+// Service returns the service with the given name.
 func (s *Snapshot) Service(name string) (Service, bool) {
 	v, ok := s.services[name]
 	return v, ok
 }
 
-// Withdrawn reports whether a failure domain gets no new work.
+// Withdrawn reports whether a failure domain is withdrawn, so that no new tasks are assigned to it.
 func (s *Snapshot) Withdrawn(domain string) bool { return s.withdrawn[domain] }
 
-// WithdrawnDomains returns the withdrawn failure domains in order.
+// WithdrawnDomains returns the withdrawn failure domains in sorted order.
 func (s *Snapshot) WithdrawnDomains() []string { return slices.Sorted(maps.Keys(s.withdrawn)) }
 
-// Match returns the queue with the longest prefix of the path on the host, and the rest of the path.
+// Match returns the queue of the host with the longest matching path prefix, and the rest of the path.
 func (s *Snapshot) Match(host, path string) (q Queue, rest string, ok bool) {
 	for i := range s.queues {
 		if s.queues[i].Host == host && strings.HasPrefix(path, s.queues[i].Prefix) {
@@ -90,7 +93,8 @@
 	return q, "", false
 }
 
-// WithConfiguration returns s with another version of the queues and services. An older version leaves s as it is.
+// WithConfiguration returns a copy of s with another version of the queues, services and limits. If the version is
+// older, it returns s unchanged.
 func (s Snapshot) WithConfiguration(version uint64, queues []Queue, services []Service, limits Limits) Snapshot {
 	if version < s.Version {
 		return s
@@ -106,7 +110,7 @@
 			q.Stretch = defaultStretch
 		}
 	}
-	// The first match in this order has the longest prefix.
+	// Sorted by descending length, so that the first match has the longest prefix.
 	slices.SortStableFunc(s.queues, func(a, b Queue) int { return len(b.Prefix) - len(a.Prefix) })
 	s.services = make(map[string]Service, len(services))
 	for _, v := range services {
@@ -115,7 +119,7 @@
 	return s
 }
 
-// WithDomain returns s with a failure domain withdrawn or returned to service.
+// WithDomain returns a copy of s in which a failure domain is withdrawn or returned to service.
 func (s Snapshot) WithDomain(domain string, withdrawn bool) Snapshot {
 	if s.withdrawn[domain] == withdrawn {
 		return s
@@ -132,13 +136,13 @@
 	return s
 }
 
-// WithOffset returns s at a later position of the store.
+// WithOffset returns a copy of s with a later offset. If the offset is not later, it returns s unchanged.
 func (s Snapshot) WithOffset(offset uint64) Snapshot {
 	s.Offset = max(s.Offset, offset)
 	return s
 }
 
-// Since says what differs in the queues since an older snapshot.
+// Since returns the differences between the queues of an older snapshot and those of s.
 func (s *Snapshot) Since(older *Snapshot) Change {
 	var c Change
 	before := map[string]Queue{}
--- a/router/snapshot_test.go
+++ b/router/snapshot_test.go
@@ -11,7 +11,7 @@
 	{Name: "other", Host: "o", Prefix: "/a/", Service: "t", Attempts: 1, Stretch: 2, Advised: true},
 }
 
-// TestMatch guards against requests that reach another queue.
+// TestMatch checks that requests are routed to the queue with the longest matching prefix on their host, if any.
 func TestMatch(t *testing.T) {
 	s := Snapshot{}.WithConfiguration(1, testQueues, nil, Limits{})
 	cases := []struct{ host, path, queue, rest string }{
@@ -26,7 +26,8 @@
 	}
 }
 
-// TestForward guards against configurations that go back.
+// TestForward checks that versions and offsets never decrease, that changes return copies, and the differences between
+// versions.
 func TestForward(t *testing.T) {
 	s := Snapshot{}.WithConfiguration(5, testQueues, nil, Limits{BodyBytes: 1}).WithOffset(9)
 	s = s.WithConfiguration(4, nil, nil, Limits{}).WithOffset(3)
@@ -37,7 +38,7 @@
 	s = s.WithDomain("north", true)
 	returned := s.WithDomain("north", false)
 	if older.Withdrawn("north") || !s.Withdrawn("north") || returned.Withdrawn("north") {
-		t.Error("got a snapshot that changed, want copies")
+		t.Error("WithDomain modified its receiver, want a copy")
 	}
 	next := s.WithConfiguration(6, append([]Queue{{Name: "new", Prefix: "/n/"}}, testQueues[1:]...), nil, Limits{})
 	if got, want := next.Since(&s), (Change{Added: []string{"new"}, Withdrawn: []string{"a"}}); !reflect.DeepEqual(got, want) {
@@ -45,7 +46,8 @@
 	}
 }
 
-// TestCodec guards against processes that pass on less than they know.
+// TestCodec checks that snapshots survive a round trip, so that forwarding loses no part of the configuration, and that
+// truncated encodings are rejected.
 func TestCodec(t *testing.T) {
 	want := Snapshot{}.WithConfiguration(5, testQueues, []Service{{Name: "s", Guarded: true}, {Name: "t", Standby: true}}, Limits{HeaderBytes: 2, BodyBytes: 3}).
 		WithDomain("north", true).WithOffset(17)
@@ -56,7 +58,7 @@
 	for truncated := 1; truncated < 40; truncated++ {
 		body := want.Append(nil)
 		if _, err := Decode(body[:len(body)-truncated]); err == nil && truncated < 5 {
-			t.Errorf("cut by %d bytes: got no error", truncated)
+			t.Errorf("truncated by %d bytes: got no error", truncated)
 		}
 	}
 }
