--- a/archiver/archiver.go
+++ b/archiver/archiver.go
@@ -69,7 +69,7 @@
 // Jobs returns the jobs sorted by identifier.
 func (a *Archive) Jobs() []*marshaler.JobRecord {
 	var jobs []*marshaler.JobRecord
-	for _, j := range marshaler.InOrder(a.jobs) {
+	for _, j := range marshaler.SortedByKey(a.jobs) {
 		jobs = append(jobs, j)
 	}
 	return jobs
--- a/archiver/archiver_test.go
+++ b/archiver/archiver_test.go
@@ -84,7 +84,7 @@
 
 // TestUnexpectedRecords checks that records of other writers are rejected and leave the archive unchanged.
 func TestUnexpectedRecords(t *testing.T) {
-	for _, body := range [][]byte{nil, {0xff}, []byte("text"), marshaler.Append(nil, &marshaler.Beat{})} {
+	for _, body := range [][]byte{nil, {0xff}, []byte("text"), marshaler.Append(nil, &marshaler.Heartbeat{})} {
 		var a Archive
 		if err := a.Add(body); err == nil || len(a.Jobs()) != 0 {
 			t.Errorf("%q: got error %v, %d jobs, want an error and none", body, err, len(a.Jobs()))
