--- a/configurer/codec.go
+++ b/configurer/codec.go
@@ -7,8 +7,8 @@
 	"github.com/crocuslb/crocuslb/appender"
 )
 
-// Field numbers of the record format. A record has one of tagNote and tagCheckpoint. Unknown fields make a record
-// undecodable, so that processes of different versions refuse it alike.
+// Field numbers of the record format. A record contains either tagNote or tagCheckpoint. A record with an unknown field
+// cannot be decoded, so that processes of all versions reject it consistently.
 const (
 	tagNote       = 1
 	tagCheckpoint = 2
@@ -21,18 +21,18 @@
 	tagChanged   = 6
 	tagWithdrawn = 7
 
-	tagOffset  = 1
-	tagEntries = 2
-	tagGone    = 3
+	tagOffset     = 1
+	tagEntries    = 2
+	tagTombstones = 3
 
 	tagKey       = 1
 	tagValue     = 2
 	tagChangedAt = 3
 
-	maxItem = MaxKey + MaxValue + entryOverhead
+	maxEntrySize = MaxKey + MaxValue + entryOverhead
 )
 
-// AppendNote appends the record of a note to dst.
+// AppendNote appends the encoded record of a note to dst.
 func AppendNote(dst []byte, n Note) []byte {
 	var b []byte
 	b = appender.AppendText(b, tagID, n.ID)
@@ -40,10 +40,10 @@
 	b = appender.AppendText(b, tagComment, n.Comment)
 	b = appender.AppendUint(b, tagBase, n.Base)
 	for _, e := range n.Added {
-		b = appendItem(b, tagAdded, item{key: e.Key, value: e.Value})
+		b = appendEntry(b, tagAdded, versionedEntry{key: e.Key, value: e.Value})
 	}
 	for _, e := range n.Changed {
-		b = appendItem(b, tagChanged, item{key: e.Key, value: e.Value})
+		b = appendEntry(b, tagChanged, versionedEntry{key: e.Key, value: e.Value})
 	}
 	for _, k := range n.Withdrawn {
 		b = protowire.AppendTag(b, tagWithdrawn, protowire.BytesType)
@@ -53,25 +53,25 @@
 	return protowire.AppendBytes(dst, b)
 }
 
-// AppendCheckpoint appends the record of a checkpoint to dst. Equal snapshots give equal bytes. It fails for an edited
-// snapshot, which is no state of the log.
+// AppendCheckpoint appends the encoded record of a checkpoint to dst. The encoding is deterministic. It returns an
+// error for an edited snapshot, which is not a state of the log.
 func AppendCheckpoint(dst []byte, s Snapshot) ([]byte, error) {
 	if s.edited {
-		return dst, trace.BadParameter("snapshot has local edits and is no state of the log")
+		return dst, trace.BadParameter("snapshot has local edits and is not a state of the log")
 	}
 	b := make([]byte, 0, s.size)
 	b = appender.AppendUint(b, tagOffset, s.offset)
-	for _, i := range s.entries {
-		b = appendItem(b, tagEntries, i)
+	for _, e := range s.entries {
+		b = appendEntry(b, tagEntries, e)
 	}
-	for _, i := range s.gone {
-		b = appendItem(b, tagGone, i)
+	for _, e := range s.tombstones {
+		b = appendEntry(b, tagTombstones, e)
 	}
 	dst = protowire.AppendTag(dst, tagCheckpoint, protowire.BytesType)
 	return protowire.AppendBytes(dst, b), nil
 }
 
-// DecodeRecord decodes the body of a record. The record is the zero value when there is an error.
+// DecodeRecord decodes the body of a record. It returns the zero Record on error.
 func DecodeRecord(body []byte) (Record, error) {
 	var r Record
 	if len(body) > appender.MaxBody {
@@ -111,11 +111,11 @@
 	err := appender.Fields(b, func(f appender.Field) error {
 		switch f.Tag {
 		case tagID:
-			return f.Text(&n.ID, maxID)
+			return f.Text(&n.ID, maxIDLen)
 		case tagAuthor:
-			return f.Text(&n.Author, maxAuthor)
+			return f.Text(&n.Author, maxAuthorLen)
 		case tagComment:
-			return f.Text(&n.Comment, maxComment)
+			return f.Text(&n.Comment, maxCommentLen)
 		case tagBase:
 			return f.Uint(&n.Base)
 		}
@@ -124,14 +124,14 @@
 		}
 		switch f.Tag {
 		case tagAdded, tagChanged:
-			i, err := decodeItem(f)
-			if err == nil && i.changedAt != 0 {
+			e, err := decodeEntry(f)
+			if err == nil && e.changedAt != 0 {
 				err = trace.BadParameter("entry of a note has an offset")
 			}
 			if f.Tag == tagAdded {
-				n.Added = append(n.Added, Entry{Key: i.key, Value: i.value})
+				n.Added = append(n.Added, Entry{Key: e.key, Value: e.value})
 			} else {
-				n.Changed = append(n.Changed, Entry{Key: i.key, Value: i.value})
+				n.Changed = append(n.Changed, Entry{Key: e.key, Value: e.value})
 			}
 			return err
 		case tagWithdrawn:
@@ -151,16 +151,16 @@
 		switch f.Tag {
 		case tagOffset:
 			return f.Uint(&s.offset)
-		case tagEntries, tagGone:
-			i, err := decodeItem(f)
+		case tagEntries, tagTombstones:
+			e, err := decodeEntry(f)
 			if err != nil {
 				return err
 			}
-			s.size += i.weight()
+			s.size += e.encodedSizeBound()
 			if f.Tag == tagEntries {
-				s.entries = append(s.entries, i)
+				s.entries = append(s.entries, e)
 			} else {
-				s.gone = append(s.gone, i)
+				s.tombstones = append(s.tombstones, e)
 			}
 			return nil
 		}
@@ -169,20 +169,20 @@
 	if err != nil {
 		return Snapshot{}, err
 	}
-	if err := s.valid(); err != nil {
+	if err := s.validate(); err != nil {
 		return Snapshot{}, err
 	}
-	s.refreshDomains()
+	s.updateWithdrawnDomains()
 	return s, nil
 }
 
-// valid checks what the fold guarantees, so that a checkpoint cannot bring in a state that no fold yields.
-func (s Snapshot) valid() error {
+// validate checks the invariants of the fold, so that a checkpoint cannot introduce a state that no fold produces.
+func (s Snapshot) validate() error {
 	if s.size > MaxSize {
-		return trace.BadParameter("checkpoint counts %d bytes, more than %d", s.size, MaxSize)
+		return trace.BadParameter("checkpoint has a size of %d bytes, more than %d", s.size, MaxSize)
 	}
-	var r report
-	for n, list := range [][]item{s.entries, s.gone} {
+	var r findingList
+	for n, list := range [][]versionedEntry{s.entries, s.tombstones} {
 		for i, e := range list {
 			if problem := checkKey(e.key); problem != "" {
 				return trace.BadParameter("checkpoint: %s", problem)
@@ -190,52 +190,52 @@
 			if n == 0 {
 				checkValue(&r, e.key, Entry{Key: e.key, Value: e.value})
 			} else if _, ok := search(s.entries, e.key); ok || e.value != "" || e.changedAt+BaseWindow <= s.offset {
-				return trace.BadParameter("checkpoint: withdrawn key %q does not fit", e.key)
+				return trace.BadParameter("checkpoint: withdrawn key %q is still present, has a value or is older than the base window", e.key)
 			}
 			if i > 0 && list[i-1].key >= e.key {
 				return trace.BadParameter("checkpoint: key %q is not in order", e.key)
 			}
 			if e.changedAt == 0 || e.changedAt > s.offset {
-				return trace.BadParameter("checkpoint: key %q was changed at %d, outside of its offset %d", e.key, e.changedAt, s.offset)
+				return trace.BadParameter("checkpoint: key %q was changed at %d, not between 1 and the checkpoint's offset %d", e.key, e.changedAt, s.offset)
 			}
 		}
 	}
 	return Err(r.all())
 }
 
-func decodeItem(f appender.Field) (item, error) {
-	var i item
-	b, err := f.Message(maxItem)
+func decodeEntry(f appender.Field) (versionedEntry, error) {
+	var e versionedEntry
+	b, err := f.Message(maxEntrySize)
 	if err != nil {
-		return i, err
+		return e, err
 	}
 	err = appender.Fields(b, func(f appender.Field) error {
 		switch f.Tag {
 		case tagKey:
-			return f.Text(&i.key, MaxKey)
+			return f.Text(&e.key, MaxKey)
 		case tagValue:
-			return f.Text(&i.value, MaxValue)
+			return f.Text(&e.value, MaxValue)
 		case tagChangedAt:
-			return f.Uint(&i.changedAt)
+			return f.Uint(&e.changedAt)
 		}
 		return f.Unknown()
 	})
-	return i, err
+	return e, err
 }
 
-func appendItem(b []byte, tag protowire.Number, i item) []byte {
-	size := sizeText(tagKey, i.key) + sizeText(tagValue, i.value)
-	if i.changedAt != 0 {
-		size += protowire.SizeTag(tagChangedAt) + protowire.SizeVarint(i.changedAt)
+func appendEntry(b []byte, tag protowire.Number, e versionedEntry) []byte {
+	size := textFieldSize(tagKey, e.key) + textFieldSize(tagValue, e.value)
+	if e.changedAt != 0 {
+		size += protowire.SizeTag(tagChangedAt) + protowire.SizeVarint(e.changedAt)
 	}
 	b = protowire.AppendTag(b, tag, protowire.BytesType)
 	b = protowire.AppendVarint(b, uint64(size))
-	b = appender.AppendText(b, tagKey, i.key)
-	b = appender.AppendText(b, tagValue, i.value)
-	return appender.AppendUint(b, tagChangedAt, i.changedAt)
+	b = appender.AppendText(b, tagKey, e.key)
+	b = appender.AppendText(b, tagValue, e.value)
+	return appender.AppendUint(b, tagChangedAt, e.changedAt)
 }
 
-func sizeText(tag protowire.Number, s string) int {
+func textFieldSize(tag protowire.Number, s string) int {
 	if s == "" {
 		return 0
 	}
--- a/configurer/codec_test.go
+++ b/configurer/codec_test.go
@@ -14,8 +14,9 @@
 	"github.com/crocuslb/crocuslb/appender"
 )
 
-// largeSnapshot returns a configuration of the size to design for: 800 teams, 8 failure domains and 1,700 workers.
-func largeSnapshot() (s Snapshot) {
+// productionSizeSnapshot returns a configuration of the size that the system is designed for: 800 teams, 8 failure
+// domains and 1,700 workers.
+func productionSizeSnapshot() (s Snapshot) {
 	var entries []Entry
 	for i := range 2508 {
 		e := Entry{fmt.Sprintf("setting/worker-%04d", i), "accelerators=4"}
@@ -32,11 +33,12 @@
 	return s
 }
 
-// Guards against fields that a codec forgets.
+// TestNoteCodecs checks that notes survive a round trip through the record and JSON formats, so that no codec omits a
+// field.
 func TestNoteCodecs(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := drawNote(t, 1<<40)
-		n.ID, n.Author, n.Comment = rapid.StringN(0, 9, maxID).Draw(t, "id"), rapid.StringN(0, 9, maxAuthor).Draw(t, "author"), rapid.StringN(0, 9, maxComment).Draw(t, "comment")
+		n.ID, n.Author, n.Comment = rapid.StringN(0, 9, maxIDLen).Draw(t, "id"), rapid.StringN(0, 9, maxAuthorLen).Draw(t, "author"), rapid.StringN(0, 9, maxCommentLen).Draw(t, "comment")
 		r, err := DecodeRecord(AppendNote(nil, n))
 		if err != nil || !reflect.DeepEqual(r.Note, n) {
 			t.Fatalf("record: got %+v, error %v, want %+v", r.Note, err, n)
@@ -48,7 +50,7 @@
 	})
 }
 
-// Guards against a malformed note that is accepted, or whose findings lack their place.
+// TestParseNoteFindings checks that malformed notes are rejected and that each finding states its location.
 func TestParseNoteFindings(t *testing.T) {
 	many := `{"withdrawn":[` + strings.Repeat(`"kind/k",`, MaxEntries) + `"kind/k"]}`
 	for _, c := range []struct {
@@ -88,42 +90,43 @@
 	}
 }
 
-// Guards against a checkpoint that brings in a state which no fold yields, and against damaged records.
-func TestDecodeRecordRefusals(t *testing.T) {
-	checkpoint := func(offset uint64, entries, gone []item) []byte {
-		return checkpointOf(Snapshot{offset: offset, entries: entries, gone: gone})
+// TestDecodeInvalidRecords checks that damaged records are rejected, as well as checkpoints with a state that no fold
+// produces.
+func TestDecodeInvalidRecords(t *testing.T) {
+	checkpoint := func(offset uint64, entries, tombstones []versionedEntry) []byte {
+		return checkpointOf(Snapshot{offset: offset, entries: entries, tombstones: tombstones})
 	}
 	note := AppendNote(nil, Note{Withdrawn: []string{"kind/k"}})
 	for _, c := range []struct {
-		name string
-		body []byte
-		good bool
+		name  string
+		body  []byte
+		valid bool
 	}{
-		{"good", checkpoint(2, []item{{"kind/a", "1", 1}, {"kind/b", "", 2}}, []item{{"kind/c", "", 1}}), true},
-		{"order", checkpoint(2, []item{{"kind/b", "", 1}, {"kind/a", "", 1}}, nil), false},
-		{"twice", checkpoint(2, []item{{"kind/a", "", 1}, {"kind/a", "", 1}}, nil), false},
-		{"changed later", checkpoint(2, []item{{"kind/a", "", 3}}, nil), false},
-		{"changed never", checkpoint(2, []item{{"kind/a", "", 0}}, nil), false},
-		{"withdrawn but present", checkpoint(2, []item{{"kind/a", "", 1}}, []item{{"kind/a", "", 1}}), false},
-		{"withdrawn long ago", checkpoint(BaseWindow+1, nil, []item{{"kind/a", "", 1}}), false},
-		{"key", checkpoint(2, []item{{"kind", "", 1}}, nil), false},
-		{"value", checkpoint(2, []item{{"domain/a", "", 1}}, nil), false},
-		{"empty", nil, false},
+		{"valid", checkpoint(2, []versionedEntry{{"kind/a", "1", 1}, {"kind/b", "", 2}}, []versionedEntry{{"kind/c", "", 1}}), true},
+		{"keys out of order", checkpoint(2, []versionedEntry{{"kind/b", "", 1}, {"kind/a", "", 1}}, nil), false},
+		{"duplicate key", checkpoint(2, []versionedEntry{{"kind/a", "", 1}, {"kind/a", "", 1}}, nil), false},
+		{"changed after the checkpoint", checkpoint(2, []versionedEntry{{"kind/a", "", 3}}, nil), false},
+		{"no change offset", checkpoint(2, []versionedEntry{{"kind/a", "", 0}}, nil), false},
+		{"withdrawn but present", checkpoint(2, []versionedEntry{{"kind/a", "", 1}}, []versionedEntry{{"kind/a", "", 1}}), false},
+		{"expired tombstone", checkpoint(BaseWindow+1, nil, []versionedEntry{{"kind/a", "", 1}}), false},
+		{"invalid key", checkpoint(2, []versionedEntry{{"kind", "", 1}}, nil), false},
+		{"invalid value", checkpoint(2, []versionedEntry{{"domain/a", "", 1}}, nil), false},
+		{"empty record", nil, false},
 		{"two parts", append(note, note...), false},
 		{"truncated", note[:len(note)-1], false},
 		{"unknown field", protowire.AppendBytes(protowire.AppendTag(nil, 9, protowire.BytesType), nil), false},
-		{"wrong type", protowire.AppendVarint(protowire.AppendTag(nil, tagNote, protowire.VarintType), 1), false},
-		{"group", protowire.AppendTag(nil, tagNote, protowire.StartGroupType), false},
+		{"wrong wire type", protowire.AppendVarint(protowire.AppendTag(nil, tagNote, protowire.VarintType), 1), false},
+		{"group wire type", protowire.AppendTag(nil, tagNote, protowire.StartGroupType), false},
 		{"too many keys", AppendNote(nil, Note{Withdrawn: make([]string, MaxEntries+1)}), false},
 		{"long key", AppendNote(nil, Note{Withdrawn: []string{strings.Repeat("k", MaxKey+1)}}), false},
 	} {
-		if _, err := DecodeRecord(c.body); (err == nil) != c.good {
-			t.Errorf("%s: got error %v, want success %v", c.name, err, c.good)
+		if _, err := DecodeRecord(c.body); (err == nil) != c.valid {
+			t.Errorf("%s: got error %v, want success %v", c.name, err, c.valid)
 		}
 	}
 }
 
-// Guards against damaged records that panic, and against records that do not survive a second encoding.
+// FuzzDecodeRecord checks that arbitrary bodies do not cause a panic and that decoded records survive a round trip.
 func FuzzDecodeRecord(f *testing.F) {
 	s, _ := Apply(Snapshot{}, 0, Record{Kind: KindNote, Note: Note{Added: []Entry{{"domain/a", "out"}, {"kind/k", "1"}}}})
 	s, _ = Apply(s, 1, Record{Kind: KindNote, Note: Note{Base: 1, Withdrawn: []string{"kind/k"}}})
@@ -149,7 +152,8 @@
 	})
 }
 
-// Guards against notes that panic, and against an accepted note that Check refuses for its form or that JSON changes.
+// FuzzParseNote checks that arbitrary input does not cause a panic, and that accepted notes survive a round trip
+// through JSON and can be decoded as records.
 func FuzzParseNote(f *testing.F) {
 	f.Add([]byte(`{"id":"i","author":"a","comment":"c","base":1,"added":[{"key":"team/x","value":"weight=1 quota=2"}],"changed":[],"withdrawn":["kind/k"]}`))
 	f.Add([]byte(`{"added":[{"key":"domain/a","value":"out"}],"base":1e3,"x":{"y":[null]}}`))
@@ -168,17 +172,17 @@
 }
 
 func Benchmark(b *testing.B) {
-	s := largeSnapshot().WithDomainsOut("zone-3")
+	s := productionSizeSnapshot().WithDomainsOut("zone-3")
 	note := AppendNote(nil, Note{ID: "0123456789abcdef0123456789abcdef", Base: s.Offset(), Changed: []Entry{{"domain/zone-4", "out"}}})
 	body := checkpointOf(s)
-	run := func(name string, each, size int, f func()) {
+	run := func(name string, itemsPerOp, size int, f func()) {
 		b.Run(name, func(b *testing.B) {
 			b.ReportAllocs()
 			for b.Loop() {
 				f()
 			}
-			b.ReportMetric(float64(b.Elapsed().Nanoseconds())/float64(b.N*each), "ns/each")
-			b.ReportMetric(float64(size)/float64(each), "B/each")
+			b.ReportMetric(float64(b.Elapsed().Nanoseconds())/float64(b.N*itemsPerOp), "ns/each")
+			b.ReportMetric(float64(size)/float64(itemsPerOp), "B/each")
 		})
 	}
 	run("Get", 1, 0, func() { s.Get("team/team-0400") })
@@ -188,7 +192,7 @@
 	run("EncodeAndReplayNote", 1, len(note), func() {
 		n := Note{Base: p.state.offset, Changed: []Entry{{"domain/zone-4", "out"}}}
 		if p.Add(appender.Record{Offset: n.Base, Body: AppendNote(nil, n)}) != nil {
-			b.Fatal("note was refused")
+			b.Fatal("note was rejected")
 		}
 	})
 	run("CheckpointEncode", s.Len(), len(body), func() { body, _ = AppendCheckpoint(body[:0], s) })
--- a/configurer/note.go
+++ b/configurer/note.go
@@ -1,5 +1,5 @@
-// Package configurer holds the configuration: changes made by operators (notes), the immutable snapshot, and the pure
-// fold of the configuration stream with its checkpoints.
+// Package configurer maintains the configuration: the changes made by operators (notes), an immutable snapshot of the
+// current state, and the pure fold of the configuration stream, including its checkpoints, into snapshots.
 package configurer
 
 import (
@@ -11,21 +11,21 @@
 	"github.com/gravitational/trace"
 )
 
-// The bounds are part of the record format: every reader of the log must apply the same ones.
+// The limits are part of the record format: all readers of the log must apply the same ones.
 const (
-	// MaxKey is the longest key in bytes.
+	// MaxKey is the maximum length of a key in bytes.
 	MaxKey = 128
-	// MaxValue is the longest value in bytes.
+	// MaxValue is the maximum length of a value in bytes.
 	MaxValue = 1024
-	// MaxEntries is the largest number of keys that one note may touch.
+	// MaxEntries is the maximum number of keys that one note may add, change and withdraw.
 	MaxEntries = 256
-	// MaxSize bounds the configuration in bytes, so that a checkpoint fits into one record of the log.
+	// MaxSize is the maximum size of the configuration in bytes. It ensures that a checkpoint fits into one log record.
 	MaxSize = 768 << 10
 
-	maxID      = 64
-	maxAuthor  = 128
-	maxComment = 1024
-	// maxFindings bounds a report; the rest is summed up in one line.
+	maxIDLen      = 64
+	maxAuthorLen  = 128
+	maxCommentLen = 1024
+	// maxFindings limits the findings reported for a note; the last line states how many were omitted.
 	maxFindings = 100
 
 	domainGroup  = "domain"
@@ -33,12 +33,13 @@
 	kindGroup    = "kind"
 	settingGroup = "setting"
 
-	domainIn  = "in"
-	domainOut = "out"
+	domainInService = "in"
+	domainWithdrawn = "out"
 )
 
 type (
-	// Note is a configuration change. Base is the Offset of the snapshot that its author has seen.
+	// Note is a configuration change published by an operator. Base is the Offset of the snapshot that the change was
+	// based on.
 	Note struct {
 		ID, Author, Comment string
 		Base                uint64
@@ -49,25 +50,24 @@
 	// Entry is a key with its value. Keys have the form group/NAME; the groups are domain, team, kind and setting.
 	Entry struct{ Key, Value string }
 
-	// Finding is one reason why a note is refused, with the place in the note.
+	// Finding is one reason why a note or a record is rejected. Place is its location, for example added[0].key.
 	Finding struct{ Place, Text string }
 
-	// Team is the value of a team's key.
+	// Team is the value of a key in the team group.
 	Team struct {
-		// Weight is the team's share when capacity is short.
+		// Weight determines the team's share of the capacity when capacity is scarce.
 		Weight uint32
-		// Quota is the largest number of tasks that the team may run at a time; 0 means no limit.
+		// Quota is the maximum number of tasks that the team may run concurrently; 0 means unlimited.
 		Quota uint32
 	}
 
-	// report collects findings up to a bound.
-	report struct {
+	// findingList collects up to maxFindings findings and counts the others.
+	findingList struct {
 		findings []Finding
-		more     int
+		omitted  int
 	}
 )
 
-// String returns the finding in one line.
 func (f Finding) String() string {
 	if f.Place == "" {
 		return f.Text
@@ -75,7 +75,7 @@
 	return f.Place + ": " + f.Text
 }
 
-// Err returns the findings as one error, or nil when there are none.
+// Err combines the findings into one error. It returns nil if there are none.
 func Err(findings []Finding) error {
 	if len(findings) == 0 {
 		return nil
@@ -113,7 +113,7 @@
 	return t, nil
 }
 
-// String returns the team in the form that ParseTeam reads.
+// String returns the team in the format that ParseTeam accepts.
 func (t Team) String() string {
 	if t.Quota == 0 {
 		return fmt.Sprintf("weight=%d", t.Weight)
@@ -121,29 +121,29 @@
 	return fmt.Sprintf("weight=%d quota=%d", t.Weight, t.Quota)
 }
 
-func (r *report) add(place, format string, args ...any) {
+func (r *findingList) add(location, format string, args ...any) {
 	if len(r.findings) >= maxFindings {
-		r.more++
+		r.omitted++
 		return
 	}
-	r.findings = append(r.findings, Finding{Place: place, Text: fmt.Sprintf(format, args...)})
+	r.findings = append(r.findings, Finding{Place: location, Text: fmt.Sprintf(format, args...)})
 }
 
-func (r *report) all() []Finding {
-	if r.more == 0 {
+func (r *findingList) all() []Finding {
+	if r.omitted == 0 {
 		return r.findings
 	}
-	return append(r.findings[:len(r.findings):len(r.findings)], Finding{Text: fmt.Sprintf("%d more findings", r.more)})
+	return append(r.findings[:len(r.findings):len(r.findings)], Finding{Text: fmt.Sprintf("%d more findings", r.omitted)})
 }
 
-// checkForm reports what is wrong with the note whatever the state is. It reports whether the entries can be looked at
-// one by one.
-func (n Note) checkForm(r *report) bool {
+// checkFormat validates the parts of the note that do not depend on the current state. It returns false if the note has
+// too many entries for them to be checked individually.
+func (n Note) checkFormat(r *findingList) bool {
 	for _, f := range []struct {
-		place, text string
-		limit       int
-	}{{"id", n.ID, maxID}, {"author", n.Author, maxAuthor}, {"comment", n.Comment, maxComment}} {
-		checkText(r, f.place, f.text, f.limit)
+		location, text string
+		limit          int
+	}{{"id", n.ID, maxIDLen}, {"author", n.Author, maxAuthorLen}, {"comment", n.Comment, maxCommentLen}} {
+		checkText(r, f.location, f.text, f.limit)
 	}
 	total := len(n.Added) + len(n.Changed) + len(n.Withdrawn)
 	switch {
@@ -154,25 +154,25 @@
 		return false
 	}
 	seen := make(map[string]string, total)
-	key := func(place, k string) {
+	key := func(location, k string) {
 		if problem := checkKey(k); problem != "" {
-			r.add(place, "%s", problem)
+			r.add(location, "%s", problem)
 			return
 		}
 		if first, ok := seen[k]; ok {
-			r.add(place, "key %q is also at %s", k, first)
+			r.add(location, "key %q is also at %s", k, first)
 			return
 		}
-		seen[k] = place
+		seen[k] = location
 	}
 	for _, list := range []struct {
 		name    string
 		entries []Entry
 	}{{"added", n.Added}, {"changed", n.Changed}} {
 		for i, e := range list.entries {
-			place := list.name + "[" + strconv.Itoa(i) + "]"
-			key(place+".key", e.Key)
-			checkValue(r, place+".value", e)
+			location := list.name + "[" + strconv.Itoa(i) + "]"
+			key(location+".key", e.Key)
+			checkValue(r, location+".value", e)
 		}
 	}
 	for i, k := range n.Withdrawn {
@@ -181,16 +181,16 @@
 	return true
 }
 
-func checkText(r *report, place, text string, limit int) {
+func checkText(r *findingList, location, text string, limit int) {
 	switch {
 	case len(text) > limit:
-		r.add(place, "text of %d bytes is longer than %d", len(text), limit)
+		r.add(location, "text of %d bytes is longer than %d", len(text), limit)
 	case !utf8.ValidString(text):
-		r.add(place, "text is not valid UTF-8")
+		r.add(location, "text is not valid UTF-8")
 	}
 }
 
-// checkKey returns what is wrong with a key, or nothing.
+// checkKey returns a description of the problem with a key, or an empty string if the key is valid.
 func checkKey(k string) string {
 	if len(k) > MaxKey {
 		return fmt.Sprintf("key of %d bytes is longer than %d", len(k), MaxKey)
@@ -213,20 +213,20 @@
 	return ""
 }
 
-func checkValue(r *report, place string, e Entry) {
+func checkValue(r *findingList, location string, e Entry) {
 	before := len(r.findings)
-	checkText(r, place, e.Value, MaxValue)
+	checkText(r, location, e.Value, MaxValue)
 	if len(r.findings) > before {
 		return
 	}
 	switch group, _, _ := strings.Cut(e.Key, "/"); group {
 	case domainGroup:
-		if e.Value != domainIn && e.Value != domainOut {
-			r.add(place, "domain value %q is not %q or %q", e.Value, domainIn, domainOut)
+		if e.Value != domainInService && e.Value != domainWithdrawn {
+			r.add(location, "domain value %q is not %q or %q", e.Value, domainInService, domainWithdrawn)
 		}
 	case teamGroup:
 		if _, err := ParseTeam(e.Value); err != nil {
-			r.add(place, "%s", trace.UserMessage(err))
+			r.add(location, "%s", trace.UserMessage(err))
 		}
 	}
 }
