--- a/dispatcher/answer_test.go
+++ b/dispatcher/answer_test.go
@@ -22,12 +22,12 @@
 		for i, n := range sz {
 			a.Results = append(a.Results, encoder.TaskResult{Body: bytes.Repeat([]byte{byte(i)}, n)})
 		}
-		c := group(t, "b").core
-		c.out = nil
-		c.sendAnswer(waiter{session: 1, forward: 7}, a)
+		c := newBenchWithPeers(t, "b").core
+		c.effects = nil
+		c.sendForwardAnswer(waiter{session: 1, forward: 7}, a)
 		var parts []*encoder.ForwardAnswer
-		for i := range c.out {
-			m := c.out[i].Message.(*encoder.ForwardAnswer)
+		for i := range c.effects {
+			m := c.effects[i].Message.(*encoder.ForwardAnswer)
 			if n := len(encoder.Append(nil, m)); n > encoder.MaxFrame {
 				t.Errorf("%d results: part of %d bytes", len(sz), n)
 			}
@@ -38,14 +38,14 @@
 			parts = append([]*encoder.ForwardAnswer{parts[0]}, parts...)
 		}
 		c.forwards[7] = &forward{id: 7, waiter: waiter{request: 9}, job: encoder.Job{Key: "k"}}
-		c.out = nil
+		c.effects = nil
 		for _, m := range parts {
-			c.forwardAnswer(m)
+			c.handleForwardAnswer(m)
 		}
-		if len(c.out) != 1 || len(c.out[0].Answer.Results) != len(sz) {
-			t.Fatalf("%d results: got %d effects", len(sz), len(c.out))
+		if len(c.effects) != 1 || len(c.effects[0].Answer.Results) != len(sz) {
+			t.Fatalf("%d results: got %d effects", len(sz), len(c.effects))
 		}
-		for i, r := range c.out[0].Answer.Results {
+		for i, r := range c.effects[0].Answer.Results {
 			if !bytes.Equal(r.Body, a.Results[i].Body) {
 				t.Errorf("%d results: result %d differs", len(sz), i)
 			}
@@ -68,10 +68,10 @@
 		{"sender was not certain", false, nil, unknownAnswer},
 	}
 	for _, tt := range tests {
-		c := group(t).core
-		c.takeover.past = append(c.takeover.past, pastRoster{encoder.Roster{}, c.now})
-		c.takeover.keys = map[string]reportedKey{"k": {at: c.now}}
-		c.takeover.missing = map[encoder.Member]timer.Millis{{ID: "s9"}: c.now}
+		c := newBenchWithPeers(t).core
+		c.takeover.pastRosters = append(c.takeover.pastRosters, pastRoster{encoder.Roster{}, c.now})
+		c.takeover.reportedKeys = map[string]reportedKey{"k": {reportedAt: c.now}}
+		c.takeover.missingEvidence = map[encoder.Member]timer.Millis{{ID: "s9"}: c.now}
 		m := &encoder.Handover{Certain: tt.certain, Job: encoder.Job{Key: "k", Tasks: make([]encoder.JobTask, 2)}}
 		for _, i := range tt.running {
 			m.Started = append(m.Started, encoder.StartedTask{
@@ -79,12 +79,12 @@
 			})
 		}
 		var got string
-		c.takeHandover(m)
-		if s := c.jobs["k"]; s != nil {
+		c.handleHandover(m)
+		if s := c.submissions["k"]; s != nil {
 			for i := range s.tasks {
 				got += s.tasks[i].state
 			}
-		} else if k, ok := c.kept.byKey["k"]; ok && k.answer.Outcome == encoder.OutcomeUnknown {
+		} else if k, ok := c.answerCache.byKey["k"]; ok && k.answer.Outcome == encoder.OutcomeUnknown {
 			got = unknownAnswer
 		}
 		if got != tt.want {
@@ -105,12 +105,12 @@
 		{"removal", elector.ChangeRemove, false},
 	}
 	for _, tt := range tests {
-		b := owner(t, "k")
+		b := newOwnerBench(t, "k")
 		b.core.Submit(b.now, 1, encoder.Job{Key: "k", Tasks: make([]encoder.JobTask, 3)})
 		b.core.draining = true
 		b.core.RosterRecord(b.now, 9, elector.Change{Kind: tt.kind, Base: 9, Entry: encoder.RosterEntry{Member: b.core.self}})
 		b.sent = nil
-		b.take()
+		b.takeEffects()
 		i := slices.IndexFunc(b.sent, func(m encoder.Message) bool { _, ok := m.(*encoder.Handover); return ok })
 		if i < 0 {
 			t.Fatalf("%s: got no handover", tt.name)
@@ -122,11 +122,11 @@
 }
 
 // owner returns a group of two in which the entry under test owns the key and has settled it.
-func owner(t *testing.T, key string) *bench {
+func newOwnerBench(t *testing.T, key string) *testBench {
 	for _, peer := range []string{"b", "c", "d", "e", "f", "g"} {
-		b := group(t, peer)
-		b.core.takeover.chain = nil
-		if b.core.owns(b.core.roster, key) {
+		b := newBenchWithPeers(t, peer)
+		b.core.takeover.unsettledRosters = nil
+		if b.core.isOwner(b.core.roster, key) {
 			return b
 		}
 	}
--- a/dispatcher/bench_test.go
+++ b/dispatcher/bench_test.go
@@ -13,7 +13,7 @@
 // jobs of 10 tasks.
 func BenchmarkTask(b *testing.B) {
 	const tasks = 10
-	c := newBench(b, Settings{})
+	c := newTestBench(b, Settings{})
 	c.message(&encoder.Grant{Credits: tasks})
 	j := job("", tasks)
 	b.ReportAllocs()
@@ -21,23 +21,23 @@
 		if n%tasks == 0 {
 			j.Key = strconv.Itoa(n)
 			c.core.Submit(c.now, uint64(n), j)
-			for _, f := range c.core.Take() {
+			for _, f := range c.core.TakeEffects() {
 				if s, ok := f.Message.(*encoder.Start); ok {
-					c.core.Message(c.now, sidecarSession, &encoder.Result{
+					c.core.HandleMessage(c.now, sidecarSession, &encoder.Result{
 						Task: s.Task, Status: encoder.StatusDone, Ran: 100, Credits: 1,
 					})
 				}
 			}
-			c.core.Take()
-			if len(c.core.jobs) != 0 {
+			c.core.TakeEffects()
+			if len(c.core.submissions) != 0 {
 				b.Fatal("the job has not ended")
 			}
 		}
 		if n%10_000 == 0 {
 			c.now += 100
-			c.confirm()
+			c.confirmStreams()
 			c.core.Tick(c.now)
-			c.core.Take()
+			c.core.TakeEffects()
 		}
 	}
 }
@@ -46,31 +46,31 @@
 func BenchmarkMemory(b *testing.B) {
 	const jobs, tasks = 20_000, 10
 	for b.Loop() {
-		c := newBench(b, Settings{})
+		c := newTestBench(b, Settings{})
 		c.core.queue.MaxWait = 1000 * timer.Minute
 		before := heapBytes()
 		for n := range jobs {
 			c.core.Submit(c.now, uint64(n), job(strconv.Itoa(n), tasks))
 		}
-		c.core.Take()
-		flying := heapBytes()
-		if len(c.core.jobs) != jobs {
-			b.Fatalf("%d of %d jobs were admitted", len(c.core.jobs), jobs)
+		c.core.TakeEffects()
+		inFlight := heapBytes()
+		if len(c.core.submissions) != jobs {
+			b.Fatalf("%d of %d jobs were admitted", len(c.core.submissions), jobs)
 		}
-		c.core.Message(c.now, sidecarSession, &encoder.Grant{Credits: jobs * tasks})
-		c.core.Take()
+		c.core.HandleMessage(c.now, sidecarSession, &encoder.Grant{Credits: jobs * tasks})
+		c.core.TakeEffects()
 		for n := range jobs {
 			for i := range tasks {
-				c.core.Message(c.now, sidecarSession, &encoder.Result{
+				c.core.HandleMessage(c.now, sidecarSession, &encoder.Result{
 					Task: encoder.TaskKey{Job: strconv.Itoa(n), Index: uint32(i)}, Status: encoder.StatusDone, Body: make([]byte, 16),
 				})
 			}
-			c.core.Take()
+			c.core.TakeEffects()
 		}
 		c.tick(2 * collectDelay)
 		c.sent = nil
 		kept := heapBytes()
-		b.ReportMetric(float64(flying-before)/jobs/tasks, "B/task")
+		b.ReportMetric(float64(inFlight-before)/jobs/tasks, "B/task")
 		b.ReportMetric(float64(kept-before)/jobs, "B/answer")
 		runtime.KeepAlive(c)
 	}
@@ -89,35 +89,35 @@
 	c, sc := New(Settings{}), &sidecar{session: sidecarSession}
 	for b.Loop() {
 		for i := range perTick {
-			c.collect.add(sc, encoder.TaskKey{Job: "job", Index: uint32(i)}, c.now+collectDelay)
+			c.collected.add(sc, encoder.TaskKey{Job: "job", Index: uint32(i)}, c.now+collectDelay)
 		}
 		c.now += 5
 		c.flushCollected()
-		c.Take()
+		c.TakeEffects()
 	}
 }
 
 // BenchmarkSidecarDown measures the loss and the return of one sidecar of 200 while 200,000 tasks wait or run.
 func BenchmarkSidecarDown(b *testing.B) {
 	const sidecars, jobs, tasks, credits = 200, 20_000, 10, 10
-	c := newBench(b, Settings{})
+	c := newTestBench(b, Settings{})
 	c.core.queue.MaxWait = 1000 * timer.Minute
 	for i := range sidecars {
 		id := sidecarSession + 1 + SessionID(i)
-		c.core.Up(c.now, id, hello(strconv.Itoa(i), 1))
-		c.core.Message(c.now, id, &encoder.Grant{Credits: credits})
+		c.core.SessionOpened(c.now, id, hello(strconv.Itoa(i), 1))
+		c.core.HandleMessage(c.now, id, &encoder.Grant{Credits: credits})
 	}
 	for n := range jobs {
 		c.core.Submit(c.now, uint64(n), job(strconv.Itoa(n), tasks))
 	}
-	c.core.Take()
+	c.core.TakeEffects()
 	id := sidecarSession + 1
 	for n := 0; b.Loop(); n++ {
-		c.core.Down(c.now, id)
+		c.core.SessionClosed(c.now, id)
 		id = sidecarSession + sidecars + 1 + SessionID(n)
-		c.core.Up(c.now, id, hello("0", 1))
+		c.core.SessionOpened(c.now, id, hello("0", 1))
 		starts := 0
-		for _, f := range c.core.Take() {
+		for _, f := range c.core.TakeEffects() {
 			if _, ok := f.Message.(*encoder.Start); ok {
 				starts++
 			}
@@ -130,24 +130,24 @@
 
 // TestHeldJobs guards the list of submissions of a sidecar: it names each one while a task is placed there, and an ended
 // one no more, also when the task ended on another sidecar.
-func TestHeldJobs(t *testing.T) {
-	c := newBench(t, Settings{})
+func TestSidecarSubmissions(t *testing.T) {
+	c := newTestBench(t, Settings{})
 	c.core.Submit(c.now, 1, job("j", 1))
-	first := c.core.sidecars["s"]
-	if len(first.jobs) != 1 {
-		t.Errorf("got %d held jobs after the start, want 1", len(first.jobs))
+	firstSidecar := c.core.sidecars["s"]
+	if len(firstSidecar.submissions) != 1 {
+		t.Errorf("got %d held jobs after the start, want 1", len(firstSidecar.submissions))
 	}
 	task := encoder.TaskKey{Job: "j"}
-	c.core.Message(c.now, sidecarSession, &encoder.Recall{Credits: 2})
-	c.core.Up(c.now, sidecarSession+1, hello("other", 1))
-	c.core.Message(c.now, sidecarSession+1, &encoder.Grant{Credits: 1})
-	c.core.Message(c.now, sidecarSession, &encoder.Refusal{Task: task, Reason: encoder.RefusalNoSlot})
-	second := c.core.sidecars["other"]
-	if len(second.jobs) != 1 {
-		t.Errorf("got %d held jobs after the second start, want 1", len(second.jobs))
+	c.core.HandleMessage(c.now, sidecarSession, &encoder.Recall{Credits: 2})
+	c.core.SessionOpened(c.now, sidecarSession+1, hello("other", 1))
+	c.core.HandleMessage(c.now, sidecarSession+1, &encoder.Grant{Credits: 1})
+	c.core.HandleMessage(c.now, sidecarSession, &encoder.Refusal{Task: task, Reason: encoder.RefusalNoSlot})
+	secondSidecar := c.core.sidecars["other"]
+	if len(secondSidecar.submissions) != 1 {
+		t.Errorf("got %d held jobs after the second start, want 1", len(secondSidecar.submissions))
 	}
-	c.core.Message(c.now, sidecarSession+1, &encoder.Result{Task: task, Status: encoder.StatusDone})
-	if len(c.core.jobs)+len(first.jobs)+len(second.jobs) != 0 {
-		t.Errorf("got %d and %d held jobs after the end, want none", len(first.jobs), len(second.jobs))
+	c.core.HandleMessage(c.now, sidecarSession+1, &encoder.Result{Task: task, Status: encoder.StatusDone})
+	if len(c.core.submissions)+len(firstSidecar.submissions)+len(secondSidecar.submissions) != 0 {
+		t.Errorf("got %d and %d held jobs after the end, want none", len(firstSidecar.submissions), len(secondSidecar.submissions))
 	}
 }
--- a/dispatcher/census.go
+++ b/dispatcher/census.go
@@ -14,7 +14,7 @@
 )
 
 // censusReply merges a sidecar's evidence. Replies to the census of another epoch list other keys and do not count.
-func (c *Core) censusReply(sc *sidecar, m *encoder.CensusReply) {
+func (c *Core) handleCensusReply(sc *sidecar, m *encoder.CensusReply) {
 	if m.Epoch != c.roster.Epoch {
 		c.counters.Ignored++
 		return
@@ -22,30 +22,30 @@
 	t := &c.takeover
 	for i := range m.Started {
 		s := &m.Started[i]
-		if j := c.jobs[s.Task.Job]; j != nil && (j.state == stateOpen || j.state == stateClosing) {
+		if j := c.submissions[s.Task.Job]; j != nil && (j.state == submissionOpen || j.state == submissionClosing) {
 			continue // this entry started it
 		}
-		if _, ok := c.kept.byKey[s.Task.Job]; !ok {
-			t.add(s, &sc.hello.Member, c.now)
+		if _, ok := c.answerCache.byKey[s.Task.Job]; !ok {
+			t.addEvidence(s, &sc.hello.Member, c.now)
 		}
 	}
 	if !m.Last {
 		return
 	}
-	if t.answered == nil {
-		t.answered = map[encoder.Member]uint64{}
+	if t.answeredEpochs == nil {
+		t.answeredEpochs = map[encoder.Member]uint64{}
 	}
-	for old := range t.answered {
+	for old := range t.answeredEpochs {
 		if old.ID == sc.hello.Member.ID {
-			delete(t.answered, old)
+			delete(t.answeredEpochs, old)
 		}
 	}
-	t.answered[sc.hello.Member] = m.Epoch
-	delete(t.missing, sc.hello.Member)
+	t.answeredEpochs[sc.hello.Member] = m.Epoch
+	delete(t.missingEvidence, sc.hello.Member)
 	c.tickTakeover()
 }
 
-func (t *takeover) add(s *encoder.StartedTask, from *encoder.Member, now timer.Millis) {
+func (t *takeover) addEvidence(s *encoder.StartedTask, from *encoder.Member, now timer.Millis) {
 	if t.evidence == nil {
 		t.evidence = map[string]*evidence{}
 	}
@@ -54,8 +54,8 @@
 		e = &evidence{}
 		t.evidence[s.Task.Job] = e
 	}
-	e.at = now
-	row := started{s.Task.Index, s.Status, from, s.Body, s.Reason}
+	e.updatedAt = now
+	row := startedTask{s.Task.Index, s.Status, from, s.Body, s.Reason}
 	if old := e.find(s.Task.Index); old == nil {
 		e.tasks = append(e.tasks, row)
 	} else if old.status != encoder.StatusDone && old.status != encoder.StatusFailed {
@@ -64,7 +64,7 @@
 }
 
 // find returns what is known of a task, or nil. Sidecars report tasks in the order of the index, so the search is short.
-func (e *evidence) find(index uint32) *started {
+func (e *evidence) find(index uint32) *startedTask {
 	if e == nil {
 		return nil
 	}
@@ -82,15 +82,15 @@
 	if !step(submissionChart, &s.state, eventAdmit) {
 		return
 	}
-	c.claim(s.key)
-	c.rewind(s)
+	c.queueClaim(s.key)
+	c.resetStarts(s)
 	found := c.takeover.evidence[s.key]
 	delete(c.takeover.evidence, s.key)
-	complete := c.complete(s.key)
-	c.recover(s, found)
+	complete := c.hasCompleteEvidence(s.key)
+	c.recoverStarts(s, found)
 	for i := 0; i < len(s.tasks); i++ {
 		if e := found.find(uint32(i)); e != nil && e.status == encoder.StatusDone {
-			c.taskEnded(s, i, c.sidecarOf(e.sidecar), e.status, e.body, e.reason, 0)
+			c.taskEnded(s, i, c.findSidecar(e.sidecar), e.status, e.body, e.reason, 0)
 		}
 	}
 	for i := 0; i < len(s.tasks); i++ {
@@ -100,50 +100,50 @@
 		e := found.find(uint32(i))
 		switch {
 		case e != nil && e.status == encoder.StatusFailed:
-			c.taskEnded(s, i, c.sidecarOf(e.sidecar), e.status, nil, e.reason, 0)
+			c.taskEnded(s, i, c.findSidecar(e.sidecar), e.status, nil, e.reason, 0)
 		case e != nil && e.status != encoder.StatusNotStarted:
 			reason := e.reason
 			if reason == "" {
 				reason = "the worker that had started the task was lost"
 			}
-			c.taskEnded(s, i, c.sidecarOf(e.sidecar), encoder.StatusUnknown, nil, reason, 0)
-		case e == nil && !complete && c.takeover.maybeStarted(s.key, uint32(i)):
+			c.taskEnded(s, i, c.findSidecar(e.sidecar), encoder.StatusUnknown, nil, reason, 0)
+		case e == nil && !complete && c.takeover.mayHaveStarted(s.key, uint32(i)):
 			c.taskEnded(s, i, nil, encoder.StatusUnknown, nil, "it is not known whether the task was started before", 0)
 		}
 	}
 	// From here on this entry starts tasks itself, so the list of the former owner is out of date.
-	delete(c.takeover.handed, s.key)
+	delete(c.takeover.handovers, s.key)
 	switch {
-	case s.state != stateOpen:
+	case s.state != submissionOpen:
 		return
 	case s.code != 0:
 		c.fail(s, s.code, s.reason)
 		return
-	case s.left == 0:
-		c.endWhenDone(s)
+	case s.unfinished == 0:
+		c.endIfFinished(s)
 		return
 	}
 	for i := range s.tasks {
 		if s.tasks[i].state == taskQueued {
-			c.queue.Push(c.queued(s, i))
+			c.queue.Push(c.schedulerTask(s, i))
 		}
 	}
 }
 
 // maybeStarted reports whether a former owner may have started the task, going by what it handed over.
-func (t *takeover) maybeStarted(key string, index uint32) bool {
-	h, ok := t.handed[key]
+func (t *takeover) mayHaveStarted(key string, index uint32) bool {
+	h, ok := t.handovers[key]
 	return !ok || slices.Contains(h.started, index)
 }
 
 // rewind forgets which starts this entry made itself before it lost the key. All sidecars that made them have answered
 // the census or count as missing, so their evidence decides.
-func (c *Core) rewind(s *submission) {
+func (c *Core) resetStarts(s *submission) {
 	for i := range s.tasks {
 		t := &s.tasks[i]
 		if step(taskChart, &t.state, eventRewind) {
-			s.started--
-			c.queue.Refused(t.sidecar.hello.Member.ID, c.queued(s, i), encoder.RefusalCanceled)
+			s.running--
+			c.queue.Refused(t.sidecar.hello.Member.ID, c.schedulerTask(s, i), encoder.RefusalCanceled)
 			t.sidecar, t.resent = nil, false
 		}
 	}
@@ -151,18 +151,18 @@
 
 // recover repeats the starts of tasks that a known sidecar runs or whose results it keeps. It then sends the results to
 // this entry.
-func (c *Core) recover(s *submission, found *evidence) {
+func (c *Core) recoverStarts(s *submission, found *evidence) {
 	for i := range s.tasks {
 		t := &s.tasks[i]
 		if e := found.find(uint32(i)); e != nil && t.state == taskQueued &&
 			(e.status == encoder.StatusRunning || e.status == encoder.StatusKept) {
-			sc := c.sidecarOf(e.sidecar)
+			sc := c.findSidecar(e.sidecar)
 			if sc == nil || !step(taskChart, &t.state, eventRecover) {
 				continue
 			}
 			t.sidecar, t.resent = sc, true
-			sc.hold(s)
-			s.started++
+			sc.addSubmission(s)
+			s.running++
 			if sc.session == 0 {
 				step(taskChart, &t.state, eventLose)
 			} else {
@@ -173,7 +173,7 @@
 }
 
 // sidecarOf returns the sidecar when this very incarnation is present.
-func (c *Core) sidecarOf(m *encoder.Member) *sidecar {
+func (c *Core) findSidecar(m *encoder.Member) *sidecar {
 	if m == nil {
 		return nil
 	}
@@ -184,52 +184,52 @@
 }
 
 // peerCensus answers a peer with the keys of its share that this entry forwarded elsewhere, witnessed or owned.
-func (c *Core) peerCensus(id SessionID, p *peer, m *encoder.PeerCensus) {
-	if m.Roster.Epoch > c.roster.Epoch && c.confirmed[StreamRoster] != 0 {
-		c.adoptFromPeer(m.Roster)
+func (c *Core) handlePeerCensus(id SessionID, p *peer, m *encoder.PeerCensus) {
+	if m.Roster.Epoch > c.roster.Epoch && c.confirmations[StreamRoster] != 0 {
+		c.adoptRosterAfterGap(m.Roster)
 	}
-	p.epoch = max(p.epoch, m.Roster.Epoch)
+	p.highestEpoch = max(p.highestEpoch, m.Roster.Epoch)
 	c.tickTakeover()
 	reply := &encoder.PeerCensusReply{Epoch: m.Roster.Epoch}
 	for _, sc := range c.sidecars {
 		lost := timer.Millis(0)
 		if sc.session == 0 {
-			lost = c.now - sc.down
+			lost = c.now - sc.disconnectedAt
 		}
 		reply.Sidecars = append(reply.Sidecars, encoder.KnownSidecar{Member: sc.hello.Member, Lost: lost})
 	}
-	for _, list := range []map[encoder.Member]timer.Millis{c.gone, c.takeover.missing} {
+	for _, list := range []map[encoder.Member]timer.Millis{c.lostSidecars, c.takeover.missingEvidence} {
 		for m, at := range list {
-			if m != unknownSidecars {
+			if m != unlistedSidecars {
 				reply.Sidecars = append(reply.Sidecars, encoder.KnownSidecar{Member: m, Lost: c.now - at})
 			}
 		}
 	}
-	if last, doubts := c.doubts(); doubts {
-		reply.Sidecars = append(reply.Sidecars, encoder.KnownSidecar{Member: unknownSidecars, Lost: c.now - last})
+	if lastStart, mayMiss := c.mayMissSidecars(); mayMiss {
+		reply.Sidecars = append(reply.Sidecars, encoder.KnownSidecar{Member: unlistedSidecars, Lost: c.now - lastStart})
 	}
 	add := func(key string, first timer.Millis) {
 		owner, ok := elector.Owner(m.Roster, key)
 		if !ok || owner.Member != p.member {
 			return
 		}
-		if reply.Jobs = append(reply.Jobs, encoder.KnownJob{Key: key, Age: c.now - first}); len(reply.Jobs) == keysPerMessage {
+		if reply.Jobs = append(reply.Jobs, encoder.KnownJob{Key: key, Age: c.now - first}); len(reply.Jobs) == maxKeysPerMessage {
 			c.send(id, reply)
 			reply = &encoder.PeerCensusReply{Epoch: m.Roster.Epoch}
 		}
 	}
-	for key, passed := range c.passed {
-		if c.passedBeside(key, p.member) {
-			add(key, passed.at)
+	for key, passed := range c.knownOwners {
+		if c.mayHaveOtherOwner(key, p.member) {
+			add(key, passed.firstSeen)
 		}
 	}
-	for key, s := range c.jobs {
-		if s.state != stateHeld {
-			add(key, s.first)
+	for key, s := range c.submissions {
+		if s.state != submissionHeld {
+			add(key, s.firstSeen)
 		}
 	}
-	for key := range c.kept.byKey {
-		if !c.claims.seen.has(c.hash(key)) {
+	for key := range c.answerCache.byKey {
+		if !c.claims.loggedKeys.has(c.hashKey(key)) {
 			add(key, 0) // the others learn of the older keys from the claims
 		}
 	}
@@ -237,48 +237,48 @@
 	c.send(id, reply)
 }
 
-func (c *Core) peerCensusReply(p *peer, m *encoder.PeerCensusReply) {
+func (c *Core) handlePeerCensusReply(p *peer, m *encoder.PeerCensusReply) {
 	if m.Epoch != c.roster.Epoch {
 		c.counters.Ignored++
 		return
 	}
 	t := &c.takeover
-	if t.keys == nil {
-		t.keys, t.reported = map[string]reportedKey{}, map[encoder.Member]timer.Millis{}
+	if t.reportedKeys == nil {
+		t.reportedKeys, t.reportedSidecars = map[string]reportedKey{}, map[encoder.Member]timer.Millis{}
 	}
 	for _, k := range m.Jobs {
 		// The peer measured the age after this entry adopted the roster, so the key is no older than this.
-		first := t.adopted - k.Age
-		if old, ok := t.keys[k.Key]; ok {
-			first = min(first, old.first)
+		first := t.adoptedAt - k.Age
+		if old, ok := t.reportedKeys[k.Key]; ok {
+			first = min(first, old.firstSeen)
 		}
-		t.keys[k.Key] = reportedKey{first: first, at: c.now}
+		t.reportedKeys[k.Key] = reportedKey{firstSeen: first, reportedAt: c.now}
 	}
 	for _, sc := range m.Sidecars {
-		if sc.Member == unknownSidecars {
-			p.doubts, p.doubted = m.Epoch, c.now-sc.Lost
+		if sc.Member == unlistedSidecars {
+			p.incompleteEpoch, p.lastUnlistedStart = m.Epoch, c.now-sc.Lost
 		} else {
-			t.reported[sc.Member] = max(t.reported[sc.Member], c.now-sc.Lost)
+			t.reportedSidecars[sc.Member] = max(t.reportedSidecars[sc.Member], c.now-sc.Lost)
 		}
 	}
 	if m.Last {
-		p.census = m.Epoch
+		p.censusEpoch = m.Epoch
 		c.tickTakeover()
 	}
 }
 
 // adoptFromPeer takes over a roster that the log has not shown to this entry yet. Rosters between may have been missed,
 // so every key counts as owned by another entry in the meantime.
-func (c *Core) adoptFromPeer(r encoder.Roster) {
-	c.takeover.past = append(c.takeover.past, pastRoster{encoder.Roster{}, c.now})
-	c.takeover.chain = append(c.takeover.chain, encoder.Roster{Epoch: c.roster.Epoch})
-	c.takeover.handed = nil
-	c.folded = r
+func (c *Core) adoptRosterAfterGap(r encoder.Roster) {
+	c.takeover.pastRosters = append(c.takeover.pastRosters, pastRoster{encoder.Roster{}, c.now})
+	c.takeover.unsettledRosters = append(c.takeover.unsettledRosters, encoder.Roster{Epoch: c.roster.Epoch})
+	c.takeover.handovers = nil
+	c.foldedRoster = r
 	c.adopt(r)
 }
 
 // handOver gives a submission of this leaving entry to its next owner.
-func (c *Core) handOver(s *submission, job encoder.Job, certain bool) {
+func (c *Core) handOverSubmission(s *submission, job encoder.Job, certain bool) {
 	owner, ok := elector.Owner(c.roster, s.key)
 	if !ok {
 		return
@@ -294,7 +294,7 @@
 		switch t.state {
 		case taskDone:
 			started.Status, started.Body = encoder.StatusDone, t.body
-		case taskStarted, taskDoubt:
+		case taskStarted, taskInDoubt:
 		default:
 			continue
 		}
@@ -305,10 +305,10 @@
 
 // handOverAnswers gives the newest kept answers to the next owners of their keys.
 func (c *Core) handOverAnswers() {
-	order := c.kept.order
+	order := c.answerCache.order
 	bytes := 0
 	for i := len(order) - 1; i >= 0 && i >= len(order)-maxHandovers; i-- {
-		k := c.kept.byKey[order[i].key]
+		k := c.answerCache.byKey[order[i].key]
 		if bytes += k.size; bytes > maxHandoverBytes {
 			return
 		}
@@ -321,29 +321,29 @@
 }
 
 // takeHandover goes on with a submission of a leaving entry, or keeps its answer.
-func (c *Core) takeHandover(m *encoder.Handover) {
+func (c *Core) handleHandover(m *encoder.Handover) {
 	key := m.Job.Key
 	if m.Answer.State == encoder.JobComplete || m.Answer.State == encoder.JobFailed {
-		if _, ok := c.kept.byKey[key]; !ok && c.jobs[key] == nil {
-			c.keep(0, m.Answer) // without the job its content cannot be compared
+		if _, ok := c.answerCache.byKey[key]; !ok && c.submissions[key] == nil {
+			c.cacheAnswer(0, m.Answer) // without the job its content cannot be compared
 		}
 		return
 	}
-	if c.jobs[key] == nil {
-		h := handed{at: c.now}
+	if c.submissions[key] == nil {
+		record := handoverRecord{receivedAt: c.now}
 		for i := range m.Started {
 			if m.Started[i].Status == encoder.StatusRunning {
-				h.started = append(h.started, m.Started[i].Task.Index)
+				record.started = append(record.started, m.Started[i].Task.Index)
 			} else {
-				c.takeover.add(&m.Started[i], nil, c.now)
+				c.takeover.addEvidence(&m.Started[i], nil, c.now)
 			}
 		}
-		certain := m.Certain && c.owns(c.roster, key)
-		if certain && c.takeover.handed == nil {
-			c.takeover.handed = map[string]handed{}
+		certain := m.Certain && c.isOwner(c.roster, key)
+		if certain && c.takeover.handovers == nil {
+			c.takeover.handovers = map[string]handoverRecord{}
 		}
 		if certain {
-			c.takeover.handed[key] = h
+			c.takeover.handovers[key] = record
 		}
 	}
 	c.route(waiter{}, encoder.RequestSubmit, m.Job, 0)
--- a/dispatcher/charts.go
+++ b/dispatcher/charts.go
@@ -7,11 +7,11 @@
 )
 
 const (
-	stateHeld    = "held"
-	stateOpen    = "open"
-	stateClosing = "closing"
-	stateMoved   = "moved"
-	stateEnded   = "ended"
+	submissionHeld    = "held"
+	submissionOpen    = "open"
+	submissionClosing = "closing"
+	submissionMoved   = "moved"
+	submissionEnded   = "ended"
 
 	eventAdmit  = "admit"
 	eventClose  = "close"
@@ -21,7 +21,7 @@
 
 	taskQueued  = "queued"
 	taskStarted = "started"
-	taskDoubt   = "doubt"
+	taskInDoubt = "doubt"
 	taskDone    = "done"
 	taskFailed  = "failed"
 	taskUnknown = "unknown"
@@ -50,15 +50,15 @@
 
 var (
 	//go:embed submission.chart
-	submissionText string
+	submissionChartText string
 	//go:embed task.chart
-	taskText string
+	taskChartText string
 	//go:embed takeover.chart
-	takeoverText string
+	takeoverChartText string
 
-	submissionChart = interpreter.MustParse("submission.chart", submissionText)
-	taskChart       = interpreter.MustParse("task.chart", taskText)
-	takeoverChart   = interpreter.MustParse("takeover.chart", takeoverText)
+	submissionChart = interpreter.MustParse("submission.chart", submissionChartText)
+	taskChart       = interpreter.MustParse("task.chart", taskChartText)
+	takeoverChart   = interpreter.MustParse("takeover.chart", takeoverChartText)
 )
 
 // step moves state along the chart. It returns false and changes nothing when the chart refuses the event, as it does
--- a/dispatcher/core.go
+++ b/dispatcher/core.go
@@ -21,13 +21,13 @@
 	// EffectDial asks for a lasting connection to the entry at Address.
 	EffectDial
 	// EffectHangUp ends the lasting connection to the entry at Address.
-	EffectHangUp
+	EffectDisconnect
 	// EffectClose closes Session, so that the dialing side replaces it.
-	EffectClose
+	EffectCloseSession
 	// EffectIncarnation says that the entry has a new incarnation, Member.
-	EffectIncarnation
+	EffectNewIncarnation
 	// EffectConfiguration sends the configuration as a PeerConfiguration on Session.
-	EffectConfiguration
+	EffectSendConfiguration
 )
 
 const (
@@ -65,45 +65,45 @@
 	Core struct {
 		settings Settings
 		self     encoder.Member
-		out      []Effect
-		unsent   []Effect // answers to peers that are sent again with the next tick
+		effects  []Effect
+		resends  []Effect // answers to peers that are sent again with the next tick
 		now      timer.Millis
 		seed     maphash.Seed
 		queue    scheduler.Scheduler
 
-		roster       encoder.Roster
-		folded       encoder.Roster // fold of the roster stream; ahead of roster before the first confirmation
-		joined       bool
-		draining     bool
-		left         bool // this entry's own leave, and no removal, took it out of the roster
-		joinTried    timer.Millis
-		removals     map[encoder.Member]timer.Millis
-		lastTag      uint64
-		domains      domains
-		confirmed    map[string]timer.Millis
-		peers        map[string]*peer
-		sessions     map[SessionID]*session
-		sidecars     map[string]*sidecar
-		gone         map[encoder.Member]timer.Millis
-		jobs         map[string]*submission
-		byDeadline   deadlines
-		delayed      []delayed
-		kept         kept
-		collect      collection
-		forwards     map[uint64]*forward
-		passed       map[string]pass
-		lastForward  uint64
-		claims       claims
-		takeover     takeover
-		decisions    decisions
-		lastPeers    timer.Millis
-		lastTick     timer.Millis
-		lastOutage   timer.Millis // when the log was last unreachable from here
-		lastForwards timer.Millis
-		lastSweep    timer.Millis
-		demanded     int
-		counters     Counters
-		received     MessageCounts
+		roster               encoder.Roster
+		foldedRoster         encoder.Roster // fold of the roster stream; ahead of roster before the first confirmation
+		joined               bool
+		draining             bool
+		leftVoluntarily      bool // this entry's own leave, and no removal, took it out of the roster
+		lastMembershipAppend timer.Millis
+		removalAttempts      map[encoder.Member]timer.Millis
+		lastTag              uint64
+		domainState          domainState
+		confirmations        map[string]timer.Millis
+		peers                map[string]*peer
+		sessions             map[SessionID]*session
+		sidecars             map[string]*sidecar
+		lostSidecars         map[encoder.Member]timer.Millis
+		submissions          map[string]*submission
+		byDeadline           deadlineHeap
+		delayedTasks         []delayedTask
+		answerCache          answerCache
+		collected            collectedQueue
+		forwards             map[uint64]*forward
+		knownOwners          map[string]knownOwner
+		lastForwardID        uint64
+		claims               claimQueue
+		takeover             takeover
+		publications         publicationTracker
+		lastPeerPing         timer.Millis
+		lastTick             timer.Millis
+		lastOutage           timer.Millis // when the log was last unreachable from here
+		lastForwardTick      timer.Millis
+		lastSweep            timer.Millis
+		totalReportedDemand  int
+		counters             Counters
+		receivedCounts       MessageCounts
 	}
 
 	// Counters count events since the start of the process.
@@ -127,19 +127,19 @@
 	s = s.withDefaults()
 	c := &Core{
 		settings: s, self: s.Member, seed: maphash.MakeSeed(),
-		removals: map[encoder.Member]timer.Millis{}, confirmed: map[string]timer.Millis{}, peers: map[string]*peer{},
-		sessions: map[SessionID]*session{}, sidecars: map[string]*sidecar{}, gone: map[encoder.Member]timer.Millis{},
-		jobs: map[string]*submission{}, forwards: map[uint64]*forward{}, passed: map[string]pass{},
+		removalAttempts: map[encoder.Member]timer.Millis{}, confirmations: map[string]timer.Millis{}, peers: map[string]*peer{},
+		sessions: map[SessionID]*session{}, sidecars: map[string]*sidecar{}, lostSidecars: map[encoder.Member]timer.Millis{},
+		submissions: map[string]*submission{}, forwards: map[uint64]*forward{}, knownOwners: map[string]knownOwner{},
 	}
 	c.takeover.state = takeoverChart.Start()
 	return c
 }
 
 // Take returns the effects since the last call. The slice is valid until the next call of a method of the core.
-func (c *Core) Take() []Effect {
-	out := c.out
-	if c.out = c.out[:0]; cap(c.out) > maxEffectBuffer {
-		c.out = nil // a burst is not kept in memory
+func (c *Core) TakeEffects() []Effect {
+	out := c.effects
+	if c.effects = c.effects[:0]; cap(c.effects) > maxEffectBuffer {
+		c.effects = nil // a burst is not kept in memory
 	}
 	return out
 }
@@ -154,35 +154,35 @@
 func (c *Core) Counters() Counters { return c.counters }
 
 // Message handles a message from a session.
-func (c *Core) Message(now timer.Millis, id SessionID, m encoder.Message) {
+func (c *Core) HandleMessage(now timer.Millis, id SessionID, m encoder.Message) {
 	c.now = now
 	s := c.sessions[id]
 	switch {
 	case s == nil:
 		c.counters.Ignored++ // the session ended before the message was handled
 	case s.sidecar != nil:
-		c.received[encoder.TypeOf(m)]++
-		c.fromSidecar(s.sidecar, m)
-		c.place()
+		c.receivedCounts[encoder.TypeOf(m)]++
+		c.handleSidecarMessage(s.sidecar, m)
+		c.placeTasks()
 	default:
-		c.fromPeer(s, m)
+		c.handlePeerMessage(s, m)
 	}
 }
 
 // Up handles a new session. For a peer the hello has at least role, member and address.
-func (c *Core) Up(now timer.Millis, id SessionID, h encoder.Hello) {
+func (c *Core) SessionOpened(now timer.Millis, id SessionID, h encoder.Hello) {
 	c.now = now
 	switch h.Role {
 	case encoder.RoleSidecar:
-		c.sidecarUp(id, h)
-		c.place()
+		c.sidecarConnected(id, h)
+		c.placeTasks()
 	case encoder.RoleEntry:
-		c.peerUp(id, h)
+		c.peerConnected(id, h)
 	}
 }
 
 // Down handles the end of a session.
-func (c *Core) Down(now timer.Millis, id SessionID) {
+func (c *Core) SessionClosed(now timer.Millis, id SessionID) {
 	c.now = now
 	s := c.sessions[id]
 	if s == nil {
@@ -190,24 +190,24 @@
 	}
 	delete(c.sessions, id)
 	if s.sidecar != nil {
-		c.sidecarDown(s)
+		c.sidecarDisconnected(s)
 	} else {
-		c.peerDown(s)
+		c.peerDisconnected(s)
 	}
 }
 
 // Unsent handles a message that surely did not leave the process.
-func (c *Core) Unsent(now timer.Millis, id SessionID, m encoder.Message) {
+func (c *Core) MessageNotSent(now timer.Millis, id SessionID, m encoder.Message) {
 	c.now = now
 	switch m := m.(type) {
 	case *encoder.Start:
-		c.startUnsent(id, m)
+		c.startNotSent(id, m)
 	case *encoder.Forward:
-		c.forwardUnsent(m.ID)
+		c.forwardNotSent(m.ID)
 	case *encoder.ForwardAnswer:
 		// The peer asks again only on a new session, so the answer is sent again on this one.
 		if c.sessions[id] != nil {
-			c.unsent = append(c.unsent, Effect{Kind: EffectSend, Session: id, Message: m})
+			c.resends = append(c.resends, Effect{Kind: EffectSend, Session: id, Message: m})
 		}
 	}
 }
@@ -218,48 +218,48 @@
 	if !c.logReachable() {
 		c.lastOutage = now
 	}
-	c.out = append(c.out, c.unsent...)
-	c.unsent = nil
-	c.expire()
-	c.releaseDelayed()
+	c.effects = append(c.effects, c.resends...)
+	c.resends = nil
+	c.expireDeadlines()
+	c.requeueDelayed()
 	c.flushClaims()
 	c.flushCollected()
-	if now-c.lastForwards >= forwardPeriod/2 {
-		c.lastForwards = now
+	if now-c.lastForwardTick >= forwardRetryInterval/2 {
+		c.lastForwardTick = now
 		c.tickForwards()
 	}
 	c.tickPeers()
 	c.tickRoster()
 	c.tickTakeover()
-	c.tickDecisions()
-	if now-c.lastSweep >= sweepPeriod {
+	c.tickPublications()
+	if now-c.lastSweep >= cleanupInterval {
 		c.lastSweep = now
-		c.sweep()
+		c.removeExpired()
 	}
-	c.place()
-	c.tellDemand()
+	c.placeTasks()
+	c.sendDemand()
 }
 
 // sweep drops what has outlived its use.
-func (c *Core) sweep() {
-	c.sweepSidecars()
-	c.sweepAnswers()
-	c.sweepForwards()
-	c.claims.seen.sweep(c.now, c.settings.KeyRetention)
+func (c *Core) removeExpired() {
+	c.removeLostSidecars()
+	c.removeExpiredAnswers()
+	c.removeExpiredOwners()
+	c.claims.loggedKeys.rotateIfDue(c.now, c.settings.KeyRetention)
 }
 
 func (c *Core) send(id SessionID, m encoder.Message) {
-	c.out = append(c.out, Effect{Kind: EffectSend, Session: id, Message: m})
+	c.effects = append(c.effects, Effect{Kind: EffectSend, Session: id, Message: m})
 }
 
 func (c *Core) appendRecord(stream string, body []byte) uint64 {
 	c.lastTag++
-	c.out = append(c.out, Effect{Kind: EffectAppend, Stream: stream, Tag: c.lastTag, Body: body})
+	c.effects = append(c.effects, Effect{Kind: EffectAppend, Stream: stream, Tag: c.lastTag, Body: body})
 	return c.lastTag
 }
 
 // owns reports whether this incarnation owns the key under r.
-func (c *Core) owns(r encoder.Roster, key string) bool {
+func (c *Core) isOwner(r encoder.Roster, key string) bool {
 	owner, ok := elector.Owner(r, key)
 	return ok && owner.Member == c.self
 }
--- a/dispatcher/core_test.go
+++ b/dispatcher/core_test.go
@@ -10,27 +10,27 @@
 )
 
 // bench drives one core with one sidecar by hand.
-type bench struct {
-	t    testing.TB
-	core *Core
-	now  timer.Millis
-	sent []encoder.Message
-	got  map[uint64]encoder.Answer
+type testBench struct {
+	t       testing.TB
+	core    *Core
+	now     timer.Millis
+	sent    []encoder.Message
+	answers map[uint64]encoder.Answer
 }
 
 const sidecarSession SessionID = 100
 
-func newBench(t testing.TB, s Settings) *bench {
+func newTestBench(t testing.TB, s Settings) *testBench {
 	s.Member = encoder.Member{ID: "a", Incarnation: 1}
-	b := &bench{t: t, core: New(s), now: timer.Minute, got: map[uint64]encoder.Answer{}}
-	b.confirm()
+	b := &testBench{t: t, core: New(s), now: timer.Minute, answers: map[uint64]encoder.Answer{}}
+	b.confirmStreams()
 	b.core.RosterRecord(b.now, 0, elector.Change{
 		Kind: elector.ChangeJoin, Entry: encoder.RosterEntry{Member: s.Member, Address: "a"},
 	})
-	b.core.Up(b.now, sidecarSession, hello("s", 1))
-	b.core.Message(b.now, sidecarSession, &encoder.CensusReply{Epoch: 1, Last: true})
-	b.core.Message(b.now, sidecarSession, &encoder.Grant{Credits: 2})
-	b.take()
+	b.core.SessionOpened(b.now, sidecarSession, hello("s", 1))
+	b.core.HandleMessage(b.now, sidecarSession, &encoder.CensusReply{Epoch: 1, Last: true})
+	b.core.HandleMessage(b.now, sidecarSession, &encoder.Grant{Credits: 2})
+	b.takeEffects()
 	return b
 }
 
@@ -49,36 +49,36 @@
 	return j
 }
 
-func (b *bench) confirm() {
+func (b *testBench) confirmStreams() {
 	for _, stream := range []string{StreamConfiguration, StreamRoster, StreamClaims} {
-		b.core.Confirmed(b.now, stream, b.now)
+		b.core.StreamConfirmed(b.now, stream, b.now)
 	}
 }
 
-func (b *bench) take() {
-	for _, f := range b.core.Take() {
+func (b *testBench) takeEffects() {
+	for _, f := range b.core.TakeEffects() {
 		switch f.Kind {
 		case EffectSend:
 			b.sent = append(b.sent, f.Message)
 		case EffectAnswer:
-			b.got[f.Request] = f.Answer
+			b.answers[f.Request] = f.Answer
 		}
 	}
 }
 
-func (b *bench) message(m encoder.Message) {
-	b.core.Message(b.now, sidecarSession, m)
-	b.take()
+func (b *testBench) message(m encoder.Message) {
+	b.core.HandleMessage(b.now, sidecarSession, m)
+	b.takeEffects()
 }
 
-func (b *bench) tick(d timer.Millis) {
+func (b *testBench) tick(d timer.Millis) {
 	b.now += d
 	b.core.Tick(b.now)
-	b.take()
+	b.takeEffects()
 }
 
 // starts returns the indices of the tasks that were started since the last call.
-func (b *bench) starts() []uint32 {
+func (b *testBench) starts() []uint32 {
 	var list []uint32
 	for _, m := range b.sent {
 		if s, ok := m.(*encoder.Start); ok {
@@ -116,34 +116,34 @@
 		{"not started is placed again", []any{status(0, encoder.StatusNotStarted), done(1), done(2), done(0)}, encoder.JobComplete, 0, encoder.OutcomeRan},
 		{"refused is placed again", []any{refuse(0, encoder.RefusalDuplicate), refuse(1, encoder.RefusalClaimTimeout), done(0), done(2), done(1)}, encoder.JobComplete, 0, encoder.OutcomeRan},
 		{"refusal after result", []any{done(0), refuse(0, encoder.RefusalStaleEpoch), done(1), done(2)}, encoder.JobComplete, 0, encoder.OutcomeRan},
-		{"deadline while running", []any{func(b *bench) { b.tick(timer.Minute) }}, encoder.JobFailed, encoder.CodeDeadline, encoder.OutcomeUnknown},
+		{"deadline while running", []any{func(b *testBench) { b.tick(timer.Minute) }}, encoder.JobFailed, encoder.CodeDeadline, encoder.OutcomeUnknown},
 		{"refused for the deadline", []any{refuse(0, encoder.RefusalDeadline), refuse(1, encoder.RefusalDeadline)}, encoder.JobFailed, encoder.CodeDeadline, encoder.OutcomeNotRun},
-		{"canceled while running", []any{func(b *bench) { b.core.Cancel(b.now, 9, "k") }, refuse(0, encoder.RefusalCanceled), refuse(1, encoder.RefusalCanceled)}, encoder.JobFailed, encoder.CodeCanceled, encoder.OutcomeNotRun},
-		{"canceled and ran", []any{func(b *bench) { b.core.Cancel(b.now, 9, "k") }, done(0), refuse(1, encoder.RefusalCanceled)}, encoder.JobFailed, encoder.CodeCanceled, encoder.OutcomeRan},
-		{"session lost", []any{func(b *bench) { b.core.Down(b.now, sidecarSession) }}, 0, 0, 0},
-		{"sidecar lost", []any{func(b *bench) { b.core.Down(b.now, sidecarSession); b.tick(11 * timer.Second) }}, encoder.JobFailed, encoder.CodeUnknown, encoder.OutcomeUnknown},
-		{"sidecar restarted", []any{func(b *bench) { b.core.Up(b.now, 101, hello("s", 2)) }}, encoder.JobFailed, encoder.CodeUnknown, encoder.OutcomeUnknown},
+		{"canceled while running", []any{func(b *testBench) { b.core.Cancel(b.now, 9, "k") }, refuse(0, encoder.RefusalCanceled), refuse(1, encoder.RefusalCanceled)}, encoder.JobFailed, encoder.CodeCanceled, encoder.OutcomeNotRun},
+		{"canceled and ran", []any{func(b *testBench) { b.core.Cancel(b.now, 9, "k") }, done(0), refuse(1, encoder.RefusalCanceled)}, encoder.JobFailed, encoder.CodeCanceled, encoder.OutcomeRan},
+		{"session lost", []any{func(b *testBench) { b.core.SessionClosed(b.now, sidecarSession) }}, 0, 0, 0},
+		{"sidecar lost", []any{func(b *testBench) { b.core.SessionClosed(b.now, sidecarSession); b.tick(11 * timer.Second) }}, encoder.JobFailed, encoder.CodeUnknown, encoder.OutcomeUnknown},
+		{"sidecar restarted", []any{func(b *testBench) { b.core.SessionOpened(b.now, 101, hello("s", 2)) }}, encoder.JobFailed, encoder.CodeUnknown, encoder.OutcomeUnknown},
 	}
 	for _, tt := range tests {
-		b := newBench(t, Settings{})
+		b := newTestBench(t, Settings{})
 		j := job("k", 3)
 		j.Deadline = 30 * timer.Second
 		b.core.Submit(b.now, 1, j)
-		b.take()
+		b.takeEffects()
 		if got := len(b.starts()); got != 2 {
 			t.Fatalf("%s: %d tasks started with 2 credits", tt.name, got)
 		}
 		for _, s := range tt.steps {
 			switch s := s.(type) {
-			case func(b *bench):
+			case func(b *testBench):
 				s(b)
-				b.take()
+				b.takeEffects()
 			default:
 				b.message(s)
 			}
 			b.tick(5)
 		}
-		got := b.got[1]
+		got := b.answers[1]
 		if got.State != tt.state || got.Code != tt.code || got.Outcome != tt.outcome {
 			t.Errorf("%s: got state %d code %d outcome %d (%s), want %d %d %d", tt.name, got.State, got.Code, got.Outcome,
 				got.Reason, tt.state, tt.code, tt.outcome)
@@ -184,10 +184,10 @@
 	}
 	for _, tt := range tests {
 		var got []string
-		b := newBench(t, Settings{OnTask: func(r TaskReport) { got = append(got, fmt.Sprint(r)) }})
+		b := newTestBench(t, Settings{OnTask: func(r TaskReport) { got = append(got, fmt.Sprint(r)) }})
 		b.core.sidecars["s"].hello.Worker = "w"
 		for range tt.learnt {
-			b.core.queue.Finished("s", b.core.queued(&submission{specs: job("", 1).Tasks}, 0), encoder.StatusDone, 100)
+			b.core.queue.Finished("s", b.core.schedulerTask(&submission{specs: job("", 1).Tasks}, 0), encoder.StatusDone, 100)
 		}
 		j := job("k", 2)
 		j.Tasks[0].RunTime = tt.declared
@@ -196,7 +196,7 @@
 			b.message(m)
 		}
 		if tt.restart {
-			b.core.Up(b.now, 101, hello("s", 2))
+			b.core.SessionOpened(b.now, 101, hello("s", 2))
 		}
 		if fmt.Sprint(got) != fmt.Sprint(tt.want) {
 			t.Errorf("%s: got %v, want %v", tt.name, got, tt.want)
--- a/dispatcher/decision.go
+++ b/dispatcher/decision.go
@@ -19,11 +19,11 @@
 )
 
 const (
-	acceptWait       = 3 * timer.Second
-	foldsKept        = 1000
-	provisionalRetry = timer.Second
+	acceptanceTimeout        = 3 * timer.Second
+	maxFoldedFindings        = 1000
+	provisionalRetryInterval = timer.Second
 	// otherRecorder is how long a provisional withdrawal that a peer told of waits for that peer to record it.
-	otherRecorder = 2 * timer.Second
+	peerRecordTimeout = 2 * timer.Second
 )
 
 type (
@@ -45,19 +45,19 @@
 	}
 
 	// decisions are the operators' changes on their way into the log.
-	decisions struct {
-		open      map[uint64]*decision // by append tag
-		folds     map[uint64][]configurer.Finding
-		published []Published
+	publicationTracker struct {
+		pending        map[uint64]*pendingPublication // by append tag
+		foldedFindings map[uint64][]configurer.Finding
+		published      []Published
 	}
 
-	decision struct {
-		request uint64
-		domain  string // set for withdrawals
-		author  string
-		offset  uint64
-		inLog   bool
-		begun   timer.Millis
+	pendingPublication struct {
+		request   uint64
+		domain    string // set for withdrawals
+		author    string
+		offset    uint64
+		inLog     bool
+		startedAt timer.Millis
 	}
 )
 
@@ -71,9 +71,9 @@
 }
 
 // Published returns the publications that were decided since the last call.
-func (c *Core) Published() []Published {
-	p := c.decisions.published
-	c.decisions.published = nil
+func (c *Core) TakePublished() []Published {
+	p := c.publications.published
+	c.publications.published = nil
 	return p
 }
 
@@ -81,45 +81,45 @@
 // which is obeyed provisionally when it cannot be recorded now.
 func (c *Core) Publish(now timer.Millis, request uint64, record []byte, domain, author string) {
 	c.now = now
-	if !c.mayDecide() {
+	if !c.hasLogQuorum() {
 		if domain != "" {
 			c.withdrawProvisionally(domain, author)
-			c.publish(request, Publication{State: PublicationProvisional, Lagging: c.lagging(0)})
+			c.addPublished(request, Publication{State: PublicationProvisional, Lagging: c.lagging(0)})
 			return
 		}
-		c.publish(request, Publication{State: PublicationRefused, Findings: []configurer.Finding{{
+		c.addPublished(request, Publication{State: PublicationRefused, Findings: []configurer.Finding{{
 			Place: "log", Text: "less than half of the entries report the log as reachable",
 		}}})
 		return
 	}
-	if c.decisions.open == nil {
-		c.decisions.open = map[uint64]*decision{}
+	if c.publications.pending == nil {
+		c.publications.pending = map[uint64]*pendingPublication{}
 	}
 	tag := c.appendRecord(StreamConfiguration, record)
-	c.decisions.open[tag] = &decision{request: request, domain: domain, author: author, begun: now}
+	c.publications.pending[tag] = &pendingPublication{request: request, domain: domain, author: author, startedAt: now}
 }
 
-func (c *Core) publish(request uint64, p Publication) {
-	c.decisions.published = append(c.decisions.published, Published{request, p})
+func (c *Core) addPublished(request uint64, p Publication) {
+	c.publications.published = append(c.publications.published, Published{request, p})
 }
 
-func (c *Core) decisionAppended(tag, offset uint64, ok, unknown bool) {
-	for name, p := range c.domains.provisional {
-		if p.tag == tag {
-			p.tag = 0
-			c.domains.provisional[name] = p
+func (c *Core) publicationAppended(tag, offset uint64, ok, unknown bool) {
+	for name, p := range c.domainState.provisional {
+		if p.appendTag == tag {
+			p.appendTag = 0
+			c.domainState.provisional[name] = p
 		}
 	}
-	d := c.decisions.open[tag]
+	d := c.publications.pending[tag]
 	if d == nil {
 		return
 	}
 	if ok {
 		d.inLog, d.offset = true, offset
-		c.tickDecisions()
+		c.tickPublications()
 		return
 	}
-	delete(c.decisions.open, tag)
+	delete(c.publications.pending, tag)
 	p := Publication{State: PublicationUnknown, Findings: []configurer.Finding{{
 		Place: "log", Text: "the outcome of the append is not known",
 	}}}
@@ -132,62 +132,62 @@
 		c.withdrawProvisionally(d.domain, d.author)
 		p = Publication{State: PublicationProvisional, Lagging: c.lagging(0)}
 	}
-	c.publish(d.request, p)
+	c.addPublished(d.request, p)
 }
 
 // ConfigurationRecord reports what the fold found in the configuration record at offset.
 func (c *Core) ConfigurationRecord(now timer.Millis, offset uint64, findings []configurer.Finding) {
 	c.now = now
-	if c.decisions.folds == nil {
-		c.decisions.folds = map[uint64][]configurer.Finding{}
+	if c.publications.foldedFindings == nil {
+		c.publications.foldedFindings = map[uint64][]configurer.Finding{}
 	}
-	c.decisions.folds[offset] = findings
-	delete(c.decisions.folds, offset-foldsKept)
+	c.publications.foldedFindings[offset] = findings
+	delete(c.publications.foldedFindings, offset-maxFoldedFindings)
 }
 
 // tickDecisions answers operators whose change was folded and accepted, and records provisional withdrawals.
-func (c *Core) tickDecisions() {
-	for tag, d := range c.decisions.open {
+func (c *Core) tickPublications() {
+	for tag, d := range c.publications.pending {
 		if !d.inLog {
 			continue
 		}
-		findings, folded := c.decisions.folds[d.offset]
-		late := c.now-d.begun > acceptWait
+		findings, folded := c.publications.foldedFindings[d.offset]
+		timedOut := c.now-d.startedAt > acceptanceTimeout
 		p := Publication{Offset: d.offset, State: PublicationRecorded, Lagging: c.lagging(d.offset + 1)}
 		switch {
 		case folded && len(findings) > 0:
 			p = Publication{Offset: d.offset, State: PublicationRefused, Findings: findings}
-		case folded && c.accepted(d.offset+1):
+		case folded && c.isAccepted(d.offset+1):
 			p.State = PublicationAccepted
-		case !late:
+		case !timedOut:
 			continue
 		}
-		delete(c.decisions.open, tag)
-		c.publish(d.request, p)
+		delete(c.publications.pending, tag)
+		c.addPublished(d.request, p)
 	}
 	if c.settings.WithdrawRecord == nil {
 		return
 	}
-	for name, p := range c.domains.provisional {
-		wait := provisionalRetry
-		if p.author == "" && p.tried == 0 {
-			wait, p.tried = otherRecorder, p.since
+	for name, p := range c.domainState.provisional {
+		wait := provisionalRetryInterval
+		if p.author == "" && p.lastAttempt == 0 {
+			wait, p.lastAttempt = peerRecordTimeout, p.startedAt
 		}
-		if p.tag != 0 || p.tried != 0 && c.now-p.tried < wait || !c.mayDecide() {
+		if p.appendTag != 0 || p.lastAttempt != 0 && c.now-p.lastAttempt < wait || !c.hasLogQuorum() {
 			continue
 		}
-		p.tried = c.now
-		p.tag = c.appendRecord(StreamConfiguration, c.settings.WithdrawRecord(name, p.author))
-		c.domains.provisional[name] = p
+		p.lastAttempt = c.now
+		p.appendTag = c.appendRecord(StreamConfiguration, c.settings.WithdrawRecord(name, p.author))
+		c.domainState.provisional[name] = p
 	}
 }
 
 func (c *Core) withdrawProvisionally(domain, author string) {
-	if c.domains.provisional == nil {
-		c.domains.provisional = map[string]provisional{}
+	if c.domainState.provisional == nil {
+		c.domainState.provisional = map[string]provisionalWithdrawal{}
 	}
-	if old, ok := c.domains.provisional[domain]; !ok || old.author == "" {
-		c.domains.provisional[domain] = provisional{author: author, since: c.now}
+	if old, ok := c.domainState.provisional[domain]; !ok || old.author == "" {
+		c.domainState.provisional[domain] = provisionalWithdrawal{author: author, startedAt: c.now}
 	}
 	c.applyDomains()
 	for _, p := range c.peers {
@@ -197,24 +197,24 @@
 
 // adoptProvisional obeys a withdrawal that a peer told of, unless this entry has seen it recorded since.
 func (c *Core) adoptProvisional(domain string, offset uint64) {
-	if _, ok := c.domains.provisional[domain]; ok || offset < c.domains.resolved[domain] {
+	if _, ok := c.domainState.provisional[domain]; ok || offset < c.domainState.recordedOffsets[domain] {
 		return
 	}
-	if c.domains.inForce != nil && !c.domains.inForce(domain) {
+	if c.domainState.inForce != nil && !c.domainState.inForce(domain) {
 		return
 	}
-	if len(c.domains.provisional) < maxProvisional {
+	if len(c.domainState.provisional) < maxProvisional {
 		c.withdrawProvisionally(domain, "")
 	}
 }
 
 // resolveProvisional ends a provisional withdrawal that is in the log now. Peers that are behind do not renew it.
-func (c *Core) resolveProvisional(domain string) {
-	delete(c.domains.provisional, domain)
-	if c.domains.resolved == nil {
-		c.domains.resolved = map[string]uint64{}
+func (c *Core) endProvisional(domain string) {
+	delete(c.domainState.provisional, domain)
+	if c.domainState.recordedOffsets == nil {
+		c.domainState.recordedOffsets = map[string]uint64{}
 	}
-	c.domains.resolved[domain] = c.domains.offset
+	c.domainState.recordedOffsets[domain] = c.domainState.offset
 }
 
 // lagging counts the members and sidecars that are not known to have the configuration offset.
@@ -222,12 +222,12 @@
 	count := 0
 	for _, e := range c.roster.Entries {
 		p := c.peers[e.Member.ID]
-		if e.Member != c.self && (p == nil || !p.valid(c.now, e.Member) || p.report.ConfigOffset < offset) {
+		if e.Member != c.self && (p == nil || !p.hasValidReport(c.now, e.Member) || p.report.ConfigOffset < offset) {
 			count++
 		}
 	}
 	for _, sc := range c.sidecars {
-		if sc.session == 0 || sc.offset < offset {
+		if sc.session == 0 || sc.configOffset < offset {
 			count++
 		}
 	}
--- a/dispatcher/entry.go
+++ b/dispatcher/entry.go
@@ -19,16 +19,16 @@
 )
 
 const (
-	tickPeriod = 5 * time.Millisecond
-	eventQueue = 8192
+	tickInterval   = 5 * time.Millisecond
+	eventQueueSize = 8192
 	// eventBatch bounds the events that are handled before their effects are performed.
-	eventBatch = 256
+	maxEventBatch = 256
 	// tailWait bounds the age of a confirmation: a read at the head waits that long for a record.
-	tailWait = 150 * timer.Millisecond
+	tailReadWait = 150 * timer.Millisecond
 	// claimsHistory is the number of claims records that a new entry reads.
-	claimsHistory = 50_000
-	historyKept   = 1000
-	teamPrefix    = "team/"
+	claimsHistoryLength = 50_000
+	maxHistory          = 1000
+	teamPrefix          = "team/"
 )
 
 type (
@@ -49,35 +49,35 @@
 		// block. May be nil.
 		OnTask func(TaskReport)
 
-		once     sync.Once
-		events   chan event
-		stopped  chan struct{}
-		requests atomic.Uint64
-		member   atomic.Pointer[encoder.Member]
-		roster   atomic.Pointer[encoder.Roster]
-		takeover string // last logged state
-		address  string
+		once           sync.Once
+		events         chan event
+		stopped        chan struct{}
+		lastRequest    atomic.Uint64
+		member         atomic.Pointer[encoder.Member]
+		roster         atomic.Pointer[encoder.Roster]
+		loggedTakeover string // last logged state
+		address        string
 
 		// The fields below belong to the control goroutine.
-		core     *Core
-		node     *messenger.Node
-		run      context.Context
-		sessions map[SessionID]*messenger.Session
-		ids      map[*messenger.Session]SessionID
-		last     SessionID
-		dialed   map[string]context.CancelFunc
-		answers  map[uint64]chan encoder.Answer
-		changes  map[uint64]chan Publication
-		replay   configurer.Replay
-		snapshot configurer.Snapshot
-		rosters  elector.Replay
+		core                *Core
+		node                *messenger.Node
+		runCtx              context.Context
+		sessions            map[SessionID]*messenger.Session
+		sessionIDs          map[*messenger.Session]SessionID
+		lastSession         SessionID
+		dialCancels         map[string]context.CancelFunc
+		pendingAnswers      map[uint64]chan encoder.Answer
+		pendingPublications map[uint64]chan Publication
+		configurationReplay configurer.Replay
+		configuration       configurer.Snapshot
+		rosterReplay        elector.Replay
 
-		configurationCheckpoints checkpoints
-		rosterCheckpoints        checkpoints
+		configurationCheckpoints checkpointState
+		rosterCheckpoints        checkpointState
 
-		history []Change
-		drained chan struct{}
-		sent    MessageCounts
+		history    []Change
+		drained    chan struct{}
+		sentCounts MessageCounts
 	}
 
 	// Change is an operator's change in the log. Findings is empty when it is in force.
@@ -108,22 +108,22 @@
 )
 
 const (
-	eventUp eventKind = iota + 1
-	eventDown
+	eventSessionOpened eventKind = iota + 1
+	eventSessionClosed
 	eventMessage
 	eventSubmit
 	eventGet
 	eventCancel
 	eventAbandon
 	eventRecord
-	eventRead
-	eventAppended
+	eventReadDone
+	eventAppendDone
 	eventCall
 )
 
 func (e *Entry) init() {
 	e.once.Do(func() {
-		e.events = make(chan event, eventQueue)
+		e.events = make(chan event, eventQueueSize)
 		e.stopped = make(chan struct{})
 		if e.Logger == nil {
 			e.Logger = log.Log
@@ -143,11 +143,11 @@
 	}
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	e.run = ctx
+	e.runCtx = ctx
 	member := encoder.Member{ID: e.ID, Incarnation: e.Incarnation}
 	e.member.Store(&member)
 	e.roster.Store(&encoder.Roster{})
-	e.node = &messenger.Node{Hello: e.hello, Accept: e.accept, OnUp: e.up, OnMessage: e.message, OnDown: e.down, TLS: e.TLS}
+	e.node = &messenger.Node{Hello: e.hello, Accept: e.accept, OnUp: e.onSessionOpened, OnMessage: e.onMessage, OnDown: e.onSessionClosed, TLS: e.TLS}
 	bound, err := e.node.Listen(ctx, e.Listen)
 	if err != nil {
 		return trace.Wrap(err, "entry %s cannot listen", e.ID)
@@ -159,34 +159,34 @@
 	s.Member, s.Address, s.Domain, s.WithdrawRecord = member, e.address, e.Domain, e.withdrawRecord
 	s.OnTask = e.OnTask
 	e.core = New(s)
-	e.sessions, e.ids = map[SessionID]*messenger.Session{}, map[*messenger.Session]SessionID{}
-	e.dialed = map[string]context.CancelFunc{}
-	e.answers, e.changes = map[uint64]chan encoder.Answer{}, map[uint64]chan Publication{}
+	e.sessions, e.sessionIDs = map[SessionID]*messenger.Session{}, map[*messenger.Session]SessionID{}
+	e.dialCancels = map[string]context.CancelFunc{}
+	e.pendingAnswers, e.pendingPublications = map[uint64]chan encoder.Answer{}, map[uint64]chan Publication{}
 	e.Logger.Infof("entry: %s incarnation %d listens on %s as %s", e.ID, e.Incarnation, bound, e.address)
 	var tails sync.WaitGroup
 	for _, stream := range []string{StreamConfiguration, StreamRoster, StreamClaims} {
-		tails.Go(func() { e.follow(ctx, stream) })
+		tails.Go(func() { e.followStream(ctx, stream) })
 	}
 	defer tails.Wait()
 	defer cancel()
-	e.control(ctx)
+	e.controlLoop(ctx)
 	return nil
 }
 
 // control is the loop of the goroutine that owns the core.
-func (e *Entry) control(ctx context.Context) {
-	tick := time.NewTicker(tickPeriod)
+func (e *Entry) controlLoop(ctx context.Context) {
+	tick := time.NewTicker(tickInterval)
 	defer tick.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case ev := <-e.events:
-			e.handle(ev)
-			for n := 1; n < eventBatch; n++ {
+			e.handleEvent(ev)
+			for n := 1; n < maxEventBatch; n++ {
 				select {
 				case ev = <-e.events:
-					e.handle(ev)
+					e.handleEvent(ev)
 					continue
 				default:
 				}
@@ -195,49 +195,49 @@
 		case <-tick.C:
 			e.core.Tick(e.Clock.Now())
 		}
-		e.perform()
+		e.performEffects()
 	}
 }
 
-func (e *Entry) handle(ev event) {
+func (e *Entry) handleEvent(ev event) {
 	now := e.Clock.Now()
 	switch ev.kind {
-	case eventUp:
-		e.last++
-		e.sessions[e.last], e.ids[ev.session] = ev.session, e.last
-		e.core.Up(now, e.last, ev.hello)
-	case eventDown:
-		if id, ok := e.ids[ev.session]; ok {
+	case eventSessionOpened:
+		e.lastSession++
+		e.sessions[e.lastSession], e.sessionIDs[ev.session] = ev.session, e.lastSession
+		e.core.SessionOpened(now, e.lastSession, ev.hello)
+	case eventSessionClosed:
+		if id, ok := e.sessionIDs[ev.session]; ok {
 			delete(e.sessions, id)
-			delete(e.ids, ev.session)
-			e.core.Down(now, id)
+			delete(e.sessionIDs, ev.session)
+			e.core.SessionClosed(now, id)
 		}
 	case eventMessage:
 		if m, ok := ev.message.(*encoder.PeerConfiguration); ok {
 			e.adoptConfiguration(now, m)
-		} else if id, ok := e.ids[ev.session]; ok {
-			e.core.Message(now, id, ev.message)
+		} else if id, ok := e.sessionIDs[ev.session]; ok {
+			e.core.HandleMessage(now, id, ev.message)
 		}
 	case eventSubmit:
-		e.answers[ev.request] = ev.answer
+		e.pendingAnswers[ev.request] = ev.answer
 		e.core.Submit(now, ev.request, ev.job)
 	case eventGet:
-		e.answers[ev.request] = ev.answer
+		e.pendingAnswers[ev.request] = ev.answer
 		e.core.Get(now, ev.request, ev.job.Key)
 	case eventCancel:
-		e.answers[ev.request] = ev.answer
+		e.pendingAnswers[ev.request] = ev.answer
 		e.core.Cancel(now, ev.request, ev.job.Key)
 	case eventAbandon:
-		if _, ok := e.answers[ev.request]; ok {
-			delete(e.answers, ev.request)
+		if _, ok := e.pendingAnswers[ev.request]; ok {
+			delete(e.pendingAnswers, ev.request)
 			e.core.Abandon(now, ev.request, ev.job.Key)
 		}
 	case eventRecord:
-		e.record(now, ev.stream, ev.record)
-	case eventRead:
-		e.read(now, ev.stream, ev.progress)
-	case eventAppended:
-		e.core.Appended(now, ev.tag, ev.offset, ev.err == nil, ev.err != nil && appender.IsUnknown(ev.err))
+		e.handleRecord(now, ev.stream, ev.record)
+	case eventReadDone:
+		e.handleRead(now, ev.stream, ev.progress)
+	case eventAppendDone:
+		e.core.AppendDone(now, ev.tag, ev.offset, ev.err == nil, ev.err != nil && appender.IsUnknown(ev.err))
 		if ev.err != nil {
 			e.Logger.Warnf("entry: append to %s: %v", ev.stream, ev.err)
 		}
@@ -247,9 +247,9 @@
 }
 
 // perform carries out the effects of the core, and those that follow from messages that could not be sent.
-func (e *Entry) perform() {
+func (e *Entry) performEffects() {
 	for {
-		effects := e.core.Take()
+		effects := e.core.TakeEffects()
 		if len(effects) == 0 {
 			break
 		}
@@ -260,20 +260,20 @@
 				if s := e.sessions[f.Session]; s == nil || !s.Send(f.Message) {
 					unsent = append(unsent, *f)
 				} else {
-					e.sent[encoder.TypeOf(f.Message)]++
+					e.sentCounts[encoder.TypeOf(f.Message)]++
 				}
 				continue
 			}
-			e.performOther(f)
+			e.performEffect(f)
 		}
 		clear(effects)
 		for i := range unsent {
-			e.core.Unsent(e.Clock.Now(), unsent[i].Session, unsent[i].Message)
+			e.core.MessageNotSent(e.Clock.Now(), unsent[i].Session, unsent[i].Message)
 		}
 	}
-	for _, p := range e.core.Published() {
-		if ch := e.changes[p.Request]; ch != nil {
-			delete(e.changes, p.Request)
+	for _, p := range e.core.TakePublished() {
+		if ch := e.pendingPublications[p.Request]; ch != nil {
+			delete(e.pendingPublications, p.Request)
 			ch <- p.Publication
 		}
 	}
@@ -281,9 +281,9 @@
 		e.Logger.Infof("entry: roster has epoch %d and %d members", r.Epoch, len(r.Entries))
 		e.roster.Store(&r)
 	}
-	if state := e.core.takeover.state; state != e.takeover {
-		e.takeover = state
-		e.Logger.Infof("entry: takeover is %s%s", state, e.core.takeover.lost())
+	if state := e.core.takeover.state; state != e.loggedTakeover {
+		e.loggedTakeover = state
+		e.Logger.Infof("entry: takeover is %s%s", state, e.core.takeover.missingSummary())
 	}
 	if e.drained != nil && !e.core.joined && e.core.Idle() {
 		close(e.drained)
@@ -291,37 +291,37 @@
 	}
 }
 
-func (e *Entry) performOther(f *Effect) {
+func (e *Entry) performEffect(f *Effect) {
 	switch f.Kind {
 	case EffectAnswer:
-		if ch := e.answers[f.Request]; ch != nil {
-			delete(e.answers, f.Request)
+		if ch := e.pendingAnswers[f.Request]; ch != nil {
+			delete(e.pendingAnswers, f.Request)
 			ch <- f.Answer
 		}
 	case EffectAppend:
 		stream, tag, body := f.Stream, f.Tag, f.Body
 		go func() {
-			offset, err := e.Log.Append(e.run, stream, appender.NewID(), body)
-			e.post(event{kind: eventAppended, stream: stream, tag: tag, offset: offset, err: err})
+			offset, err := e.Log.Append(e.runCtx, stream, appender.NewID(), body)
+			e.post(event{kind: eventAppendDone, stream: stream, tag: tag, offset: offset, err: err})
 		}()
 	case EffectDial:
-		if e.dialed[f.Address] == nil {
-			ctx, cancel := context.WithCancel(e.run)
-			e.dialed[f.Address] = cancel
+		if e.dialCancels[f.Address] == nil {
+			ctx, cancel := context.WithCancel(e.runCtx)
+			e.dialCancels[f.Address] = cancel
 			e.node.Connect(ctx, f.Address)
 		}
-	case EffectHangUp:
-		if cancel := e.dialed[f.Address]; cancel != nil {
+	case EffectDisconnect:
+		if cancel := e.dialCancels[f.Address]; cancel != nil {
 			cancel()
-			delete(e.dialed, f.Address)
+			delete(e.dialCancels, f.Address)
 		}
-	case EffectClose:
+	case EffectCloseSession:
 		if s := e.sessions[f.Session]; s != nil {
 			s.Close()
 		}
-	case EffectConfiguration:
+	case EffectSendConfiguration:
 		e.sendConfiguration(e.sessions[f.Session])
-	case EffectIncarnation:
+	case EffectNewIncarnation:
 		member := f.Member
 		e.member.Store(&member)
 		e.Logger.Warnf("entry: removed from the roster; continues as incarnation %d", member.Incarnation)
@@ -349,7 +349,7 @@
 		known := make(chan struct{})
 		m := h.Member
 		if !e.post(event{kind: eventCall, call: func() {
-			e.core.Announce(e.Clock.Now(), m)
+			e.core.RegisterSidecar(e.Clock.Now(), m)
 			close(known)
 		}}) {
 			return encoder.HelloAck{}, trace.ConnectionProblem(nil, "entry %s has stopped", e.ID)
@@ -363,8 +363,12 @@
 	return encoder.HelloAck{Member: *e.member.Load(), Roster: *e.roster.Load()}, nil
 }
 
-func (e *Entry) up(s *messenger.Session)            { e.post(event{kind: eventUp, session: s, hello: s.Peer()}) }
-func (e *Entry) down(s *messenger.Session, _ error) { e.post(event{kind: eventDown, session: s}) }
-func (e *Entry) message(s *messenger.Session, m encoder.Message) {
+func (e *Entry) onSessionOpened(s *messenger.Session) {
+	e.post(event{kind: eventSessionOpened, session: s, hello: s.Peer()})
+}
+func (e *Entry) onSessionClosed(s *messenger.Session, _ error) {
+	e.post(event{kind: eventSessionClosed, session: s})
+}
+func (e *Entry) onMessage(s *messenger.Session, m encoder.Message) {
 	e.post(event{kind: eventMessage, session: s, message: m})
 }
--- a/dispatcher/entry_log.go
+++ b/dispatcher/entry_log.go
@@ -10,28 +10,28 @@
 )
 
 // record folds a record of the log.
-func (e *Entry) record(now timer.Millis, stream string, r appender.Record) {
+func (e *Entry) handleRecord(now timer.Millis, stream string, r appender.Record) {
 	switch stream {
 	case StreamConfiguration:
-		findings := e.replay.Add(r)
-		if r.Offset >= e.snapshot.Offset() {
+		findings := e.configurationReplay.Add(r)
+		if r.Offset >= e.configuration.Offset() {
 			// The outcome of a record that came with a peer's configuration is not known; its decision stays unknown.
 			e.core.ConfigurationRecord(now, r.Offset, findings)
 		}
 		if d, err := configurer.DecodeRecord(r.Body); err == nil && d.Kind == configurer.KindNote {
 			e.history = append(e.history, Change{Offset: r.Offset, Note: d.Note, Findings: findings})
-			if len(e.history) > 2*historyKept {
-				e.history = append([]Change(nil), e.history[historyKept:]...)
+			if len(e.history) > 2*maxHistory {
+				e.history = append([]Change(nil), e.history[maxHistory:]...)
 			}
 		}
 		if d, err := configurer.DecodeRecord(r.Body); err == nil && d.Kind == configurer.KindCheckpoint {
-			e.configurationCheckpoints.last = r.Offset
+			e.configurationCheckpoints.lastOffset = r.Offset
 		}
-		if s, ok := e.replay.Snapshot(); ok && e.core.confirmed[StreamConfiguration] != 0 {
+		if s, ok := e.configurationReplay.Snapshot(); ok && e.core.confirmations[StreamConfiguration] != 0 {
 			e.setConfiguration(now, s)
 		}
 	case StreamRoster:
-		e.rosterRecord(now, r)
+		e.handleRosterRecord(now, r)
 	case StreamClaims:
 		if claims, err := elector.DecodeClaims(r.Body); err == nil {
 			e.core.ClaimsRecord(now, claims)
@@ -40,16 +40,16 @@
 }
 
 // rosterRecord folds a record of the roster stream. The core sees each change, or the whole roster after a gap.
-func (e *Entry) rosterRecord(now timer.Millis, r appender.Record) {
-	_, whole := e.rosters.Roster()
-	_ = e.rosters.Add(r) // every reader refuses the same record
-	roster, ok := e.rosters.Roster()
+func (e *Entry) handleRosterRecord(now timer.Millis, r appender.Record) {
+	_, known := e.rosterReplay.Roster()
+	_ = e.rosterReplay.Add(r) // every reader refuses the same record
+	roster, ok := e.rosterReplay.Roster()
 	change, err := elector.DecodeChange(r.Body)
 	if err == nil && change.Kind == elector.ChangeCheckpoint {
-		e.rosterCheckpoints.last = r.Offset
+		e.rosterCheckpoints.lastOffset = r.Offset
 	}
 	switch {
-	case ok && !whole:
+	case ok && !known:
 		e.core.RosterGap(now, roster)
 	case ok && err == nil:
 		e.core.RosterRecord(now, r.Offset, change)
@@ -57,8 +57,8 @@
 }
 
 func (e *Entry) setConfiguration(now timer.Millis, s configurer.Snapshot) {
-	old := e.snapshot
-	e.snapshot = s
+	old := e.configuration
+	e.configuration = s
 	for _, key := range append(old.Keys(teamPrefix), s.Keys(teamPrefix)...) {
 		name := key[len(teamPrefix):]
 		if t := s.Team(name); t != old.Team(name) {
@@ -70,7 +70,7 @@
 
 // sendConfiguration gives a peer the configuration.
 func (e *Entry) sendConfiguration(s *messenger.Session) {
-	body, err := configurer.AppendCheckpoint(nil, e.snapshot)
+	body, err := configurer.AppendCheckpoint(nil, e.configuration)
 	if s == nil || err != nil {
 		return
 	}
@@ -81,34 +81,34 @@
 // the log can be read again.
 func (e *Entry) adoptConfiguration(now timer.Millis, m *encoder.PeerConfiguration) {
 	r, err := configurer.DecodeRecord(m.Checkpoint)
-	if err != nil || r.Kind != configurer.KindCheckpoint || !e.replay.Adopt(r.Checkpoint) {
+	if err != nil || r.Kind != configurer.KindCheckpoint || !e.configurationReplay.Adopt(r.Checkpoint) {
 		return
 	}
-	if s, ok := e.replay.Snapshot(); ok {
+	if s, ok := e.configurationReplay.Snapshot(); ok {
 		e.Logger.Infof("entry: adopted the configuration at offset %d from a peer", s.Offset())
 		e.setConfiguration(now, s)
 	}
 }
 
 // read handles the end of a read of the log.
-func (e *Entry) read(now timer.Millis, stream string, p appender.Progress) {
+func (e *Entry) handleRead(now timer.Millis, stream string, p appender.Progress) {
 	if p.Err != nil || !p.Head {
 		return
 	}
 	switch stream {
 	case StreamConfiguration:
-		s, ok := e.replay.Snapshot()
+		s, ok := e.configurationReplay.Snapshot()
 		if !ok {
 			return
 		}
-		if s.Offset() != e.snapshot.Offset() || e.core.confirmed[stream] == 0 {
+		if s.Offset() != e.configuration.Offset() || e.core.confirmations[stream] == 0 {
 			e.setConfiguration(now, s)
 		}
 	case StreamRoster:
-		if _, ok := e.rosters.Roster(); !ok {
+		if _, ok := e.rosterReplay.Roster(); !ok {
 			return
 		}
 	}
-	e.core.Confirmed(now, stream, p.Began)
-	e.checkpoint(stream, p)
+	e.core.StreamConfirmed(now, stream, p.Began)
+	e.appendCheckpointIfDue(stream, p)
 }
--- a/dispatcher/entry_test.go
+++ b/dispatcher/entry_test.go
@@ -14,16 +14,16 @@
 )
 
 // network is a log, entries and one fake sidecar over loopback.
-type network struct {
+type testNetwork struct {
 	ctx     context.Context
 	entries []*Entry
 	stops   []context.CancelFunc
 	running sync.WaitGroup
 }
 
-func newNetwork(t testing.TB, entries int) *network {
+func newTestNetwork(t testing.TB, entries int) *testNetwork {
 	ctx, cancel := context.WithCancel(context.Background())
-	n := &network{ctx: ctx}
+	n := &testNetwork{ctx: ctx}
 	platform := httptest.NewServer(&emulator.Log{})
 	t.Cleanup(func() { cancel(); n.running.Wait(); platform.Close() })
 	for i := range entries {
@@ -39,7 +39,7 @@
 			}
 		})
 	}
-	n.until(func() bool {
+	n.waitUntil(func() bool {
 		for _, e := range n.entries {
 			if len(e.Status(ctx).Roster.Entries) != entries {
 				return false
@@ -47,19 +47,19 @@
 		}
 		return true
 	})
-	n.sidecar()
+	n.connectSidecar()
 	return n
 }
 
 // until polls a condition. Only the test's own timeout ends it.
-func (n *network) until(holds func() bool) {
-	for !holds() {
-		pause(n.ctx, followRetry/20)
+func (n *testNetwork) waitUntil(condition func() bool) {
+	for !condition() {
+		sleep(n.ctx, followRetryDelay/20)
 	}
 }
 
 // sidecar runs a sidecar that answers every start with the payload.
-func (n *network) sidecar() {
+func (n *testNetwork) connectSidecar() {
 	node := &messenger.Node{
 		Hello: func() encoder.Hello { h := hello("s", 1); h.Slots = 8; return h },
 		OnUp:  func(s *messenger.Session) { s.Send(&encoder.Grant{Credits: 8}) },
@@ -75,7 +75,7 @@
 	for _, e := range n.entries {
 		node.Connect(n.ctx, e.address)
 	}
-	n.until(func() bool {
+	n.waitUntil(func() bool {
 		for _, e := range n.entries {
 			if s := e.Status(n.ctx); len(s.Sidecars) == 0 || s.Takeover != takeoverSettled && s.Takeover != takeoverPartial {
 				return false
@@ -87,7 +87,7 @@
 
 // TestEntries guards the process around the core: sessions, the log's tails, forwarding, operators' changes and drain.
 func TestEntries(t *testing.T) {
-	n := newNetwork(t, 3)
+	n := newTestNetwork(t, 3)
 	for i, e := range n.entries {
 		j := job("key-"+strconv.Itoa(i), 20)
 		for k := range j.Tasks {
@@ -107,7 +107,7 @@
 	if err != nil || p.State != PublicationAccepted {
 		t.Fatalf("withdrawal is %v (%v, %v)", p.State, p.Findings, err)
 	}
-	n.until(func() bool { return n.entries[0].Status(n.ctx).ConfigOffset == 1 })
+	n.waitUntil(func() bool { return n.entries[0].Status(n.ctx).ConfigOffset == 1 })
 	if d := n.entries[0].Status(n.ctx).Domains; len(d) != 1 || d[0].InForce {
 		t.Errorf("domains are %v", d)
 	}
--- a/dispatcher/follow.go
+++ b/dispatcher/follow.go
@@ -11,39 +11,39 @@
 )
 
 const (
-	followRetry     = 200 * time.Millisecond
-	checkpointRetry = 10 * timer.Second
+	followRetryDelay        = 200 * time.Millisecond
+	checkpointRetryInterval = 10 * timer.Second
 	// checkpointEach bounds the age of the last checkpoint. The log's retention is not known until records are gone, so a
 	// retention of two hours or more always holds a checkpoint.
-	checkpointEach = 60 * timer.Minute
-	maxHeldChanges = 10_000
+	checkpointInterval = 60 * timer.Minute
+	maxHeldChanges     = 10_000
 )
 
 // checkpoints is the state of a stream's checkpoints.
-type checkpoints struct {
-	last  uint64 // offset of the newest one
-	tried timer.Millis
+type checkpointState struct {
+	lastOffset  uint64 // offset of the newest one
+	lastAttempt timer.Millis
 }
 
 // follow reads a stream until ctx ends.
-func (e *Entry) follow(ctx context.Context, stream string) {
+func (e *Entry) followStream(ctx context.Context, stream string) {
 	var from uint64
 	for stream == StreamClaims && ctx.Err() == nil {
 		if _, next, err := e.Log.Head(ctx, stream); err == nil {
-			from = next - min(next, claimsHistory)
+			from = next - min(next, claimsHistoryLength)
 			break
 		}
-		pause(ctx, followRetry)
+		sleep(ctx, followRetryDelay)
 	}
 	for ctx.Err() == nil {
-		t := appender.Tail{Client: e.Log, Stream: stream, From: from, Wait: tailWait}
+		t := appender.Tail{Client: e.Log, Stream: stream, From: from, Wait: tailReadWait}
 		t.OnRecord = func(r appender.Record) {
 			from = r.Offset + 1
 			e.post(event{kind: eventRecord, stream: stream, record: r})
 		}
-		t.OnRead = func(p appender.Progress) { e.post(event{kind: eventRead, stream: stream, progress: p}) }
+		t.OnRead = func(p appender.Progress) { e.post(event{kind: eventReadDone, stream: stream, progress: p}) }
 		if err := t.Run(ctx); err == nil || !appender.IsTruncated(err) {
-			pause(ctx, followRetry)
+			sleep(ctx, followRetryDelay)
 			continue
 		}
 		page, err := e.Log.Read(ctx, stream, from, 1, 0)
@@ -54,7 +54,7 @@
 	}
 }
 
-func pause(ctx context.Context, d time.Duration) {
+func sleep(ctx context.Context, d time.Duration) {
 	select {
 	case <-ctx.Done():
 	case <-time.After(d):
@@ -63,9 +63,9 @@
 
 // checkpoint restates the state of a stream before half of its retained records have passed. The first member of the
 // roster does so.
-func (e *Entry) checkpoint(stream string, p appender.Progress) {
+func (e *Entry) appendCheckpointIfDue(stream string, p appender.Progress) {
 	r := e.core.roster
-	if p.Next == 0 || !e.core.joined || r.Entries[0].Member != e.core.self || !e.core.mayDecide() {
+	if p.Next == 0 || !e.core.joined || r.Entries[0].Member != e.core.self || !e.core.hasLogQuorum() {
 		return
 	}
 	now := e.Clock.Now()
@@ -73,16 +73,16 @@
 	if stream == StreamRoster {
 		state = &e.rosterCheckpoints
 	}
-	if !checkpointDue(p, state.last, now-state.tried) {
+	if !checkpointDue(p, state.lastOffset, now-state.lastAttempt) {
 		return
 	}
-	state.tried = now
+	state.lastAttempt = now
 	switch stream {
 	case StreamRoster:
-		c := elector.NewCheckpoint(e.core.folded, e.rosters.Offset())
+		c := elector.NewCheckpoint(e.core.foldedRoster, e.rosterReplay.Offset())
 		e.core.appendRecord(stream, elector.AppendChange(nil, c))
 	case StreamConfiguration:
-		if body, err := configurer.AppendCheckpoint(nil, e.snapshot); err == nil {
+		if body, err := configurer.AppendCheckpoint(nil, e.configuration); err == nil {
 			e.core.appendRecord(stream, body)
 		}
 	}
@@ -91,8 +91,8 @@
 // checkpointDue reports whether a stream needs a checkpoint: when records have gone and the last checkpoint, at the given
 // offset, is in the older half of the rest, or when the last one was tried long ago.
 func checkpointDue(p appender.Progress, last uint64, since timer.Millis) bool {
-	if since <= checkpointRetry {
+	if since <= checkpointRetryInterval {
 		return false
 	}
-	return p.First > 0 && last < p.First+(p.Next-p.First)/2 || since > checkpointEach
+	return p.First > 0 && last < p.First+(p.Next-p.First)/2 || since > checkpointInterval
 }
--- a/dispatcher/forward.go
+++ b/dispatcher/forward.go
@@ -17,64 +17,64 @@
 		deadline timer.Millis // point in time; 0 for none
 		hops     uint32
 		session  SessionID // 0 while it waits for a session to the owner
-		retry    timer.Millis
+		retryAt  timer.Millis
 		// Parts of an answer that does not fit a frame.
-		results []encoder.TaskResult
-		have    []bool
-		missing int
+		results  []encoder.TaskResult
+		received []bool
+		missing  int
 	}
 
 	// pass remembers to whom a submission was forwarded, or who owned it when this entry was its witness.
-	pass struct {
-		owner   encoder.Member
-		several bool         // there were other owners before
-		since   timer.Millis // when it came here first
-		at      timer.Millis // since when the submission exists; 0 when it may be older than its arrival here
+	knownOwner struct {
+		owner      encoder.Member
+		multiple   bool         // there were other owners before
+		recordedAt timer.Millis // when it came here first
+		firstSeen  timer.Millis // since when the submission exists; 0 when it may be older than its arrival here
 	}
 )
 
-func (c *Core) pass(key string, owner encoder.Member) {
-	p, ok := c.passed[key]
+func (c *Core) recordOwner(key string, owner encoder.Member) {
+	p, ok := c.knownOwners[key]
 	if !ok {
-		p = pass{owner: owner, since: c.now, at: c.firstSeen(key)}
+		p = knownOwner{owner: owner, recordedAt: c.now, firstSeen: c.firstSeen(key)}
 	}
-	p.several = p.several || p.owner != owner
+	p.multiple = p.multiple || p.owner != owner
 	p.owner = owner
-	c.passed[key] = p
+	c.knownOwners[key] = p
 }
 
 // firstSeen returns the time since which a submission that arrives now exists, or 0 when it may be older. A submission
 // that came to another entry before has left a claim, unless the log was hard to reach.
 func (c *Core) firstSeen(key string) timer.Millis {
-	if s := c.jobs[key]; s != nil {
-		return s.first
+	if s := c.submissions[key]; s != nil {
+		return s.firstSeen
 	}
-	if k, ok := c.takeover.keys[key]; ok {
-		return min(k.first, c.now)
+	if k, ok := c.takeover.reportedKeys[key]; ok {
+		return min(k.firstSeen, c.now)
 	}
-	if _, ok := c.kept.byKey[key]; ok || c.takeover.evidence[key] != nil {
+	if _, ok := c.answerCache.byKey[key]; ok || c.takeover.evidence[key] != nil {
 		return 0
 	}
-	readable := c.now-c.confirmed[StreamClaims] <= logSilence && c.now-c.lastOutage > claimSettled
-	if !readable || c.claims.seen.has(c.hash(key)) {
+	readable := c.now-c.confirmations[StreamClaims] <= logTimeout && c.now-c.lastOutage > claimRecoveryTime
+	if !readable || c.claims.loggedKeys.has(c.hashKey(key)) {
 		return 0
 	}
 	return c.now
 }
 
 // passedBeside reports whether an owner other than m may have got the submission from here.
-func (c *Core) passedBeside(key string, m encoder.Member) bool {
-	p, ok := c.passed[key]
-	return ok && (p.several || p.owner != m)
+func (c *Core) mayHaveOtherOwner(key string, m encoder.Member) bool {
+	p, ok := c.knownOwners[key]
+	return ok && (p.multiple || p.owner != m)
 }
 
 func (c *Core) forward(w waiter, r encoder.Request, job encoder.Job, hops uint32) {
-	if len(c.forwards) >= c.settings.MaxJobs || len(c.passed) >= c.settings.MaxKeys {
-		c.answer(w, failure(job.Key, encoder.CodeOverload, encoder.OutcomeUnknown, "too many forwarded requests"))
+	if len(c.forwards) >= c.settings.MaxJobs || len(c.knownOwners) >= c.settings.MaxKeys {
+		c.answer(w, failedAnswer(job.Key, encoder.CodeOverload, encoder.OutcomeUnknown, "too many forwarded requests"))
 		return
 	}
-	c.lastForward++
-	f := &forward{id: c.lastForward, waiter: w, request: r, job: job, hops: hops}
+	c.lastForwardID++
+	f := &forward{id: c.lastForwardID, waiter: w, request: r, job: job, hops: hops}
 	if job.Deadline > 0 {
 		f.deadline = c.now + job.Deadline
 	}
@@ -86,7 +86,7 @@
 // sendForward sends the request to the owner, serves it when the owner is this entry by now, or leaves it waiting.
 func (c *Core) sendForward(f *forward) {
 	f.session = 0
-	f.retry = c.now + forwardPeriod
+	f.retryAt = c.now + forwardRetryInterval
 	owner, ok := elector.Owner(c.roster, f.job.Key)
 	if !ok {
 		return
@@ -114,18 +114,18 @@
 	}
 	f.session = p.session()
 	if f.request == encoder.RequestSubmit {
-		c.pass(job.Key, owner.Member)
+		c.recordOwner(job.Key, owner.Member)
 	}
 	c.send(f.session, &encoder.Forward{ID: f.id, Request: f.request, Hops: f.hops + 1, Job: job})
 }
 
-func (c *Core) forwardAnswer(m *encoder.ForwardAnswer) {
+func (c *Core) handleForwardAnswer(m *encoder.ForwardAnswer) {
 	f := c.forwards[m.ID]
 	if f == nil || f.job.Key != m.Answer.Key {
 		c.counters.Ignored++ // an answer that came before, or to another request
 		return
 	}
-	if m.Total != 0 && !f.collect(m) {
+	if m.Total != 0 && !f.addPart(m) {
 		return
 	}
 	delete(c.forwards, f.id)
@@ -134,17 +134,17 @@
 
 // collect stores a part of an answer. When all parts are there it puts the results into m and returns true. Parts may come
 // in any order, and again after a lost session.
-func (f *forward) collect(m *encoder.ForwardAnswer) bool {
+func (f *forward) addPart(m *encoder.ForwardAnswer) bool {
 	if m.Total > encoder.MaxTasks || int(m.First)+len(m.Answer.Results) > int(m.Total) {
 		return false // not an answer that this version sends
 	}
 	if len(f.results) != int(m.Total) {
-		f.results, f.have, f.missing = make([]encoder.TaskResult, m.Total), make([]bool, m.Total), int(m.Total)
+		f.results, f.received, f.missing = make([]encoder.TaskResult, m.Total), make([]bool, m.Total), int(m.Total)
 	}
 	for i, r := range m.Answer.Results {
 		at := int(m.First) + i
-		if !f.have[at] {
-			f.have[at] = true
+		if !f.received[at] {
+			f.received[at] = true
 			f.missing--
 		}
 		f.results[at] = r
@@ -157,7 +157,7 @@
 }
 
 // forwardsLost takes back the requests that were sent on a session that ended.
-func (c *Core) forwardsLost(id SessionID) {
+func (c *Core) handleForwardSessionClosed(id SessionID) {
 	for _, f := range c.forwards {
 		switch id {
 		case f.waiter.session:
@@ -168,9 +168,9 @@
 	}
 }
 
-func (c *Core) forwardUnsent(id uint64) {
+func (c *Core) forwardNotSent(id uint64) {
 	if f := c.forwards[id]; f != nil {
-		f.session, f.retry = 0, c.now+forwardPeriod
+		f.session, f.retryAt = 0, c.now+forwardRetryInterval
 	}
 }
 
@@ -205,24 +205,24 @@
 		switch {
 		case f.deadline != 0 && f.deadline+leaseMargin <= c.now:
 			delete(c.forwards, f.id)
-			c.answer(f.waiter, failure(f.job.Key, encoder.CodeDeadline, encoder.OutcomeUnknown,
+			c.answer(f.waiter, failedAnswer(f.job.Key, encoder.CodeDeadline, encoder.OutcomeUnknown,
 				"the owner of the submission did not answer in time"))
-		case f.session == 0 && f.retry <= c.now:
+		case f.session == 0 && f.retryAt <= c.now:
 			c.sendForward(f)
 		}
 	}
 }
 
-func (c *Core) sweepForwards() {
-	for key, p := range c.passed {
-		if p.since+c.settings.KeyRetention < c.now || p.since+passKept < c.now && c.claims.seen.has(c.hash(key)) {
-			delete(c.passed, key)
+func (c *Core) removeExpiredOwners() {
+	for key, p := range c.knownOwners {
+		if p.recordedAt+c.settings.KeyRetention < c.now || p.recordedAt+knownOwnerRetention < c.now && c.claims.loggedKeys.has(c.hashKey(key)) {
+			delete(c.knownOwners, key)
 		}
 	}
 }
 
 // witness tells the next owner in line of a key that no other entry knows.
-func (c *Core) witness(key string) {
+func (c *Core) sendWitness(key string) {
 	next, ok := elector.Successor(c.roster, key)
 	if !ok {
 		return
@@ -233,10 +233,10 @@
 }
 
 // witnessAgain repeats the witness notes for a peer, because those on its former session may be lost.
-func (c *Core) witnessAgain(id string) {
+func (c *Core) resendWitness(id string) {
 	var keys []string
-	for _, s := range c.jobs {
-		if !s.local || s.state == stateMoved {
+	for _, s := range c.submissions {
+		if !s.receivedHere || s.state == submissionMoved {
 			continue
 		}
 		if next, ok := elector.Successor(c.roster, s.key); ok && next.Member.ID == id {
@@ -244,16 +244,16 @@
 		}
 	}
 	for len(keys) > 0 {
-		n := min(len(keys), keysPerMessage)
+		n := min(len(keys), maxKeysPerMessage)
 		c.send(c.peers[id].session(), &encoder.Witness{Jobs: keys[:n]})
 		keys = keys[n:]
 	}
 }
 
-func (c *Core) witnessed(owner encoder.Member, keys []string) {
+func (c *Core) handleWitness(owner encoder.Member, keys []string) {
 	for _, key := range keys {
-		if len(key) <= c.settings.MaxKey && len(c.passed) < c.settings.MaxKeys {
-			c.pass(key, owner)
+		if len(key) <= c.settings.MaxKey && len(c.knownOwners) < c.settings.MaxKeys {
+			c.recordOwner(key, owner)
 		}
 	}
 }
--- a/dispatcher/freshness_test.go
+++ b/dispatcher/freshness_test.go
@@ -12,25 +12,25 @@
 )
 
 // group returns a bench whose core is in a roster with the named peers, each with the session 1, 2, ...
-func group(t testing.TB, peers ...string) *bench {
-	b := newBench(t, Settings{WithdrawRecord: func(domain, author string) []byte { return []byte(domain + " by " + author) }})
+func newBenchWithPeers(t testing.TB, peers ...string) *testBench {
+	b := newTestBench(t, Settings{WithdrawRecord: func(domain, author string) []byte { return []byte(domain + " by " + author) }})
 	for i, id := range peers {
 		b.core.RosterRecord(b.now, uint64(i+1), elector.Change{
 			Kind: elector.ChangeJoin, Entry: encoder.RosterEntry{Member: encoder.Member{ID: id, Incarnation: 1}, Address: id},
 		})
-		b.core.Up(b.now, SessionID(i+1), encoder.Hello{Role: encoder.RoleEntry, Member: encoder.Member{ID: id, Incarnation: 1}})
+		b.core.SessionOpened(b.now, SessionID(i+1), encoder.Hello{Role: encoder.RoleEntry, Member: encoder.Member{ID: id, Incarnation: 1}})
 	}
-	b.take()
+	b.takeEffects()
 	return b
 }
 
 // report lets the peer of the session answer a ping that was sent delay ago.
-func (b *bench) report(id SessionID, s encoder.PeerPing, delay timer.Millis) {
+func (b *testBench) answerPing(id SessionID, s encoder.PeerPing, delay timer.Millis) {
 	p := b.core.sessions[id].peer
 	b.core.now = b.now - delay
 	b.core.pingPeer(p)
-	b.core.Message(b.now, id, &encoder.PeerPong{Sequence: p.sequence, State: s})
-	b.take()
+	b.core.HandleMessage(b.now, id, &encoder.PeerPong{Sequence: p.sequence, State: s})
+	b.takeEffects()
 }
 
 // TestFreshness guards the rules by which an entry renews leases and takes decisions.
@@ -63,17 +63,17 @@
 		{"older peer", 2500, []encoder.PeerPing{down, down, {Epoch: epoch - 1}}, 50, true, false, true},
 	}
 	for _, tt := range tests {
-		b := group(t, "b", "c", "d")
-		b.confirm()
+		b := newBenchWithPeers(t, "b", "c", "d")
+		b.confirmStreams()
 		b.now += tt.silence
 		for i, r := range tt.reports {
-			b.report(SessionID(i+1), r, tt.delay)
+			b.answerPing(SessionID(i+1), r, tt.delay)
 		}
 		b.core.now = b.now
-		if got := b.core.attests(); got != tt.attests {
+		if got := b.core.attestsLogOutage(); got != tt.attests {
 			t.Errorf("%s: attests is %v", tt.name, got)
 		}
-		if got := b.core.mayDecide(); got != tt.decides {
+		if got := b.core.hasLogQuorum(); got != tt.decides {
 			t.Errorf("%s: may decide is %v", tt.name, got)
 		}
 		b.sent = nil
@@ -112,7 +112,7 @@
 		{"recorded withdrawal is not renewed", []string{"hear", "fold", "return", "hear"}, 0, true, 0},
 	}
 	for _, tt := range tests {
-		b := group(t, "b", "c")
+		b := newBenchWithPeers(t, "b", "c")
 		records := 0
 		var tag uint64
 		var got PublicationState
@@ -122,14 +122,14 @@
 		for _, step := range tt.steps {
 			switch step {
 			case "up":
-				b.confirm()
-				b.report(1, up, 10)
+				b.confirmStreams()
+				b.answerPing(1, up, 10)
 			case "publish":
 				b.core.Publish(b.now, 1, []byte("record"), "north", "ann")
 			case "append":
-				b.core.Appended(b.now, tag, 0, true, false)
+				b.core.AppendDone(b.now, tag, 0, true, false)
 			case "lose":
-				b.core.Appended(b.now, tag, 0, false, true)
+				b.core.AppendDone(b.now, tag, 0, false, true)
 			case "fold":
 				b.core.ConfigurationRecord(b.now, 0, nil)
 				configuration(1, false)
@@ -139,20 +139,20 @@
 				b.core.ConfigurationRecord(b.now, 0, []configurer.Finding{{Text: "the key was changed"}})
 				configuration(1, true)
 			case "know":
-				b.report(1, encoder.PeerPing{Epoch: 3, LogReachable: true, ConfigOffset: 1}, 10)
+				b.answerPing(1, encoder.PeerPing{Epoch: 3, LogReachable: true, ConfigOffset: 1}, 10)
 			case "hear":
-				b.core.Message(b.now, 1, &encoder.PeerPing{Epoch: 3, Domains: []string{"north"}, ConfigOffset: 0})
+				b.core.HandleMessage(b.now, 1, &encoder.PeerPing{Epoch: 3, Domains: []string{"north"}, ConfigOffset: 0})
 			case "time":
 				b.now += 3500
 			}
 			b.core.Tick(b.now)
-			for _, f := range b.core.Take() {
+			for _, f := range b.core.TakeEffects() {
 				if f.Kind == EffectAppend && f.Stream == StreamConfiguration {
 					tag = f.Tag
 					records++
 				}
 			}
-			for _, p := range b.core.Published() {
+			for _, p := range b.core.TakePublished() {
 				got = p.Publication.State
 			}
 		}
@@ -165,9 +165,9 @@
 
 // TestRoster guards the membership: dead peers are removed, a paused entry removes nobody, and a removed one comes back.
 func TestRoster(t *testing.T) {
-	changes := func(b *bench) []string {
+	takeChanges := func(b *testBench) []string {
 		var list []string
-		for _, f := range b.core.Take() {
+		for _, f := range b.core.TakeEffects() {
 			if f.Kind == EffectAppend && f.Stream == StreamRoster {
 				c, _ := elector.DecodeChange(f.Body)
 				list = append(list, strings.Repeat("-", int(c.Kind)-1)+c.Entry.Member.ID)
@@ -175,73 +175,73 @@
 		}
 		return list
 	}
-	b := group(t, "b", "c")
+	b := newBenchWithPeers(t, "b", "c")
 	var got []string
 	for range 200 { // 4 s; b answers, c is silent
 		b.now += 20
-		b.confirm()
-		b.report(1, encoder.PeerPing{Epoch: 3, LogReachable: true}, 10)
+		b.confirmStreams()
+		b.answerPing(1, encoder.PeerPing{Epoch: 3, LogReachable: true}, 10)
 		b.core.Tick(b.now)
-		got = append(got, changes(b)...)
+		got = append(got, takeChanges(b)...)
 	}
 	if want := []string{"--c", "--c"}; !slices.Equal(got, want) {
 		t.Errorf("changes are %v, want %v", got, want)
 	}
-	b = group(t, "b", "c")
+	b = newBenchWithPeers(t, "b", "c")
 	b.tick(1)
 	b.now += timer.Minute
-	b.confirm()
-	b.report(1, encoder.PeerPing{Epoch: 3, LogReachable: true}, 10)
+	b.confirmStreams()
+	b.answerPing(1, encoder.PeerPing{Epoch: 3, LogReachable: true}, 10)
 	b.core.Tick(b.now)
-	if got := changes(b); len(got) > 0 {
+	if got := takeChanges(b); len(got) > 0 {
 		t.Errorf("after a pause: %v", got)
 	}
 	b.core.RosterRecord(b.now, 3, elector.Change{
 		Kind: elector.ChangeRemove, Entry: encoder.RosterEntry{Member: encoder.Member{ID: "a", Incarnation: 1}},
 	})
 	b.core.Tick(b.now)
-	if got := changes(b); !slices.Equal(got, []string{"a"}) || b.core.Self().Incarnation != 2 {
+	if got := takeChanges(b); !slices.Equal(got, []string{"a"}) || b.core.Self().Incarnation != 2 {
 		t.Errorf("after the removal: %v, incarnation %d", got, b.core.Self().Incarnation)
 	}
 }
 
 // TestComplete guards against a second start after the first one's sidecar, owner and receiving entry were all lost: a
 // submission counts as newer than a loss only when an earlier arrival elsewhere would have left a claim.
-func TestComplete(t *testing.T) {
+func TestHasCompleteEvidence(t *testing.T) {
 	tests := []struct {
 		name   string
-		before func(b *bench) // before the submission passes through this entry
-		after  func(b *bench)
+		before func(b *testBench) // before the submission passes through this entry
+		after  func(b *testBench)
 		lost   timer.Millis // how long before the submission the sidecar was lost
 		want   bool
 	}{
 		{"came after the loss", nil, nil, 20 * timer.Second, true},
 		{"came shortly after the loss", nil, nil, 4 * timer.Second, false},
 		{"came before the loss", nil, nil, -timer.Second, false},
-		{"claimed before", func(b *bench) {
+		{"claimed before", func(b *testBench) {
 			b.core.ClaimsRecord(b.now, elector.Claims{Member: encoder.Member{ID: "b"}, Keys: []string{"k"}})
 		}, nil, 20 * timer.Second, false},
-		{"claims not read", func(b *bench) { b.now += 2 * timer.Second }, nil, 20 * timer.Second, false},
-		{"log was down", func(b *bench) { b.now += 2 * timer.Second; b.tick(1); b.confirm() }, nil, 20 * timer.Second, false},
-		{"another peer had it", nil, func(b *bench) {
-			b.core.Message(b.now, 1, &encoder.PeerCensusReply{Epoch: b.core.roster.Epoch, Jobs: []encoder.KnownJob{{Key: "k", Age: timer.Minute}}})
+		{"claims not read", func(b *testBench) { b.now += 2 * timer.Second }, nil, 20 * timer.Second, false},
+		{"log was down", func(b *testBench) { b.now += 2 * timer.Second; b.tick(1); b.confirmStreams() }, nil, 20 * timer.Second, false},
+		{"another peer had it", nil, func(b *testBench) {
+			b.core.HandleMessage(b.now, 1, &encoder.PeerCensusReply{Epoch: b.core.roster.Epoch, Jobs: []encoder.KnownJob{{Key: "k", Age: timer.Minute}}})
 		}, 20 * timer.Second, false},
 	}
 	for _, tt := range tests {
-		b := group(t, "b", "c")
+		b := newBenchWithPeers(t, "b", "c")
 		b.tick(1)
 		b.now += timer.Minute
-		b.confirm()
+		b.confirmStreams()
 		if tt.before != nil {
 			tt.before(b)
 		}
 		b.core.now = b.now
-		b.core.pass("k", encoder.Member{ID: "b", Incarnation: 1})
-		b.core.takeover.missing = map[encoder.Member]timer.Millis{{ID: "s9"}: b.now - tt.lost}
+		b.core.recordOwner("k", encoder.Member{ID: "b", Incarnation: 1})
+		b.core.takeover.missingEvidence = map[encoder.Member]timer.Millis{{ID: "s9"}: b.now - tt.lost}
 		if tt.after != nil {
 			tt.after(b)
 		}
-		if got := b.core.complete("k"); got != tt.want {
+		if got := b.core.hasCompleteEvidence("k"); got != tt.want {
 			t.Errorf("%s: complete is %v", tt.name, got)
 		}
 	}
@@ -261,15 +261,15 @@
 		{"later", encoder.PeerPing{ConfigOffset: 9}, 0},
 	}
 	for _, tt := range tests {
-		b := group(t, "b")
+		b := newBenchWithPeers(t, "b")
 		b.core.SetConfiguration(b.now, 7, nil)
-		b.core.out = nil
+		b.core.effects = nil
 		for range 2 {
-			b.core.Message(b.now, 1, &tt.report)
+			b.core.HandleMessage(b.now, 1, &tt.report)
 		}
 		got := 0
-		for i := range b.core.out {
-			if b.core.out[i].Kind == EffectConfiguration {
+		for i := range b.core.effects {
+			if b.core.effects[i].Kind == EffectSendConfiguration {
 				got++
 			}
 		}
--- a/dispatcher/keyset.go
+++ b/dispatcher/keyset.go
@@ -5,29 +5,29 @@
 // keySet is a set of hashes of submission keys that forgets each one between one and two retentions after it was added.
 // It has two generations, so that forgetting takes no time. The zero value is ready to use.
 type keySet struct {
-	young, old map[uint64]struct{}
-	rotated    timer.Millis
+	current, previous map[uint64]struct{}
+	rotatedAt         timer.Millis
 }
 
 func (s *keySet) add(hash uint64) {
-	if s.young == nil {
-		s.young = map[uint64]struct{}{}
+	if s.current == nil {
+		s.current = map[uint64]struct{}{}
 	}
-	s.young[hash] = struct{}{}
+	s.current[hash] = struct{}{}
 }
 
 func (s *keySet) has(hash uint64) bool {
-	if _, ok := s.young[hash]; ok {
+	if _, ok := s.current[hash]; ok {
 		return true
 	}
-	_, ok := s.old[hash]
+	_, ok := s.previous[hash]
 	return ok
 }
 
-func (s *keySet) size() int { return len(s.young) + len(s.old) }
+func (s *keySet) size() int { return len(s.current) + len(s.previous) }
 
-func (s *keySet) sweep(now, retention timer.Millis) {
-	if now-s.rotated >= retention {
-		s.old, s.young, s.rotated = s.young, nil, now
+func (s *keySet) rotateIfDue(now, retention timer.Millis) {
+	if now-s.rotatedAt >= retention {
+		s.previous, s.current, s.rotatedAt = s.current, nil, now
 	}
 }
--- a/dispatcher/placement.go
+++ b/dispatcher/placement.go
@@ -7,82 +7,82 @@
 )
 
 const (
-	refusalDelay    = 5 * timer.Millisecond
-	maxRefusalDelay = 200 * timer.Millisecond
+	minRequeueDelay = 5 * timer.Millisecond
+	maxRequeueDelay = 200 * timer.Millisecond
 	// runMargin is added to the run limit before a started task without a result counts as lost.
-	runMargin = 10 * timer.Second
+	runLimitMargin = 10 * timer.Second
 )
 
 // delayed is a refused task that is queued again at a time, and not before the entry has the epoch.
-type delayed struct {
-	at    timer.Millis
-	epoch uint64
-	job   *submission
-	index int
+type delayedTask struct {
+	dueAt      timer.Millis
+	epoch      uint64
+	submission *submission
+	index      int
 }
 
 // admit opens a submission whose ownership is settled.
 func (c *Core) admit(s *submission) {
-	if !c.settled(s.key) {
+	if !c.isSettled(s.key) {
 		return // held; tickTakeover admits it
 	}
 	if s.deadline != 0 && s.deadline <= c.now {
-		c.pastDeadline(s)
+		c.deadlineExceeded(s)
 		return
 	}
-	if c.known(s.key) {
+	if c.formerOwnerMayHaveStarted(s.key) {
 		c.resume(s)
 		return
 	}
 	tasks := make([]scheduler.Task, len(s.tasks))
 	for i := range s.tasks {
-		tasks[i] = c.queued(s, i)
+		tasks[i] = c.schedulerTask(s, i)
 	}
 	if a := c.queue.Admit(c.now, tasks); a.Code != 0 {
-		answer := c.refusal(s.key, a.Code, a.Reason)
+		answer := c.refusalAnswer(s.key, a.Code, a.Reason)
 		answer.RetryAfter = a.RetryAfter
 		c.end(s, answer)
 		return
 	}
 	step(submissionChart, &s.state, eventAdmit)
-	c.claim(s.key)
+	c.queueClaim(s.key)
 	for i := range tasks {
 		c.queue.Push(tasks[i])
 	}
 }
 
 // queued describes a task to the scheduler.
-func (c *Core) queued(s *submission, i int) scheduler.Task {
+func (c *Core) schedulerTask(s *submission, i int) scheduler.Task {
 	spec := &s.specs[i]
 	return scheduler.Task{
 		Key: encoder.TaskKey{Job: s.key, Index: uint32(i)}, Team: s.team, Kind: spec.Kind, MemoryMB: spec.MemoryMB,
-		RunTime: spec.RunTime, Arrived: s.arrived, Deadline: s.deadline, JobLeft: s.left,
+		RunTime: spec.RunTime, Arrived: s.arrivedAt, Deadline: s.deadline, JobLeft: s.unfinished,
 	}
 }
 
 // place starts queued tasks as long as there are credits.
-func (c *Core) place() {
+func (c *Core) placeTasks() {
 	for {
 		p, ok := c.queue.Next(c.now)
 		if !ok {
 			return
 		}
-		s, i := c.find(p.Task.Key)
+		s, i := c.findTask(p.Task.Key)
 		sc := c.sidecars[p.Sidecar]
 		if sc == nil || sc.session == 0 {
 			c.queue.RemoveSidecar(p.Sidecar)
 			c.queue.Push(p.Task)
 			continue
 		}
-		if s == nil || s.state != stateOpen || !step(taskChart, &s.tasks[i].state, eventPlace) {
+		if s == nil || s.state != submissionOpen || !step(taskChart, &s.tasks[i].state, eventPlace) {
 			// The task ended while it was queued, so the credit is still good.
 			c.queue.Refused(p.Sidecar, p.Task, encoder.RefusalCanceled)
 			c.queue.Grant(p.Sidecar, 1)
 			continue
 		}
 		s.tasks[i].sidecar = sc
-		sc.hold(s)
-		s.started++
+		sc.addSubmission(s)
+		s.running++
 		sc.credits -= min(1, sc.credits)
 		c.sendStart(s, i)
 	}
@@ -104,8 +104,8 @@
 }
 
 // find returns the submission and the task index, or nil when the task is not known.
-func (c *Core) find(k encoder.TaskKey) (*submission, int) {
-	s := c.jobs[k.Job]
+func (c *Core) findTask(k encoder.TaskKey) (*submission, int) {
+	s := c.submissions[k.Job]
 	if s == nil || int(k.Index) >= len(s.tasks) {
 		return nil, 0
 	}
@@ -114,9 +114,9 @@
 
 // result handles the end of a task. A result counts for the task that is started on this very sidecar incarnation, or
 // for one that is queued here because an earlier owner started it.
-func (c *Core) result(sc *sidecar, m *encoder.Result) {
-	c.grant(sc, m.Credits)
-	s, i := c.find(m.Task)
+func (c *Core) handleResult(sc *sidecar, m *encoder.Result) {
+	c.addCredits(sc, m.Credits)
+	s, i := c.findTask(m.Task)
 	if s == nil {
 		c.counters.Ignored++
 		return
@@ -144,22 +144,22 @@
 		c.counters.Ignored++
 		return
 	}
-	c.reportTask(s, i, sc, status, ran)
+	c.reportTaskEnd(s, i, sc, status, ran)
 	if was != taskQueued {
-		s.started--
-		c.queue.Finished(sc.hello.Member.ID, c.queued(s, i), status, ran)
+		s.running--
+		c.queue.Finished(sc.hello.Member.ID, c.schedulerTask(s, i), status, ran)
 	}
 	t.sidecar = sc
-	s.left--
+	s.unfinished--
 	if event == eventForget {
-		s.lost = true
+		s.anyUnknown = true
 	} else {
-		s.ran = true
+		s.anyRan = true
 	}
 	if event == eventFinish {
 		t.body = body
-		if s.state == stateOpen || s.state == stateClosing {
-			c.endWhenDone(s)
+		if s.state == submissionOpen || s.state == submissionClosing {
+			c.endIfFinished(s)
 		}
 		return
 	}
@@ -170,7 +170,7 @@
 	if reason == "" {
 		reason = "a task failed"
 	}
-	if s.state == stateOpen || s.state == stateClosing {
+	if s.state == submissionOpen || s.state == submissionClosing {
 		c.fail(s, code, reason)
 	} else if s.code == 0 {
 		s.code, s.reason = code, reason // resume fails the submission
@@ -191,9 +191,9 @@
 }
 
 // refused handles a refusal. It counts only for a task that is started on this sidecar.
-func (c *Core) refused(sc *sidecar, m *encoder.Refusal) {
-	c.grant(sc, m.Credits)
-	s, i := c.find(m.Task)
+func (c *Core) handleRefusal(sc *sidecar, m *encoder.Refusal) {
+	c.addCredits(sc, m.Credits)
+	s, i := c.findTask(m.Task)
 	if s == nil || s.tasks[i].sidecar != sc {
 		c.counters.Ignored++
 		return
@@ -212,16 +212,16 @@
 		c.counters.Ignored++
 		return
 	}
-	c.queue.Refused(sc.hello.Member.ID, c.queued(s, i), reason)
-	s.started--
+	c.queue.Refused(sc.hello.Member.ID, c.schedulerTask(s, i), reason)
+	s.running--
 	t.sidecar, t.resent = nil, false
 	t.attempts++
 	switch {
-	case s.state == stateClosing:
+	case s.state == submissionClosing:
 		step(taskChart, &t.state, eventDrop)
-		s.left--
-		c.endWhenDone(s)
-	case s.state != stateOpen:
+		s.unfinished--
+		c.endIfFinished(s)
+	case s.state != submissionOpen:
 	case reason == encoder.RefusalDeadline:
 		c.fail(s, encoder.CodeDeadline, "the deadline passed")
 	case reason == encoder.RefusalCanceled:
@@ -230,34 +230,34 @@
 		c.fail(s, encoder.CodeUnavailable, "every start was refused")
 	default:
 		c.counters.Requeued++
-		wait := min(refusalDelay*timer.Millis(t.attempts), maxRefusalDelay)
+		wait := min(minRequeueDelay*timer.Millis(t.attempts), maxRequeueDelay)
 		if t.attempts == 1 && epoch <= c.roster.Epoch {
-			c.queue.Push(c.queued(s, i))
+			c.queue.Push(c.schedulerTask(s, i))
 			return
 		}
-		c.delayed = append(c.delayed, delayed{at: c.now + wait, epoch: epoch, job: s, index: i})
+		c.delayedTasks = append(c.delayedTasks, delayedTask{dueAt: c.now + wait, epoch: epoch, submission: s, index: i})
 	}
 }
 
-func (c *Core) releaseDelayed() {
-	waiting := c.delayed[:0]
-	for _, d := range c.delayed {
+func (c *Core) requeueDelayed() {
+	waiting := c.delayedTasks[:0]
+	for _, d := range c.delayedTasks {
 		switch {
-		case d.job.state != stateOpen || d.job.tasks[d.index].state != taskQueued:
-		case d.at > c.now || d.epoch > c.roster.Epoch:
+		case d.submission.state != submissionOpen || d.submission.tasks[d.index].state != taskQueued:
+		case d.dueAt > c.now || d.epoch > c.roster.Epoch:
 			waiting = append(waiting, d)
 		default:
-			c.queue.Push(c.queued(d.job, d.index))
+			c.queue.Push(c.schedulerTask(d.submission, d.index))
 		}
 	}
-	clear(c.delayed[len(waiting):])
-	c.delayed = waiting
+	clear(c.delayedTasks[len(waiting):])
+	c.delayedTasks = waiting
 }
 
 // startUnsent takes back a start that did not leave the process. A start that was sent again stays in doubt, because
 // the first one may have arrived.
-func (c *Core) startUnsent(id SessionID, m *encoder.Start) {
-	s, i := c.find(m.Task)
+func (c *Core) startNotSent(id SessionID, m *encoder.Start) {
+	s, i := c.findTask(m.Task)
 	if s == nil || s.tasks[i].sidecar == nil || s.tasks[i].sidecar.session != id || s.tasks[i].state != taskStarted {
 		return
 	}
@@ -266,6 +266,6 @@
 		step(taskChart, &t.state, eventLose)
 		return
 	}
-	c.grant(t.sidecar, 1)
+	c.addCredits(t.sidecar, 1)
 	c.requeue(s, i, t.sidecar, encoder.RefusalNoSlot, 0)
 }
--- a/dispatcher/request.go
+++ b/dispatcher/request.go
@@ -27,9 +27,9 @@
 
 func (e *Entry) request(ctx context.Context, kind eventKind, job encoder.Job) encoder.Answer {
 	e.init()
-	id := e.requests.Add(1)
+	id := e.lastRequest.Add(1)
 	answer := make(chan encoder.Answer, 1)
-	stopped := failure(job.Key, encoder.CodeUnavailable, encoder.OutcomeUnknown, "the entry has stopped")
+	stopped := failedAnswer(job.Key, encoder.CodeUnavailable, encoder.OutcomeUnknown, "the entry has stopped")
 	if !e.post(event{kind: kind, request: id, job: job, answer: answer}) {
 		return stopped
 	}
@@ -45,7 +45,7 @@
 }
 
 // call runs a function on the control goroutine and waits for it.
-func (e *Entry) call(ctx context.Context, run func()) error {
+func (e *Entry) runOnControlLoop(ctx context.Context, run func()) error {
 	e.init()
 	done := make(chan struct{})
 	if !e.post(event{kind: eventCall, call: func() { run(); close(done) }}) {
@@ -75,7 +75,7 @@
 // Return puts a failure domain back into service. A withdrawal that is not recorded yet has to be recorded first.
 func (e *Entry) Return(ctx context.Context, domain, author string) (Publication, error) {
 	var provisional bool
-	if err := e.call(ctx, func() { _, provisional = e.core.domains.provisional[domain] }); err != nil {
+	if err := e.runOnControlLoop(ctx, func() { _, provisional = e.core.domainState.provisional[domain] }); err != nil {
 		return Publication{State: PublicationUnknown}, err
 	}
 	if provisional {
@@ -88,18 +88,18 @@
 
 // publish builds the note on the control goroutine, so that it fits the configuration that it is checked against.
 func (e *Entry) publish(ctx context.Context, build func() (configurer.Note, string), dryRun bool) (Publication, error) {
-	id := e.requests.Add(1)
+	id := e.lastRequest.Add(1)
 	done := make(chan Publication, 1)
-	err := e.call(ctx, func() {
+	err := e.runOnControlLoop(ctx, func() {
 		n, domain := build()
 		if n.ID == "" {
 			n.ID = appender.NewID()
 		}
-		if len(n.Added)+len(n.Changed)+len(n.Withdrawn) == 0 && (domain != "" || !dryRun) && n.Comment == commentDomain {
-			done <- Publication{Offset: e.snapshot.Offset(), State: PublicationAccepted, Lagging: e.core.lagging(e.snapshot.Offset())}
+		if len(n.Added)+len(n.Changed)+len(n.Withdrawn) == 0 && (domain != "" || !dryRun) && n.Comment == domainChangeComment {
+			done <- Publication{Offset: e.configuration.Offset(), State: PublicationAccepted, Lagging: e.core.lagging(e.configuration.Offset())}
 			return
 		}
-		if findings := configurer.Check(e.snapshot, n); len(findings) > 0 || dryRun {
+		if findings := configurer.Check(e.configuration, n); len(findings) > 0 || dryRun {
 			p := Publication{State: PublicationRefused, Findings: findings}
 			if len(findings) == 0 {
 				p.State = PublicationAccepted
@@ -107,7 +107,7 @@
 			done <- p
 			return
 		}
-		e.changes[id] = done
+		e.pendingPublications[id] = done
 		e.core.Publish(e.Clock.Now(), id, configurer.AppendNote(nil, n), domain, n.Author)
 	})
 	if err != nil {
@@ -119,21 +119,21 @@
 	case <-e.stopped:
 		return Publication{State: PublicationUnknown}, trace.ConnectionProblem(nil, "entry %s has stopped", e.ID)
 	case <-ctx.Done():
-		_ = e.call(context.WithoutCancel(ctx), func() { delete(e.changes, id) })
+		_ = e.runOnControlLoop(context.WithoutCancel(ctx), func() { delete(e.pendingPublications, id) })
 		return Publication{State: PublicationUnknown}, trace.Wrap(ctx.Err())
 	}
 }
 
 // commentDomain marks notes that change the state of a failure domain.
-const commentDomain = "failure domain"
+const domainChangeComment = "failure domain"
 
 func (e *Entry) domainNote(domain, author string, inForce bool) configurer.Note {
-	s := e.snapshot.WithDomainsOut()
+	s := e.configuration.WithDomainsOut()
 	n := configurer.Note{Base: s.Offset()}
 	if s.DomainInForce(domain) != inForce {
 		n = configurer.Diff(s, s.WithDomain(domain, inForce))
 	}
-	n.Author, n.Comment = author, commentDomain
+	n.Author, n.Comment = author, domainChangeComment
 	return n
 }
 
@@ -149,7 +149,7 @@
 // History returns the last operators' changes that this entry read from the log, the newest first.
 func (e *Entry) History(ctx context.Context, limit int) ([]Change, error) {
 	var list []Change
-	err := e.call(ctx, func() {
+	err := e.runOnControlLoop(ctx, func() {
 		for i := len(e.history) - 1; i >= 0 && len(list) < limit; i-- {
 			list = append(list, e.history[i])
 		}
@@ -161,7 +161,7 @@
 // waits here or ctx ends.
 func (e *Entry) Drain(ctx context.Context) error {
 	done := make(chan struct{})
-	err := e.call(ctx, func() {
+	err := e.runOnControlLoop(ctx, func() {
 		e.drained = done
 		e.core.Drain(e.Clock.Now())
 	})
--- a/dispatcher/roster.go
+++ b/dispatcher/roster.go
@@ -9,19 +9,19 @@
 // RosterRecord folds a record of the roster stream. Until the first confirmation of the stream the records are history.
 func (c *Core) RosterRecord(now timer.Millis, offset uint64, change elector.Change) {
 	c.now = now
-	if offset < c.folded.Epoch {
+	if offset < c.foldedRoster.Epoch {
 		return
 	}
-	next, err := elector.Apply(c.folded, offset, change)
+	next, err := elector.Apply(c.foldedRoster, offset, change)
 	if err != nil {
 		return // every reader refuses the same record
 	}
-	c.folded = next
+	c.foldedRoster = next
 	if change.Kind == elector.ChangeLeave {
-		c.takeover.left(change.Entry.Member, now)
-		c.left = c.left || change.Entry.Member == c.self
+		c.takeover.entryLeft(change.Entry.Member, now)
+		c.leftVoluntarily = c.leftVoluntarily || change.Entry.Member == c.self
 	}
-	if c.confirmed[StreamRoster] != 0 {
+	if c.confirmations[StreamRoster] != 0 {
 		c.adopt(next)
 	}
 }
@@ -29,13 +29,13 @@
 // RosterGap takes the roster after records of the stream were missed.
 func (c *Core) RosterGap(now timer.Millis, r encoder.Roster) {
 	c.now = now
-	if r.Epoch <= c.folded.Epoch {
+	if r.Epoch <= c.foldedRoster.Epoch {
 		return
 	}
-	if c.confirmed[StreamRoster] != 0 {
-		c.adoptFromPeer(r)
+	if c.confirmations[StreamRoster] != 0 {
+		c.adoptRosterAfterGap(r)
 	}
-	c.folded = r
+	c.foldedRoster = r
 }
 
 // adopt makes r the roster that the entry works under.
@@ -45,68 +45,68 @@
 	}
 	prev := c.roster
 	c.roster = r
-	me, listed := elector.Find(r, c.self.ID)
-	was := c.joined
-	c.joined = listed && me.Member == c.self
-	if was && !c.joined && !c.draining || listed && me.Member.Incarnation > c.self.Incarnation {
-		c.renew(max(me.Member.Incarnation, c.self.Incarnation) + 1)
-	}
-	c.meetPeers(prev)
-	c.change(prev)
+	self, listed := elector.Find(r, c.self.ID)
+	wasJoined := c.joined
+	c.joined = listed && self.Member == c.self
+	if wasJoined && !c.joined && !c.draining || listed && self.Member.Incarnation > c.self.Incarnation {
+		c.startNewIncarnation(max(self.Member.Incarnation, c.self.Incarnation) + 1)
+	}
+	c.updatePeerConnections(prev)
+	c.beginTakeover(prev)
 	c.redirectForwards()
-	for m := range c.removals {
+	for m := range c.removalAttempts {
 		if e, ok := elector.Find(r, m.ID); !ok || e.Member != m {
-			delete(c.removals, m)
+			delete(c.removalAttempts, m)
 		}
 	}
 	for _, e := range r.Entries {
 		if e.Member.ID != c.self.ID {
-			c.witnessAgain(e.Member.ID)
+			c.resendWitness(e.Member.ID)
 		}
 	}
-	c.place()
+	c.placeTasks()
 }
 
 // renew gives the entry a new incarnation after it was removed. All sessions start anew, so that every process sees it.
-func (c *Core) renew(incarnation uint64) {
+func (c *Core) startNewIncarnation(incarnation uint64) {
 	c.self.Incarnation = incarnation
-	c.left = false
-	c.joinTried = 0
-	c.out = append(c.out, Effect{Kind: EffectIncarnation, Member: c.self})
+	c.leftVoluntarily = false
+	c.lastMembershipAppend = 0
+	c.effects = append(c.effects, Effect{Kind: EffectNewIncarnation, Member: c.self})
 	for id := range c.sessions {
-		c.out = append(c.out, Effect{Kind: EffectClose, Session: id})
+		c.effects = append(c.effects, Effect{Kind: EffectCloseSession, Session: id})
 	}
 }
 
 // meetPeers asks for connections to the members of the roster and ends those to former members.
-func (c *Core) meetPeers(prev encoder.Roster) {
+func (c *Core) updatePeerConnections(prev encoder.Roster) {
 	for _, e := range prev.Entries {
-		if now, ok := elector.Find(c.roster, e.Member.ID); !ok || now.Address != e.Address {
-			c.out = append(c.out, Effect{Kind: EffectHangUp, Address: e.Address})
+		if current, ok := elector.Find(c.roster, e.Member.ID); !ok || current.Address != e.Address {
+			c.effects = append(c.effects, Effect{Kind: EffectDisconnect, Address: e.Address})
 		}
 	}
 	for _, e := range c.roster.Entries {
 		if e.Member.ID == c.self.ID {
 			continue
 		}
-		p := c.peerOf(e.Member.ID)
+		p := c.getOrAddPeer(e.Member.ID)
 		p.address = e.Address
 		if old, ok := elector.Find(prev, e.Member.ID); !ok || old != e {
-			p.heard = max(p.heard, c.now+firstContact-silentAfter)
-			c.out = append(c.out, Effect{Kind: EffectDial, Address: e.Address})
+			p.lastHeard = max(p.lastHeard, c.now+firstContactTimeout-peerTimeout)
+			c.effects = append(c.effects, Effect{Kind: EffectDial, Address: e.Address})
 		}
 	}
 }
 
 // tickRoster joins the roster as long as the entry is not in it, and leaves it when the entry drains.
 func (c *Core) tickRoster() {
-	if c.joined != c.draining || c.confirmed[StreamRoster] == 0 || !c.logReachable() {
+	if c.joined != c.draining || c.confirmations[StreamRoster] == 0 || !c.logReachable() {
 		return
 	}
-	if c.joinTried != 0 && c.now-c.joinTried < joinPeriod {
+	if c.lastMembershipAppend != 0 && c.now-c.lastMembershipAppend < membershipRetryInterval {
 		return
 	}
-	c.joinTried = c.now
+	c.lastMembershipAppend = c.now
 	if c.draining {
 		c.appendChange(elector.ChangeLeave)
 	} else {
@@ -127,7 +127,7 @@
 	if c.draining {
 		return
 	}
-	c.draining, c.joinTried = true, 0
+	c.draining, c.lastMembershipAppend = true, 0
 	c.tickRoster()
 }
 
@@ -138,8 +138,8 @@
 			return false
 		}
 	}
-	for _, s := range c.jobs {
-		if s.state != stateMoved {
+	for _, s := range c.submissions {
+		if s.state != submissionMoved {
 			return false
 		}
 	}
--- a/dispatcher/settings.go
+++ b/dispatcher/settings.go
@@ -6,35 +6,35 @@
 )
 
 const (
-	claimPeriod   = 25 * timer.Millisecond
-	peerPeriod    = 100 * timer.Millisecond
-	reportValid   = 500 * timer.Millisecond
-	leaseTime     = 2 * timer.Second
-	leaseMargin   = 500 * timer.Millisecond
-	sweepPeriod   = timer.Second
-	joinPeriod    = 500 * timer.Millisecond
-	collectDelay  = timer.Second
-	forwardPeriod = 100 * timer.Millisecond
-	maxHops       = 4
+	claimFlushInterval      = 25 * timer.Millisecond
+	heartbeatInterval       = 100 * timer.Millisecond
+	reportValidity          = 500 * timer.Millisecond
+	leaseDuration           = 2 * timer.Second
+	leaseMargin             = 500 * timer.Millisecond
+	cleanupInterval         = timer.Second
+	membershipRetryInterval = 500 * timer.Millisecond
+	collectDelay            = timer.Second
+	forwardRetryInterval    = 100 * timer.Millisecond
+	maxHops                 = 4
 
 	maxProvisional  = 64
 	maxEffectBuffer = 4096
 
 	// logSilence is the age of the last confirmation from which on the entry reports the log as unreachable. It is
 	// several confirmation periods, so that one slow read is no outage, and half of the lease.
-	logSilence = timer.Second
+	logTimeout = timer.Second
 
 	// redialAfter and silentAfter bound the detection of a dead peer: a new connection is tried after a missed
 	// heartbeat, and the peer is held for dead 0.3 s beyond its heartbeat.
-	redialAfter = 200 * timer.Millisecond
-	silentAfter = peerPeriod + 300*timer.Millisecond
+	reconnectTimeout = 200 * timer.Millisecond
+	peerTimeout      = heartbeatInterval + 300*timer.Millisecond
 
 	// ownPause is the time between two ticks from which on the entry itself was paused.
-	ownPause = 200 * timer.Millisecond
+	pauseThreshold = 200 * timer.Millisecond
 
 	// lostWait is how long after its last sign of life a sidecar delays takeovers. Beyond it no entry has a session
 	// to the sidecar, so its lease has expired.
-	lostWait = timer.Minute
+	lostSidecarWait = timer.Minute
 )
 
 type (
@@ -64,20 +64,20 @@
 )
 
 func (s Settings) withDefaults() Settings {
-	s.KeyRetention = positive(s.KeyRetention, 10*timer.Minute)
-	s.KeptAnswers = positive(s.KeptAnswers, 200_000)
-	s.KeptBytes = positive(s.KeptBytes, 64<<20)
-	s.MaxKeys = positive(s.MaxKeys, 4_000_000)
-	s.MaxJobs = positive(s.MaxJobs, 100_000)
-	s.MaxTasks = positive(s.MaxTasks, 1000)
-	s.MaxKey = positive(s.MaxKey, 200)
-	s.SidecarTimeout = positive(s.SidecarTimeout, 10*timer.Second)
-	s.RunLimit = positive(s.RunLimit, 5*timer.Minute)
-	s.MaxAttempts = positive(s.MaxAttempts, 1000)
+	s.KeyRetention = positiveOr(s.KeyRetention, 10*timer.Minute)
+	s.KeptAnswers = positiveOr(s.KeptAnswers, 200_000)
+	s.KeptBytes = positiveOr(s.KeptBytes, 64<<20)
+	s.MaxKeys = positiveOr(s.MaxKeys, 4_000_000)
+	s.MaxJobs = positiveOr(s.MaxJobs, 100_000)
+	s.MaxTasks = positiveOr(s.MaxTasks, 1000)
+	s.MaxKey = positiveOr(s.MaxKey, 200)
+	s.SidecarTimeout = positiveOr(s.SidecarTimeout, 10*timer.Second)
+	s.RunLimit = positiveOr(s.RunLimit, 5*timer.Minute)
+	s.MaxAttempts = positiveOr(s.MaxAttempts, 1000)
 	return s
 }
 
-func positive[T int | uint32 | timer.Millis](value, fallback T) T {
+func positiveOr[T int | uint32 | timer.Millis](value, fallback T) T {
 	if value > 0 {
 		return value
 	}
--- a/dispatcher/sidecar.go
+++ b/dispatcher/sidecar.go
@@ -8,61 +8,61 @@
 
 // sidecar is one incarnation of a sidecar that has or had a session to this entry.
 type sidecar struct {
-	hello   encoder.Hello
-	session SessionID    // 0 while there is none
-	down    timer.Millis // when the session ended
-	leaving bool
-	running uint32
-	credits uint32 // as granted, spent and given back; the scheduler decides with its own count
-	asked   uint64 // epoch of the last census that was sent on the session
-	demand  int
-	offset  uint64                   // configuration offset of the last pong
-	jobs    map[*submission]struct{} // those with a task that was placed here, until they end
+	hello          encoder.Hello
+	session        SessionID    // 0 while there is none
+	disconnectedAt timer.Millis // when the session ended
+	leaving        bool
+	running        uint32
+	credits        uint32 // as granted, spent and given back; the scheduler decides with its own count
+	censusEpoch    uint64 // epoch of the last census that was sent on the session
+	reportedDemand int
+	configOffset   uint64                   // configuration offset of the last pong
+	submissions    map[*submission]struct{} // those with a task that was placed here, until they end
 }
 
 // hold notes that a task of s was placed on the sidecar, so that the loss of a sidecar needs no search in all jobs.
-func (sc *sidecar) hold(s *submission) {
-	if _, ok := sc.jobs[s]; !ok {
-		sc.jobs[s] = struct{}{}
+func (sc *sidecar) addSubmission(s *submission) {
+	if _, ok := sc.submissions[s]; !ok {
+		sc.submissions[s] = struct{}{}
 		s.sidecars = append(s.sidecars, sc)
 	}
 }
 
 // release drops s from the lists of its sidecars.
-func (s *submission) release() {
+func (s *submission) detachSidecars() {
 	for _, sc := range s.sidecars {
-		delete(sc.jobs, s)
+		delete(sc.submissions, s)
 	}
 	s.sidecars = nil
 }
 
 // Announce notes a sidecar whose session is about to be accepted.
-func (c *Core) Announce(now timer.Millis, m encoder.Member) {
+func (c *Core) RegisterSidecar(now timer.Millis, m encoder.Member) {
 	c.now = now
-	c.takeover.heard(m, now)
+	c.takeover.sidecarSeen(m, now)
 }
 
-func (c *Core) sidecarUp(id SessionID, h encoder.Hello) {
+func (c *Core) sidecarConnected(id SessionID, h encoder.Hello) {
 	sc := c.sidecars[h.Member.ID]
 	switch {
 	case sc != nil && sc.hello.Member.Incarnation > h.Member.Incarnation:
-		c.out = append(c.out, Effect{Kind: EffectClose, Session: id})
+		c.effects = append(c.effects, Effect{Kind: EffectCloseSession, Session: id})
 		return
 	case sc != nil && sc.hello.Member.Incarnation < h.Member.Incarnation:
-		c.sidecarGone(sc)
+		c.sidecarLost(sc)
 		sc = nil
 	case sc != nil && sc.session != 0:
 		// Messages of the replaced session no longer count: a late refusal would look like the answer to a start
 		// that was sent again on the new session.
 		delete(c.sessions, sc.session)
-		c.out = append(c.out, Effect{Kind: EffectClose, Session: sc.session})
+		c.effects = append(c.effects, Effect{Kind: EffectCloseSession, Session: sc.session})
 		c.queue.RemoveSidecar(h.Member.ID)
 	}
 	if sc == nil {
-		sc = &sidecar{jobs: map[*submission]struct{}{}}
+		sc = &sidecar{submissions: map[*submission]struct{}{}}
 		c.sidecars[h.Member.ID] = sc
 	}
-	sc.hello, sc.session, sc.leaving, sc.credits, sc.asked, sc.demand = h, id, false, 0, 0, 0
+	sc.hello, sc.session, sc.leaving, sc.credits, sc.censusEpoch, sc.reportedDemand = h, id, false, 0, 0, 0
 	c.sessions[id] = &session{id: id, sidecar: sc}
 	distance := timer.Millis(0)
 	if h.Domain != c.settings.Domain {
@@ -72,34 +72,34 @@
 		ID: h.Member.ID, Domain: h.Domain, Slots: h.Slots, MemoryMB: h.MemoryMB, Kinds: h.Kinds, Distance: distance,
 	})
 	c.queue.SetDomain(h.Domain, c.inForce(h.Domain))
-	c.askSidecar(sc)
-	c.startAgain(sc)
+	c.sendCensus(sc)
+	c.resendStarts(sc)
 }
 
 // startAgain repeats the starts whose outcome is open. The sidecar's table of started tasks makes that safe.
-func (c *Core) startAgain(sc *sidecar) {
-	for s := range sc.jobs {
+func (c *Core) resendStarts(sc *sidecar) {
+	for s := range sc.submissions {
 		for i := range s.tasks {
 			t := &s.tasks[i]
 			if t.sidecar != sc || t.state != taskStarted && !step(taskChart, &t.state, eventRecover) {
 				continue
 			}
 			t.resent = true
-			if s.state == stateOpen || s.state == stateClosing {
+			if s.state == submissionOpen || s.state == submissionClosing {
 				c.sendStart(s, i)
 			}
 		}
 	}
 }
 
-func (c *Core) sidecarDown(ss *session) {
+func (c *Core) sidecarDisconnected(ss *session) {
 	sc := ss.sidecar
 	if sc.session != ss.id {
 		return
 	}
-	sc.session, sc.down = 0, c.now
+	sc.session, sc.disconnectedAt = 0, c.now
 	c.queue.RemoveSidecar(sc.hello.Member.ID)
-	for s := range sc.jobs {
+	for s := range sc.submissions {
 		for i := range s.tasks {
 			if s.tasks[i].sidecar == sc {
 				step(taskChart, &s.tasks[i].state, eventLose)
@@ -109,40 +109,40 @@
 }
 
 // sidecarGone ends the tasks of a sidecar that cannot answer any more. They are never placed again.
-func (c *Core) sidecarGone(sc *sidecar) {
-	c.gone[sc.hello.Member] = c.now
+func (c *Core) sidecarLost(sc *sidecar) {
+	c.lostSidecars[sc.hello.Member] = c.now
 	if c.sidecars[sc.hello.Member.ID] == sc {
 		delete(c.sidecars, sc.hello.Member.ID)
 	}
 	if sc.session != 0 {
 		delete(c.sessions, sc.session)
-		c.out = append(c.out, Effect{Kind: EffectClose, Session: sc.session})
+		c.effects = append(c.effects, Effect{Kind: EffectCloseSession, Session: sc.session})
 		sc.session = 0
 		c.queue.RemoveSidecar(sc.hello.Member.ID)
 	}
-	for s := range sc.jobs {
+	for s := range sc.submissions {
 		for i := 0; i < len(s.tasks); i++ {
-			if t := &s.tasks[i]; t.sidecar == sc && (t.state == taskStarted || t.state == taskDoubt) {
+			if t := &s.tasks[i]; t.sidecar == sc && (t.state == taskStarted || t.state == taskInDoubt) {
 				c.taskEnded(s, i, sc, encoder.StatusUnknown, nil, "the worker that had started the task was lost", 0)
 			}
 		}
 	}
 }
 
-func (c *Core) sweepSidecars() {
+func (c *Core) removeLostSidecars() {
 	for _, sc := range c.sidecars {
-		if sc.session == 0 && c.now-sc.down > c.settings.SidecarTimeout {
-			c.sidecarGone(sc)
+		if sc.session == 0 && c.now-sc.disconnectedAt > c.settings.SidecarTimeout {
+			c.sidecarLost(sc)
 		}
 	}
-	for m, at := range c.gone {
+	for m, at := range c.lostSidecars {
 		if c.now-at > c.settings.KeyRetention {
-			delete(c.gone, m)
+			delete(c.lostSidecars, m)
 		}
 	}
-	limit := c.settings.RunLimit + runMargin
-	for _, s := range c.jobs {
-		if s.started == 0 || c.now-s.lastStart < limit {
+	limit := c.settings.RunLimit + runLimitMargin
+	for _, s := range c.submissions {
+		if s.running == 0 || c.now-s.lastStart < limit {
 			continue
 		}
 		for i := 0; i < len(s.tasks); i++ {
@@ -153,27 +153,27 @@
 	}
 }
 
-func (c *Core) fromSidecar(sc *sidecar, m encoder.Message) {
+func (c *Core) handleSidecarMessage(sc *sidecar, m encoder.Message) {
 	switch m := m.(type) {
 	case *encoder.Ping:
 		sc.running = m.Running
 		if m.Leaving {
 			c.sidecarLeaving(sc)
 		}
-		c.pong(sc, m)
+		c.sendPong(sc, m)
 	case *encoder.Result:
-		c.result(sc, m)
+		c.handleResult(sc, m)
 	case *encoder.Refusal:
-		c.refused(sc, m)
+		c.handleRefusal(sc, m)
 	case *encoder.Grant:
-		c.grant(sc, m.Credits)
+		c.addCredits(sc, m.Credits)
 	case *encoder.Recall:
 		// The sidecar asks again only after an answer, so it gets one even when nothing is left to give back.
 		taken := c.queue.Recall(sc.hello.Member.ID, m.Credits)
 		sc.credits -= min(taken, sc.credits)
 		c.send(sc.session, &encoder.Release{Credits: taken})
 	case *encoder.CensusReply:
-		c.censusReply(sc, m)
+		c.handleCensusReply(sc, m)
 	case *encoder.Leaving:
 		c.sidecarLeaving(sc)
 	default:
@@ -181,7 +181,7 @@
 	}
 }
 
-func (c *Core) grant(sc *sidecar, credits uint32) {
+func (c *Core) addCredits(sc *sidecar, credits uint32) {
 	if credits > 0 && !sc.leaving {
 		sc.credits += credits
 		c.queue.Grant(sc.hello.Member.ID, credits)
@@ -196,20 +196,20 @@
 }
 
 // tellDemand reports the length of the queue to the sidecars when it changed from or to empty, or doubled.
-func (c *Core) tellDemand() {
+func (c *Core) sendDemand() {
 	queued := c.queue.Queued()
-	if queued == 0 && c.demanded == 0 {
+	if queued == 0 && c.totalReportedDemand == 0 {
 		return
 	}
-	c.demanded = 0
+	c.totalReportedDemand = 0
 	for _, sc := range c.sidecars {
 		if sc.session == 0 || sc.leaving {
 			continue
 		}
-		if (queued == 0) != (sc.demand == 0) || queued > 2*sc.demand {
-			sc.demand = queued
+		if (queued == 0) != (sc.reportedDemand == 0) || queued > 2*sc.reportedDemand {
+			sc.reportedDemand = queued
 			c.send(sc.session, &encoder.Demand{Queued: uint32(queued)})
 		}
-		c.demanded += sc.demand
+		c.totalReportedDemand += sc.reportedDemand
 	}
 }
--- /dev/null
+++ b/dispatcher/simulation_log_test.go
@@ -0,0 +1,61 @@
+package dispatcher
+
+import (
+	"slices"
+
+	"github.com/crocuslb/crocuslb/elector"
+)
+
+// resolve ends an append: it takes effect or not, and the entry learns so or not.
+func (sm *simulation) completeAppend(i int, lost bool) {
+	p := sm.appends[i]
+	sm.appends = slices.Delete(sm.appends, i, i+1)
+	var offset uint64
+	cut := sm.logOutage || p.entry.logUnreachable
+	var r logRecord
+	switch p.effect.Stream {
+	case StreamRoster:
+		r.change, _ = elector.DecodeChange(p.effect.Body)
+		cut = cut || r.change.Kind == elector.ChangeRemove && !sm.evidenceRemainsWithout(r.change.Entry.Member.ID)
+	case StreamClaims:
+		r.claims, _ = elector.DecodeClaims(p.effect.Body)
+	case StreamConfiguration:
+		r.withdrawn = p.effect.Body[0] == 1
+	}
+	if !cut {
+		if p.effect.Stream == StreamConfiguration {
+			sm.withdrawalAcceptedAt = 0
+		}
+		offset = uint64(len(sm.log[p.effect.Stream]))
+		sm.log[p.effect.Stream] = append(sm.log[p.effect.Stream], r)
+		sm.logf("%s record %d of %s: %+v", p.effect.Stream, offset, p.entry.id, r)
+	}
+	if p.entry.core == p.core && p.entry.alive {
+		p.core.AppendDone(sm.now, p.effect.Tag, offset, !cut && !lost, lost)
+		sm.perform(p.entry)
+	}
+}
+
+// readLog brings an entry up to the head of the log.
+func (sm *simulation) readLog(n *simEntry) {
+	if sm.logOutage || n.logUnreachable {
+		return
+	}
+	for _, stream := range []string{StreamConfiguration, StreamRoster, StreamClaims} {
+		for ; n.nextOffset[stream] < len(sm.log[stream]); n.nextOffset[stream]++ {
+			r := sm.log[stream][n.nextOffset[stream]]
+			offset := uint64(n.nextOffset[stream])
+			switch stream {
+			case StreamRoster:
+				n.core.RosterRecord(sm.now, offset, r.change)
+			case StreamClaims:
+				n.core.ClaimsRecord(sm.now, r.claims)
+			default:
+				n.core.ConfigurationRecord(sm.now, offset, nil)
+				n.core.SetConfiguration(sm.now, offset+1, func(domain string) bool { return !r.withdrawn || domain != "s0" })
+			}
+		}
+		n.core.StreamConfirmed(sm.now, stream, sm.now)
+	}
+	sm.perform(n)
+}
--- a/dispatcher/status.go
+++ b/dispatcher/status.go
@@ -58,9 +58,9 @@
 // Status returns the state of the entry. It is zero when ctx ends first.
 func (e *Entry) Status(ctx context.Context) Status {
 	var s Status
-	_ = e.call(ctx, func() {
+	_ = e.runOnControlLoop(ctx, func() {
 		s = e.core.Status(e.Clock.Now())
-		s.Sent = e.sent
+		s.Sent = e.sentCounts
 	})
 	return s
 }
@@ -69,29 +69,29 @@
 func (c *Core) Status(now timer.Millis) Status {
 	c.now = now
 	s := Status{
-		Entry: c.self, Joined: c.joined, Draining: c.draining, LogReachable: c.logReachable(), Attests: c.attests(),
-		Takeover: c.takeover.state, Roster: c.roster, ConfigOffset: c.domains.offset, Queued: c.queue.Queued(),
-		Jobs: len(c.jobs), Kept: len(c.kept.byKey), KeptBytes: c.kept.bytes, Lagging: c.lagging(c.domains.offset),
-		Counters: c.counters, Received: c.received,
+		Entry: c.self, Joined: c.joined, Draining: c.draining, LogReachable: c.logReachable(), Attests: c.attestsLogOutage(),
+		Takeover: c.takeover.state, Roster: c.roster, ConfigOffset: c.domainState.offset, Queued: c.queue.Queued(),
+		Jobs: len(c.submissions), Kept: len(c.answerCache.byKey), KeptBytes: c.answerCache.bytes, Lagging: c.lagging(c.domainState.offset),
+		Counters: c.counters, Received: c.receivedCounts,
 	}
 	domains := map[string]int{}
 	for _, sc := range c.sidecars {
 		h := sc.hello
 		one := SidecarStatus{
 			Member: h.Member, Domain: h.Domain, Worker: h.Worker, Slots: h.Slots, Running: sc.running,
-			Credits: sc.credits, ConfigOffset: sc.offset, Connected: sc.session != 0, Leaving: sc.leaving,
+			Credits: sc.credits, ConfigOffset: sc.configOffset, Connected: sc.session != 0, Leaving: sc.leaving,
 		}
 		if sc.session == 0 {
-			one.Silence = now - sc.down
+			one.Silence = now - sc.disconnectedAt
 		}
 		s.Sidecars = append(s.Sidecars, one)
 		domains[h.Domain]++
 	}
-	for name := range c.domains.provisional {
+	for name := range c.domainState.provisional {
 		domains[name] += 0
 	}
 	for name, count := range domains {
-		_, provisional := c.domains.provisional[name]
+		_, provisional := c.domainState.provisional[name]
 		s.Domains = append(s.Domains, DomainStatus{name, c.inForce(name), provisional, count})
 	}
 	slices.SortFunc(s.Sidecars, func(a, b SidecarStatus) int { return strings.Compare(a.Member.ID, b.Member.ID) })
--- a/dispatcher/submission.go
+++ b/dispatcher/submission.go
@@ -12,28 +12,28 @@
 type (
 	// submission is one job at its owner.
 	submission struct {
-		key, team string
-		digest    uint64
-		state     string
-		tasks     []task
-		specs     []encoder.JobTask
-		waiters   []waiter
-		sidecars  []*sidecar // that hold it
-		arrived   timer.Millis
-		first     timer.Millis // since when the submission exists; 0 when it may be older than its arrival here
-		deadline  timer.Millis // 0 for none
-		lastStart timer.Millis
-		moved     timer.Millis
-		left      uint32 // tasks that have not ended
-		started   uint32 // tasks that are started or in doubt
-		ran       bool   // a task ended as done or failed
-		lost      bool   // a task ended as unknown
-		once      bool
-		claimed   bool
-		regained  bool // another entry may have owned the submission since it arrived here
-		local     bool // the caller's request arrived at this entry
-		code      encoder.FailureCode
-		reason    string
+		key, team      string
+		digest         uint64
+		state          string
+		tasks          []task
+		specs          []encoder.JobTask
+		waiters        []waiter
+		sidecars       []*sidecar // that hold it
+		arrivedAt      timer.Millis
+		firstSeen      timer.Millis // since when the submission exists; 0 when it may be older than its arrival here
+		deadline       timer.Millis // 0 for none
+		lastStart      timer.Millis
+		movedAt        timer.Millis
+		unfinished     uint32 // tasks that have not ended
+		running        uint32 // tasks that are started or in doubt
+		anyRan         bool   // a task ended as done or failed
+		anyUnknown     bool   // a task ended as unknown
+		once           bool
+		claimed        bool
+		ownedElsewhere bool // another entry may have owned the submission since it arrived here
+		receivedHere   bool // the caller's request arrived at this entry
+		code           encoder.FailureCode
+		reason         string
 	}
 
 	task struct {
@@ -51,7 +51,7 @@
 		forward uint64
 	}
 
-	deadlines []*submission
+	deadlineHeap []*submission
 )
 
 // Submit handles a caller's job. The answer comes as an effect when the submission has ended.
@@ -59,7 +59,7 @@
 	c.now = now
 	c.counters.Submitted++
 	c.route(waiter{request: request}, encoder.RequestSubmit, job, 0)
-	c.place()
+	c.placeTasks()
 }
 
 // Get handles a caller's question for the state of a submission.
@@ -76,11 +76,11 @@
 
 // route serves the request when this entry owns the key, and forwards it to the owner otherwise.
 func (c *Core) route(w waiter, r encoder.Request, job encoder.Job, hops uint32) {
-	if reason := c.invalid(r, job); reason != "" {
-		c.answer(w, failure(job.Key, encoder.CodeInvalid, encoder.OutcomeNotRun, reason))
+	if reason := c.validate(r, job); reason != "" {
+		c.answer(w, failedAnswer(job.Key, encoder.CodeInvalid, encoder.OutcomeNotRun, reason))
 		return
 	}
-	if !c.owns(c.roster, job.Key) {
+	if !c.isOwner(c.roster, job.Key) {
 		c.forward(w, r, job, hops)
 		return
 	}
@@ -89,13 +89,13 @@
 		c.submit(w, job)
 	case encoder.RequestCancel:
 		c.cancel(job.Key)
-		c.answer(w, c.stateOf(job.Key))
+		c.answer(w, c.submissionAnswer(job.Key))
 	default:
-		c.answer(w, c.stateOf(job.Key))
+		c.answer(w, c.submissionAnswer(job.Key))
 	}
 }
 
-func (c *Core) invalid(r encoder.Request, job encoder.Job) string {
+func (c *Core) validate(r encoder.Request, job encoder.Job) string {
 	switch {
 	case job.Key == "" || len(job.Key) > c.settings.MaxKey:
 		return "the key is empty or too long"
@@ -109,34 +109,34 @@
 
 func (c *Core) submit(w waiter, job encoder.Job) {
 	digest := c.digest(job)
-	if s := c.jobs[job.Key]; s != nil {
-		c.resubmit(s, w, digest)
+	if s := c.submissions[job.Key]; s != nil {
+		c.addWaiter(s, w, digest)
 		return
 	}
-	if k, ok := c.kept.byKey[job.Key]; ok {
+	if k, ok := c.answerCache.byKey[job.Key]; ok {
 		if k.digest != 0 && k.digest != digest {
-			c.answer(w, conflict(job.Key))
+			c.answer(w, conflictAnswer(job.Key))
 			return
 		}
 		c.answer(w, k.answer)
 		return
 	}
-	if c.kept.forgotten.has(c.hash(job.Key)) {
-		c.answer(w, failure(job.Key, encoder.CodeUnknown, encoder.OutcomeUnknown, "the answer is no longer kept"))
+	if c.answerCache.evicted.has(c.hashKey(job.Key)) {
+		c.answer(w, failedAnswer(job.Key, encoder.CodeUnknown, encoder.OutcomeUnknown, "the answer is no longer kept"))
 		return
 	}
 	if c.draining {
-		c.answer(w, c.refusal(job.Key, encoder.CodeUnavailable, "the entry is stopping"))
+		c.answer(w, c.refusalAnswer(job.Key, encoder.CodeUnavailable, "the entry is stopping"))
 		return
 	}
-	if len(c.jobs) >= c.settings.MaxJobs || c.kept.keys() >= c.settings.MaxKeys {
-		c.answer(w, c.refusal(job.Key, encoder.CodeOverload, "too many submissions"))
+	if len(c.submissions) >= c.settings.MaxJobs || c.answerCache.knownKeys() >= c.settings.MaxKeys {
+		c.answer(w, c.refusalAnswer(job.Key, encoder.CodeOverload, "too many submissions"))
 		return
 	}
 	s := &submission{
 		key: job.Key, team: job.Team, digest: digest, state: submissionChart.Start(),
 		tasks: make([]task, len(job.Tasks)), specs: job.Tasks, waiters: []waiter{w},
-		arrived: c.now, first: c.firstSeen(job.Key), left: uint32(len(job.Tasks)), once: job.Once, local: w.session == 0,
+		arrivedAt: c.now, firstSeen: c.firstSeen(job.Key), unfinished: uint32(len(job.Tasks)), once: job.Once, receivedHere: w.session == 0,
 	}
 	for i := range s.tasks {
 		s.tasks[i].state = taskChart.Start()
@@ -145,17 +145,17 @@
 		s.deadline = c.now + job.Deadline
 		heap.Push(&c.byDeadline, s)
 	}
-	c.jobs[s.key] = s
-	if s.local {
-		c.witness(s.key)
+	c.submissions[s.key] = s
+	if s.receivedHere {
+		c.sendWitness(s.key)
 	}
 	c.admit(s)
 }
 
 // resubmit attaches another caller to a submission that is not answered yet.
-func (c *Core) resubmit(s *submission, w waiter, digest uint64) {
+func (c *Core) addWaiter(s *submission, w waiter, digest uint64) {
 	if s.digest != digest {
-		c.answer(w, conflict(s.key))
+		c.answer(w, conflictAnswer(s.key))
 		return
 	}
 	s.waiters = append(s.waiters, w)
@@ -169,14 +169,14 @@
 	var h maphash.Hash
 	h.SetSeed(c.seed)
 	var size [binary.MaxVarintLen64]byte
-	text := func(s string) {
+	writeString := func(s string) {
 		_, _ = h.Write(size[:binary.PutUvarint(size[:], uint64(len(s)))])
 		_, _ = h.WriteString(s)
 	}
-	text(job.Team)
+	writeString(job.Team)
 	var word [25]byte
 	for _, t := range job.Tasks {
-		text(t.Kind)
+		writeString(t.Kind)
 		binary.LittleEndian.PutUint64(word[0:], uint64(t.RunTime))
 		binary.LittleEndian.PutUint64(word[8:], t.MemoryMB)
 		binary.LittleEndian.PutUint64(word[16:], uint64(len(t.Payload)))
@@ -190,7 +190,7 @@
 	return h.Sum64()
 }
 
-func (c *Core) hash(key string) uint64 { return maphash.String(c.seed, key) }
+func (c *Core) hashKey(key string) uint64 { return maphash.String(c.seed, key) }
 
 // fail ends the submission as failed once its started tasks have ended. Queued tasks are dropped at once.
 func (c *Core) fail(s *submission, code encoder.FailureCode, reason string) {
@@ -199,14 +199,14 @@
 		c.dropQueued(s)
 		c.cancelStarted(s)
 	}
-	c.endWhenDone(s)
+	c.endIfFinished(s)
 }
 
 func (c *Core) dropQueued(s *submission) {
 	dropped := false
 	for i := range s.tasks {
 		if step(taskChart, &s.tasks[i].state, eventDrop) {
-			s.left--
+			s.unfinished--
 			dropped = true
 		}
 	}
@@ -216,7 +216,7 @@
 }
 
 func (c *Core) cancelStarted(s *submission) {
-	if s.started == 0 {
+	if s.running == 0 {
 		return
 	}
 	lists := map[SessionID][]encoder.TaskKey{}
@@ -233,12 +233,12 @@
 
 // cancel ends a submission at the caller's wish. Tasks that run are asked to stop, and their ends are awaited.
 func (c *Core) cancel(key string) {
-	s := c.jobs[key]
+	s := c.submissions[key]
 	if s == nil {
 		return
 	}
-	if s.state == stateHeld {
-		a := c.refusal(key, encoder.CodeCanceled, "canceled by the caller")
+	if s.state == submissionHeld {
+		a := c.refusalAnswer(key, encoder.CodeCanceled, "canceled by the caller")
 		c.end(s, a)
 		return
 	}
@@ -246,27 +246,27 @@
 }
 
 // expire ends submissions whose deadline has passed. Tasks that still run make the outcome unknown.
-func (c *Core) expire() {
+func (c *Core) expireDeadlines() {
 	for len(c.byDeadline) > 0 && c.byDeadline[0].deadline <= c.now {
 		s, _ := heap.Pop(&c.byDeadline).(*submission)
-		c.pastDeadline(s)
+		c.deadlineExceeded(s)
 	}
 	for _, t := range c.queue.Expired(c.now) {
-		if s := c.jobs[t.Key.Job]; s != nil {
-			c.pastDeadline(s)
+		if s := c.submissions[t.Key.Job]; s != nil {
+			c.deadlineExceeded(s)
 		}
 	}
 }
 
-func (c *Core) pastDeadline(s *submission) {
+func (c *Core) deadlineExceeded(s *submission) {
 	const reason = "the deadline passed"
 	switch s.state {
-	case stateHeld:
-		c.end(s, c.refusal(s.key, encoder.CodeDeadline, reason))
-	case stateOpen, stateClosing:
+	case submissionHeld:
+		c.end(s, c.refusalAnswer(s.key, encoder.CodeDeadline, reason))
+	case submissionOpen, submissionClosing:
 		c.dropQueued(s)
 		c.cancelStarted(s)
-		a := failure(s.key, encoder.CodeDeadline, s.outcome(), reason)
+		a := failedAnswer(s.key, encoder.CodeDeadline, s.outcome(), reason)
 		if s.code != 0 {
 			a.Code, a.Reason = s.code, s.reason
 		}
@@ -277,22 +277,22 @@
 // outcome says what the submission may have done so far.
 func (s *submission) outcome() encoder.Outcome {
 	switch {
-	case s.lost || s.started > 0:
+	case s.anyUnknown || s.running > 0:
 		return encoder.OutcomeUnknown
-	case s.ran:
+	case s.anyRan:
 		return encoder.OutcomeRan
 	}
 	return encoder.OutcomeNotRun
 }
 
 // endWhenDone answers the submission when all its tasks have ended.
-func (c *Core) endWhenDone(s *submission) {
-	if s.left > 0 {
+func (c *Core) endIfFinished(s *submission) {
+	if s.unfinished > 0 {
 		return
 	}
-	if s.state == stateClosing || s.code != 0 {
-		a := failure(s.key, s.code, s.outcome(), s.reason)
-		if s.lost {
+	if s.state == submissionClosing || s.code != 0 {
+		a := failedAnswer(s.key, s.code, s.outcome(), s.reason)
+		if s.anyUnknown {
 			a.Code = encoder.CodeUnknown
 		}
 		c.end(s, a)
@@ -321,9 +321,9 @@
 		}
 		if t.state == taskStarted {
 			// The result will find no submission, so the scheduler hears of the end now.
-			c.queue.Refused(t.sidecar.hello.Member.ID, c.queued(s, i), encoder.RefusalCanceled)
+			c.queue.Refused(t.sidecar.hello.Member.ID, c.schedulerTask(s, i), encoder.RefusalCanceled)
 		}
-		c.collect.add(t.sidecar, encoder.TaskKey{Job: s.key, Index: uint32(i)}, c.now+collectDelay)
+		c.collected.add(t.sidecar, encoder.TaskKey{Job: s.key, Index: uint32(i)}, c.now+collectDelay)
 	}
 	if a.State == encoder.JobComplete {
 		c.counters.Complete++
@@ -333,16 +333,16 @@
 	for _, w := range s.waiters {
 		c.answer(w, a)
 	}
-	delete(c.jobs, s.key)
-	s.release()
-	c.keep(s.digest, a)
+	delete(c.submissions, s.key)
+	s.detachSidecars()
+	c.cacheAnswer(s.digest, a)
 	s.tasks, s.specs, s.waiters = nil, nil, nil
 }
 
 // Abandon forgets a local request whose caller no longer waits. The submission goes on.
 func (c *Core) Abandon(now timer.Millis, request uint64, key string) {
 	c.now = now
-	if s := c.jobs[key]; s != nil {
+	if s := c.submissions[key]; s != nil {
 		for i, w := range s.waiters {
 			if w.session == 0 && w.request == request {
 				s.waiters = append(s.waiters[:i], s.waiters[i+1:]...)
@@ -359,19 +359,19 @@
 }
 
 // Len, Less, Swap, Push and Pop make a heap of submissions by deadline.
-func (d deadlines) Len() int           { return len(d) }
-func (d deadlines) Less(i, j int) bool { return d[i].deadline < d[j].deadline }
-func (d deadlines) Swap(i, j int)      { d[i], d[j] = d[j], d[i] }
+func (d deadlineHeap) Len() int           { return len(d) }
+func (d deadlineHeap) Less(i, j int) bool { return d[i].deadline < d[j].deadline }
+func (d deadlineHeap) Swap(i, j int)      { d[i], d[j] = d[j], d[i] }
 
 // Push adds a submission.
-func (d *deadlines) Push(x any) {
+func (d *deadlineHeap) Push(x any) {
 	if s, ok := x.(*submission); ok {
 		*d = append(*d, s)
 	}
 }
 
 // Pop removes the last submission.
-func (d *deadlines) Pop() any {
+func (d *deadlineHeap) Pop() any {
 	old := *d
 	s := old[len(old)-1]
 	old[len(old)-1] = nil
--- a/dispatcher/takeover.go
+++ b/dispatcher/takeover.go
@@ -12,55 +12,55 @@
 const (
 	// takeoverWait is the time after which no sidecar that has not answered can start anything for a former owner:
 	// the validity of a peer's report, the freshness lease and a margin.
-	takeoverWait = reportValid + leaseTime + leaseMargin
-	askAgain     = timer.Second
+	takeoverTimeout     = reportValidity + leaseDuration + leaseMargin
+	censusRetryInterval = timer.Second
 	// seenMargin is longer than a claim takes to reach the other entries while the log is reachable.
-	seenMargin = 5 * timer.Second
+	claimDelayMargin = 5 * timer.Second
 )
 
 // unknownSidecars stands for sidecars that started tasks and that no remaining member of the roster may know.
-var unknownSidecars = encoder.Member{ID: "unknown sidecars"}
+var unlistedSidecars = encoder.Member{ID: "unknown sidecars"}
 
 type (
 	// takeover is the state of the keys that this entry gained and the evidence about them.
 	takeover struct {
-		state    string
-		chain    []encoder.Roster // former rosters under which the keys were not settled yet
-		past     []pastRoster     // former rosters within the retention
-		adopted  timer.Millis
-		majority timer.Millis
-		asked    timer.Millis
-		answered map[encoder.Member]uint64       // sidecar to the epoch of its last complete answer
-		others   map[encoder.Member]timer.Millis // sidecars that peers know, with the time when they were told of
-		reported map[encoder.Member]timer.Millis // sidecars that peers knew, too, by the answers to the peer census
-		missing  map[encoder.Member]timer.Millis // sidecars whose evidence is lost, with the last time they could start
-		stopped  map[encoder.Member]timer.Millis // entries that left the roster at their own request
-		keys     map[string]reportedKey          // keys that peers reported
-		handed   map[string]handed               // submissions that leaving entries handed over
-		evidence map[string]*evidence
+		state            string
+		unsettledRosters []encoder.Roster // former rosters under which the keys were not settled yet
+		pastRosters      []pastRoster     // former rosters within the retention
+		adoptedAt        timer.Millis
+		supersededAt     timer.Millis
+		lastCensus       timer.Millis
+		answeredEpochs   map[encoder.Member]uint64       // sidecar to the epoch of its last complete answer
+		peerSidecars     map[encoder.Member]timer.Millis // sidecars that peers know, with the time when they were told of
+		reportedSidecars map[encoder.Member]timer.Millis // sidecars that peers knew, too, by the answers to the peer census
+		missingEvidence  map[encoder.Member]timer.Millis // sidecars whose evidence is lost, with the last time they could start
+		leftEntries      map[encoder.Member]timer.Millis // entries that left the roster at their own request
+		reportedKeys     map[string]reportedKey          // keys that peers reported
+		handovers        map[string]handoverRecord       // submissions that leaving entries handed over
+		evidence         map[string]*evidence
 	}
 
 	// reportedKey is a key that a peer reported. First is the earliest time at which a peer saw it.
-	reportedKey struct{ first, at timer.Millis }
+	reportedKey struct{ firstSeen, reportedAt timer.Millis }
 
 	// handed lists the tasks of a submission that its former owner may have started, by index. It started no others.
-	handed struct {
-		at      timer.Millis
-		started []uint32
+	handoverRecord struct {
+		receivedAt timer.Millis
+		started    []uint32
 	}
 
 	pastRoster struct {
-		roster encoder.Roster
-		until  timer.Millis
+		roster     encoder.Roster
+		replacedAt timer.Millis
 	}
 
 	// evidence lists the started tasks of a submission.
 	evidence struct {
-		at    timer.Millis
-		tasks []started
+		updatedAt timer.Millis
+		tasks     []startedTask
 	}
 
-	started struct {
+	startedTask struct {
 		index   uint32
 		status  encoder.Status
 		sidecar *encoder.Member // nil when the former owner told of it
@@ -71,43 +71,43 @@
 
 // change begins a takeover after the roster prev was replaced. Submissions that another entry owned at any time since
 // are held until the census is done.
-func (c *Core) change(prev encoder.Roster) {
+func (c *Core) beginTakeover(prev encoder.Roster) {
 	t := &c.takeover
-	t.past = append(t.past, pastRoster{prev, c.now})
-	t.chain = append(t.chain, prev)
-	t.adopted, t.asked = c.now, c.now
+	t.pastRosters = append(t.pastRosters, pastRoster{prev, c.now})
+	t.unsettledRosters = append(t.unsettledRosters, prev)
+	t.adoptedAt, t.lastCensus = c.now, c.now
 	step(takeoverChart, &t.state, eventChange)
 	c.counters.Takeovers++
 	if c.draining && !c.joined {
 		c.handOverAnswers()
 	}
-	for key := range t.handed {
-		if !c.owns(c.roster, key) {
-			delete(t.handed, key)
+	for key := range t.handovers {
+		if !c.isOwner(c.roster, key) {
+			delete(t.handovers, key)
 		}
 	}
-	for _, s := range c.jobs {
-		mine := c.owns(c.roster, s.key)
-		if (!mine || c.gained(s.key)) && s.state != stateEnded {
-			c.move(s)
+	for _, s := range c.submissions {
+		mine := c.isOwner(c.roster, s.key)
+		if (!mine || c.ownedByOther(s.key)) && s.state != submissionEnded {
+			c.moveSubmission(s)
 		}
 	}
 	if !c.joined {
 		return
 	}
 	for _, sc := range c.sidecars {
-		c.askSidecar(sc)
+		c.sendCensus(sc)
 	}
 	for _, p := range c.peers {
-		c.askPeer(p)
+		c.sendPeerCensus(p)
 	}
 	c.tickTakeover()
 }
 
 // gained reports whether another entry or incarnation owned the key since the keys were last settled.
-func (c *Core) gained(key string) bool {
-	for _, r := range c.takeover.chain {
-		if !c.owns(r, key) {
+func (c *Core) ownedByOther(key string) bool {
+	for _, r := range c.takeover.unsettledRosters {
+		if !c.isOwner(r, key) {
 			return true
 		}
 	}
@@ -115,39 +115,39 @@
 }
 
 // settled reports whether this entry may start work for a key that it owns.
-func (c *Core) settled(key string) bool {
-	return c.joined && (len(c.takeover.chain) == 0 || !c.gained(key))
+func (c *Core) isSettled(key string) bool {
+	return c.joined && (len(c.takeover.unsettledRosters) == 0 || !c.ownedByOther(key))
 }
 
 // known reports whether a former owner may have started tasks of the key.
-func (c *Core) known(key string) bool {
-	formerly := false
-	for i := range c.takeover.past {
-		formerly = formerly || !c.owns(c.takeover.past[i].roster, key)
+func (c *Core) formerOwnerMayHaveStarted(key string) bool {
+	ownedByOther := false
+	for i := range c.takeover.pastRosters {
+		ownedByOther = ownedByOther || !c.isOwner(c.takeover.pastRosters[i].roster, key)
 	}
-	if !formerly {
+	if !ownedByOther {
 		return false
 	}
-	if c.passedBeside(key, c.self) {
+	if c.mayHaveOtherOwner(key, c.self) {
 		return true
 	}
-	if _, ok := c.takeover.keys[key]; ok || c.takeover.evidence[key] != nil {
+	if _, ok := c.takeover.reportedKeys[key]; ok || c.takeover.evidence[key] != nil {
 		return true
 	}
-	s := c.jobs[key]
-	return c.claims.seen.has(c.hash(key)) || s != nil && s.regained
+	s := c.submissions[key]
+	return c.claims.loggedKeys.has(c.hashKey(key)) || s != nil && s.ownedElsewhere
 }
 
 // complete reports whether every sidecar that can have started tasks of the key has told so. A sidecar that was lost
 // before the key was first seen cannot have started any.
-func (c *Core) complete(key string) bool {
-	passed, ok := c.passed[key]
-	first := passed.at
-	if k, reported := c.takeover.keys[key]; reported && (!ok || k.first < first) {
-		first = k.first
-	}
-	for _, lost := range c.takeover.missing {
-		if lost+seenMargin >= first {
+func (c *Core) hasCompleteEvidence(key string) bool {
+	owners, ok := c.knownOwners[key]
+	firstSeen := owners.firstSeen
+	if k, reported := c.takeover.reportedKeys[key]; reported && (!ok || k.firstSeen < firstSeen) {
+		firstSeen = k.firstSeen
+	}
+	for _, lost := range c.takeover.missingEvidence {
+		if lost+claimDelayMargin >= firstSeen {
 			return false
 		}
 	}
@@ -156,13 +156,13 @@
 
 // move hands the callers of a submission over to its owner. The tasks stay as evidence for the case that the key comes
 // back.
-func (c *Core) move(s *submission) {
-	held := s.state == stateHeld
+func (c *Core) moveSubmission(s *submission) {
+	held := s.state == submissionHeld
 	if !step(submissionChart, &s.state, eventMove) {
 		return
 	}
 	c.queue.CancelJob(s.key)
-	s.regained, s.moved = true, c.now
+	s.ownedElsewhere, s.movedAt = true, c.now
 	waiters := s.waiters
 	s.waiters = nil
 	job := encoder.Job{Key: s.key, Team: s.team, Tasks: s.specs, Once: s.once}
@@ -171,9 +171,9 @@
 	}
 	if c.draining && !c.joined {
 		// After a removal another entry may have started tasks since, so only a leaver can be certain.
-		c.handOver(s, job, !held && c.left)
+		c.handOverSubmission(s, job, !held && c.leftVoluntarily)
 	}
-	if len(waiters) == 0 && c.owns(c.roster, s.key) {
+	if len(waiters) == 0 && c.isOwner(c.roster, s.key) {
 		waiters = []waiter{{}} // nobody waits, but the job goes on
 	}
 	for _, w := range waiters {
@@ -181,16 +181,16 @@
 	}
 }
 
-func (c *Core) askSidecar(sc *sidecar) {
-	if sc.session == 0 || !c.joined || c.takeover.answered[sc.hello.Member] >= c.roster.Epoch {
+func (c *Core) sendCensus(sc *sidecar) {
+	if sc.session == 0 || !c.joined || c.takeover.answeredEpochs[sc.hello.Member] >= c.roster.Epoch {
 		return
 	}
-	sc.asked = c.roster.Epoch
+	sc.censusEpoch = c.roster.Epoch
 	c.send(sc.session, &encoder.Census{Roster: c.roster})
 }
 
-func (c *Core) askPeer(p *peer) {
-	if _, listed := elector.Find(c.roster, p.member.ID); !listed || !c.joined || p.census >= c.roster.Epoch {
+func (c *Core) sendPeerCensus(p *peer) {
+	if _, listed := elector.Find(c.roster, p.member.ID); !listed || !c.joined || p.censusEpoch >= c.roster.Epoch {
 		return
 	}
 	if id := p.session(); id != 0 {
@@ -201,68 +201,68 @@
 // tickTakeover moves the takeover on when its conditions hold.
 func (c *Core) tickTakeover() {
 	t := &c.takeover
-	c.sweepTakeover()
-	if t.state == takeoverPartial && len(t.missing) == 0 {
+	c.removeExpiredEvidence()
+	if t.state == takeoverPartial && len(t.missingEvidence) == 0 {
 		step(takeoverChart, &t.state, eventAnswered)
 	}
-	if len(t.chain) == 0 || !c.joined {
+	if len(t.unsettledRosters) == 0 || !c.joined {
 		return
 	}
-	if c.now-t.asked >= askAgain {
-		t.asked = c.now
+	if c.now-t.lastCensus >= censusRetryInterval {
+		t.lastCensus = c.now
 		for _, sc := range c.sidecars {
-			c.askSidecar(sc)
+			c.sendCensus(sc)
 		}
 		for _, p := range c.peers {
-			c.askPeer(p)
+			c.sendPeerCensus(p)
 		}
 	}
-	if t.state == takeoverWaiting && c.leftBehind() && step(takeoverChart, &t.state, eventMajority) {
-		t.majority = c.now
+	if t.state == takeoverWaiting && c.formerRostersSuperseded() && step(takeoverChart, &t.state, eventMajority) {
+		t.supersededAt = c.now
 	}
 	if t.state != takeoverAsking {
 		return
 	}
-	pending, lost := c.unanswered()
+	pending, lost := c.unansweredSidecars()
 	switch {
-	case !c.peersAnswered():
+	case !c.allPeersAnswered():
 		return
 	case pending == 0 && len(lost) == 0:
 		step(takeoverChart, &t.state, eventAnswered)
-	case (pending == 0 || c.now-t.majority >= takeoverWait) && c.confirmed[StreamClaims] >= t.adopted:
+	case (pending == 0 || c.now-t.supersededAt >= takeoverTimeout) && c.confirmations[StreamClaims] >= t.adoptedAt:
 		step(takeoverChart, &t.state, eventExpire)
-		if t.missing == nil {
-			t.missing = map[encoder.Member]timer.Millis{}
+		if t.missingEvidence == nil {
+			t.missingEvidence = map[encoder.Member]timer.Millis{}
 		}
 		for m, at := range lost {
-			t.missing[m] = at
+			t.missingEvidence[m] = at
 		}
 	default:
 		return
 	}
-	t.chain = nil
-	for _, s := range c.jobs {
-		if s.state == stateHeld && c.owns(c.roster, s.key) {
+	t.unsettledRosters = nil
+	for _, s := range c.submissions {
+		if s.state == submissionHeld && c.isOwner(c.roster, s.key) {
 			c.admit(s)
 		}
 	}
-	c.place()
+	c.placeTasks()
 }
 
 // leftBehind reports whether at least half of each former roster has reported the roster after it, so that the rest can
 // form no majority that attests a log outage under the former one.
-func (c *Core) leftBehind() bool {
+func (c *Core) formerRostersSuperseded() bool {
 	t := &c.takeover
-	for i, r := range t.chain {
+	for i, r := range t.unsettledRosters {
 		epoch := c.roster.Epoch
-		if i+1 < len(t.chain) {
-			epoch = t.chain[i+1].Epoch
+		if i+1 < len(t.unsettledRosters) {
+			epoch = t.unsettledRosters[i+1].Epoch
 		}
 		count := 0
 		for _, e := range r.Entries {
-			_, stopped := t.stopped[e.Member]
+			_, stopped := t.leftEntries[e.Member]
 			p := c.peers[e.Member.ID]
-			if e.Member.ID == c.self.ID || stopped || p != nil && p.epoch >= epoch {
+			if e.Member.ID == c.self.ID || stopped || p != nil && p.highestEpoch >= epoch {
 				count++
 			}
 		}
@@ -275,39 +275,39 @@
 
 // unanswered counts the sidecars whose answer has to be awaited, and returns all whose evidence is lacking with the last
 // time at which they can have started a task.
-func (c *Core) unanswered() (pending int, lost map[encoder.Member]timer.Millis) {
+func (c *Core) unansweredSidecars() (pending int, lost map[encoder.Member]timer.Millis) {
 	t := &c.takeover
 	lost = map[encoder.Member]timer.Millis{}
 	check := func(m encoder.Member, last timer.Millis) {
-		if t.answered[m] < c.roster.Epoch {
+		if t.answeredEpochs[m] < c.roster.Epoch {
 			lost[m] = max(lost[m], last)
 		}
 	}
 	for _, sc := range c.sidecars {
 		last := c.now
 		if sc.session == 0 {
-			last = sc.down
+			last = sc.disconnectedAt
 		}
 		check(sc.hello.Member, last)
 	}
-	for m, at := range c.gone {
+	for m, at := range c.lostSidecars {
 		check(m, at)
 	}
-	for m, at := range t.others {
+	for m, at := range t.peerSidecars {
 		check(m, at)
 	}
-	if _, doubts := c.doubts(); doubts {
-		for m, at := range t.reported {
+	if _, mayMiss := c.mayMissSidecars(); mayMiss {
+		for m, at := range t.reportedSidecars {
 			check(m, at)
 		}
 	}
-	if last, ok := c.unknown(); ok {
-		check(unknownSidecars, last)
+	if last, ok := c.lastUnlistedStart(); ok {
+		check(unlistedSidecars, last)
 	}
 	for m, last := range lost {
-		now := c.sidecars[m.ID]
-		replaced := now != nil && now.hello.Member.Incarnation > m.Incarnation
-		if !replaced && c.now-last < lostWait {
+		current := c.sidecars[m.ID]
+		replaced := current != nil && current.hello.Member.Incarnation > m.Incarnation
+		if !replaced && c.now-last < lostSidecarWait {
 			pending++
 		}
 	}
@@ -315,9 +315,9 @@
 }
 
 // peersAnswered reports whether the other members told the keys and sidecars that they know.
-func (c *Core) peersAnswered() bool {
+func (c *Core) allPeersAnswered() bool {
 	for _, e := range c.roster.Entries {
-		if p := c.peers[e.Member.ID]; e.Member.ID != c.self.ID && (p == nil || p.census < c.roster.Epoch) {
+		if p := c.peers[e.Member.ID]; e.Member.ID != c.self.ID && (p == nil || p.censusEpoch < c.roster.Epoch) {
 			return false
 		}
 	}
@@ -327,26 +327,26 @@
 // unknown returns the last time at which a sidecar that nobody knows any more can have started tasks under the former
 // rosters. ok is false when there is none: a sidecar accepts starts only when each member knows it, so one member without
 // doubts that remains of each roster knows all of them.
-func (c *Core) unknown() (last timer.Millis, ok bool) {
-	for _, r := range c.takeover.chain {
-		doubt, doubted := c.now, len(r.Entries) > 0
+func (c *Core) lastUnlistedStart() (last timer.Millis, ok bool) {
+	for _, r := range c.takeover.unsettledRosters {
+		rosterLast, incomplete := c.now, len(r.Entries) > 0
 		for _, e := range r.Entries {
-			now, listed := elector.Find(c.roster, e.Member.ID)
-			if !listed || now.Member != e.Member {
+			current, listed := elector.Find(c.roster, e.Member.ID)
+			if !listed || current.Member != e.Member {
 				continue
 			}
-			at, doubts := c.takeover.missing[unknownSidecars]
+			at, mayMiss := c.takeover.missingEvidence[unlistedSidecars]
 			if e.Member != c.self {
 				p := c.peers[e.Member.ID]
-				if p == nil || p.census != c.roster.Epoch {
+				if p == nil || p.censusEpoch != c.roster.Epoch {
 					continue
 				}
-				at, doubts = p.doubted, p.doubts == c.roster.Epoch
+				at, mayMiss = p.lastUnlistedStart, p.incompleteEpoch == c.roster.Epoch
 			}
-			doubt, doubted = min(doubt, at), doubted && doubts
+			rosterLast, incomplete = min(rosterLast, at), incomplete && mayMiss
 		}
-		if doubted {
-			last, ok = max(last, doubt), true
+		if incomplete {
+			last, ok = max(last, rosterLast), true
 		}
 	}
 	return last, ok
@@ -354,83 +354,83 @@
 
 // doubts reports whether there may be sidecars that accepted starts under the former rosters and that this entry does
 // not know, and the last time at which they can have started tasks.
-func (c *Core) doubts() (last timer.Millis, ok bool) {
-	for _, r := range c.takeover.chain {
-		if me, listed := elector.Find(r, c.self.ID); len(r.Entries) > 0 && (!listed || me.Member != c.self) {
+func (c *Core) mayMissSidecars() (last timer.Millis, ok bool) {
+	for _, r := range c.takeover.unsettledRosters {
+		if self, listed := elector.Find(r, c.self.ID); len(r.Entries) > 0 && (!listed || self.Member != c.self) {
 			return c.now, true
 		}
 	}
 	if !c.joined {
 		return c.now, true
 	}
-	last, ok = c.takeover.missing[unknownSidecars]
+	last, ok = c.takeover.missingEvidence[unlistedSidecars]
 	return last, ok
 }
 
 // lost describes the sidecars whose evidence is missing, for the log.
-func (t *takeover) lost() string {
-	if len(t.missing) == 0 {
+func (t *takeover) missingSummary() string {
+	if len(t.missingEvidence) == 0 {
 		return ""
 	}
-	names := make([]string, 0, len(t.missing))
-	for m := range t.missing {
+	names := make([]string, 0, len(t.missingEvidence))
+	for m := range t.missingEvidence {
 		names = append(names, m.ID)
 	}
 	slices.Sort(names)
 	return "; without the evidence of " + strings.Join(names, ", ")
 }
 
-func (c *Core) sweepTakeover() {
+func (c *Core) removeExpiredEvidence() {
 	t := &c.takeover
 	old := c.now - c.settings.KeyRetention
-	for len(t.past) > 0 && t.past[0].until < old {
-		t.past = t.past[1:]
+	for len(t.pastRosters) > 0 && t.pastRosters[0].replacedAt < old {
+		t.pastRosters = t.pastRosters[1:]
 	}
 	if c.now != c.lastSweep {
 		return
 	}
-	for key, s := range c.jobs {
-		if s.state == stateMoved && s.moved < old && step(submissionChart, &s.state, eventEnd) {
-			delete(c.jobs, key)
-			s.release()
+	for key, s := range c.submissions {
+		if s.state == submissionMoved && s.movedAt < old && step(submissionChart, &s.state, eventEnd) {
+			delete(c.submissions, key)
+			s.detachSidecars()
 		}
 	}
-	for _, list := range []map[encoder.Member]timer.Millis{t.others, t.reported, t.missing, t.stopped} {
+	for _, list := range []map[encoder.Member]timer.Millis{t.peerSidecars, t.reportedSidecars, t.missingEvidence, t.leftEntries} {
 		for m, at := range list {
 			if at < old {
 				delete(list, m)
 			}
 		}
 	}
-	for key, k := range t.keys {
-		if k.at < old {
-			delete(t.keys, key)
+	for key, k := range t.reportedKeys {
+		if k.reportedAt < old {
+			delete(t.reportedKeys, key)
 		}
 	}
-	for key, h := range t.handed {
-		if h.at < old {
-			delete(t.handed, key)
+	for key, h := range t.handovers {
+		if h.receivedAt < old {
+			delete(t.handovers, key)
 		}
 	}
 	for key, e := range t.evidence {
-		if e.at < old {
+		if e.updatedAt < old {
 			delete(t.evidence, key)
 		}
 	}
 }
 
 // heard notes a sidecar that a peer has a session to.
-func (t *takeover) heard(m encoder.Member, now timer.Millis) {
-	if t.others == nil {
-		t.others = map[encoder.Member]timer.Millis{}
+func (t *takeover) sidecarSeen(m encoder.Member, now timer.Millis) {
+	if t.peerSidecars == nil {
+		t.peerSidecars = map[encoder.Member]timer.Millis{}
 	}
-	t.others[m] = now
+	t.peerSidecars[m] = now
 }
 
 // left notes an entry that has left the roster at its own request and starts nothing any more.
-func (t *takeover) left(m encoder.Member, now timer.Millis) {
-	if t.stopped == nil {
-		t.stopped = map[encoder.Member]timer.Millis{}
+func (t *takeover) entryLeft(m encoder.Member, now timer.Millis) {
+	if t.leftEntries == nil {
+		t.leftEntries = map[encoder.Member]timer.Millis{}
 	}
-	t.stopped[m] = now
+	t.leftEntries[m] = now
 }
--- a/dispatcher/taskreport.go
+++ b/dispatcher/taskreport.go
@@ -17,13 +17,13 @@
 }
 
 // reportTask tells the process about the end of a task. The caller has not applied the end to s yet.
-func (c *Core) reportTask(s *submission, i int, sc *sidecar, status encoder.Status, ran timer.Millis) {
+func (c *Core) reportTaskEnd(s *submission, i int, sc *sidecar, status encoder.Status, ran timer.Millis) {
 	if c.settings.OnTask == nil {
 		return
 	}
 	spec := &s.specs[i]
 	r := TaskReport{
-		Status: status, Ran: ran, Expected: c.queue.Expected(spec.Kind, spec.RunTime), Canceled: s.state == stateClosing,
+		Status: status, Ran: ran, Expected: c.queue.Expected(spec.Kind, spec.RunTime), Canceled: s.state == submissionClosing,
 	}
 	if sc != nil {
 		r.Domain, r.Worker = sc.hello.Domain, sc.hello.Worker
