--- a/dispatcher/answer.go
+++ b/dispatcher/answer.go
@@ -5,18 +5,18 @@
 	"github.com/crocuslb/crocuslb/timer"
 )
 
-// answerOverhead is the assumed size of a kept answer beside its key and bodies, in bytes.
+// answerOverhead is the assumed size in bytes of a cached answer without its key and bodies.
 const answerOverhead = 300
 
 const (
-	// maxAnswerPart leaves room in a frame for the answer's other fields.
+	// maxAnswerPartBytes bounds the results in one part of an answer. It leaves room in the frame for the other fields.
 	maxAnswerPartBytes = encoder.MaxFrame / 2
-	resultOverhead     = 16 // encoding of a result besides its body
+	resultOverhead     = 16 // encoded size of a result without its body, in bytes
 )
 
 type (
-	// kept holds the answers of ended submissions in the order of their ends. When a bound is reached, the oldest
-	// answers shrink to hashes of their keys, so that their tasks cannot start again.
+	// answerCache holds the answers of ended submissions, oldest first. When a bound is reached, the oldest answers are
+	// evicted and only the hashes of their keys are kept, so that their tasks cannot start again.
 	answerCache struct {
 		byKey   map[string]cachedAnswer
 		order   []cachedKey
@@ -44,8 +44,8 @@
 	return failedAnswer(key, encoder.CodeConflict, encoder.OutcomeNotRun, "the key is in use with other content")
 }
 
-// refusal is a failure before the first start. The outcome is "not run" only when no earlier owner can have started
-// tasks of the key.
+// refusalAnswer returns the answer to a submission that fails before this entry started a task. The outcome is "not run"
+// only if no former owner may have started tasks of the key.
 func (c *Core) refusalAnswer(key string, code encoder.FailureCode, reason string) encoder.Answer {
 	o := encoder.OutcomeNotRun
 	if !c.isSettled(key) || c.formerOwnerMayHaveStarted(key) {
@@ -64,7 +64,8 @@
 	}
 }
 
-// sendAnswer sends an answer to the entry that forwarded the request, in parts when its results are too large for a frame.
+// sendForwardAnswer sends an answer to the entry that forwarded the request. The answer is split into parts if its results
+// do not fit into one frame.
 func (c *Core) sendForwardAnswer(w waiter, a encoder.Answer) {
 	if resultBytes(a.Results) <= maxAnswerPartBytes {
 		c.send(w.session, &encoder.ForwardAnswer{ID: w.forward, Answer: a})
@@ -93,7 +94,7 @@
 	return n
 }
 
-// stateOf answers for a key that this entry owns.
+// submissionAnswer returns the current answer for a key that this entry owns.
 func (c *Core) submissionAnswer(key string) encoder.Answer {
 	if c.submissions[key] != nil {
 		return encoder.Answer{Key: key, State: encoder.JobRunning}
@@ -104,7 +105,7 @@
 	return failedAnswer(key, encoder.CodeNotFound, encoder.OutcomeUnknown, "the key is not known")
 }
 
-// keep stores the answer of an ended submission. A refusal is not kept, so that the caller may try again.
+// cacheAnswer stores the answer of an ended submission. A refusal is not stored, so that the caller may submit again.
 func (c *Core) cacheAnswer(digest uint64, a encoder.Answer) {
 	if a.Outcome == encoder.OutcomeNotRun && a.Code != encoder.CodeCanceled && a.Code != encoder.CodeDeadline {
 		return
--- a/dispatcher/answer_test.go
+++ b/dispatcher/answer_test.go
@@ -10,8 +10,8 @@
 	"github.com/crocuslb/crocuslb/timer"
 )
 
-// TestLargeAnswer guards against an answer that never reaches its caller because it does not fit a frame. The parts must
-// fit and give the whole answer in any order, also when some come twice.
+// TestLargeAnswer guards against an answer that never reaches its caller because it does not fit into a frame. Each part must
+// fit, and the parts must yield the complete answer in any order, also if some are repeated.
 func TestLargeAnswer(t *testing.T) {
 	sizes := [][]int{
 		{10}, {900_000, 900_000}, {900_000, 900_000, 900_000}, {1 << 20, 1 << 20, 1 << 20, 1 << 20, 1 << 20, 1 << 20, 1 << 20},
@@ -53,15 +53,15 @@
 	}
 }
 
-// TestHandover guards against "unknown" answers after a planned stop: the former owner knows which tasks it started, so
-// the others may start even when the evidence of a sidecar is missing.
+// TestHandover guards against answers with an unknown outcome after a planned stop: the former owner knows which tasks it
+// started, so the others may be started even if the evidence of a sidecar is missing.
 func TestHandover(t *testing.T) {
 	const unknownAnswer = "failed, outcome unknown"
 	tests := []struct {
 		name    string
 		certain bool
 		running []uint32
-		want    string // states of the tasks, or that of the answer
+		want    string // states of the tasks, or outcome of the answer
 	}{
 		{"nothing started", true, nil, taskQueued + taskQueued},
 		{"one may have been started", true, []uint32{1}, unknownAnswer},
@@ -93,8 +93,8 @@
 	}
 }
 
-// TestHandoverAfterRemoval guards against a second start: an entry that was removed before its leave cannot know what the
-// owner after it has started.
+// TestHandoverAfterRemoval guards against a second start of a task: an entry that was removed before its leave cannot know
+// which tasks the next owner has started.
 func TestHandoverAfterRemoval(t *testing.T) {
 	tests := []struct {
 		name string
@@ -121,7 +121,7 @@
 	}
 }
 
-// owner returns a group of two in which the entry under test owns the key and has settled it.
+// newOwnerBench returns a test bench with one peer, in which the core owns the key and its ownership is settled.
 func newOwnerBench(t *testing.T, key string) *testBench {
 	for _, peer := range []string{"b", "c", "d", "e", "f", "g"} {
 		b := newBenchWithPeers(t, peer)
@@ -130,6 +130,6 @@
 			return b
 		}
 	}
-	t.Fatal("the entry owns the key beside no peer")
+	t.Fatal("the entry owns the key in a roster with none of the peers")
 	return nil
 }
--- a/dispatcher/bench_test.go
+++ b/dispatcher/bench_test.go
@@ -9,7 +9,7 @@
 	"github.com/crocuslb/crocuslb/timer"
 )
 
-// BenchmarkTask measures the core's work for one task: its share of the submission, placement, result and answer, for
+// BenchmarkTask measures the cost of one task in the core: placement, result, and its share of submission and answer, for
 // jobs of 10 tasks.
 func BenchmarkTask(b *testing.B) {
 	const tasks = 10
@@ -30,7 +30,7 @@
 			}
 			c.core.TakeEffects()
 			if len(c.core.submissions) != 0 {
-				b.Fatal("the job has not ended")
+				b.Fatal("the job did not end")
 			}
 		}
 		if n%10_000 == 0 {
@@ -42,7 +42,7 @@
 	}
 }
 
-// BenchmarkMemory measures the bytes that a task in flight and a kept answer take, for jobs of 10 tasks.
+// BenchmarkMemory measures the memory of a task in flight and of a cached answer, for jobs of 10 tasks.
 func BenchmarkMemory(b *testing.B) {
 	const jobs, tasks = 20_000, 10
 	for b.Loop() {
@@ -83,7 +83,7 @@
 	return m.HeapAlloc
 }
 
-// BenchmarkCollected measures a tick at 100,000 tasks a second, all of which wait until the sidecars may drop them.
+// BenchmarkCollected measures the cost per tick of the collected queue at 100,000 tasks a second.
 func BenchmarkCollected(b *testing.B) {
 	const perTick = 500
 	c, sc := New(Settings{}), &sidecar{session: sidecarSession}
@@ -97,7 +97,7 @@
 	}
 }
 
-// BenchmarkSidecarDown measures the loss and the return of one sidecar of 200 while 200,000 tasks wait or run.
+// BenchmarkSidecarDown measures the loss and return of one of 200 sidecars while 200,000 tasks are queued or running.
 func BenchmarkSidecarDown(b *testing.B) {
 	const sidecars, jobs, tasks, credits = 200, 20_000, 10, 10
 	c := newTestBench(b, Settings{})
@@ -128,14 +128,14 @@
 	}
 }
 
-// TestHeldJobs guards the list of submissions of a sidecar: it names each one while a task is placed there, and an ended
-// one no more, also when the task ended on another sidecar.
+// TestSidecarSubmissions guards against submissions that are missing in the index of a sidecar while a task is placed there,
+// or that remain in it after their end, also when the task ended on another sidecar.
 func TestSidecarSubmissions(t *testing.T) {
 	c := newTestBench(t, Settings{})
 	c.core.Submit(c.now, 1, job("j", 1))
 	firstSidecar := c.core.sidecars["s"]
 	if len(firstSidecar.submissions) != 1 {
-		t.Errorf("got %d held jobs after the start, want 1", len(firstSidecar.submissions))
+		t.Errorf("got %d submissions at the sidecar after the start, want 1", len(firstSidecar.submissions))
 	}
 	task := encoder.TaskKey{Job: "j"}
 	c.core.HandleMessage(c.now, sidecarSession, &encoder.Recall{Credits: 2})
@@ -144,10 +144,11 @@
 	c.core.HandleMessage(c.now, sidecarSession, &encoder.Refusal{Task: task, Reason: encoder.RefusalNoSlot})
 	secondSidecar := c.core.sidecars["other"]
 	if len(secondSidecar.submissions) != 1 {
-		t.Errorf("got %d held jobs after the second start, want 1", len(secondSidecar.submissions))
+		t.Errorf("got %d submissions at the second sidecar after the second start, want 1", len(secondSidecar.submissions))
 	}
 	c.core.HandleMessage(c.now, sidecarSession+1, &encoder.Result{Task: task, Status: encoder.StatusDone})
 	if len(c.core.submissions)+len(firstSidecar.submissions)+len(secondSidecar.submissions) != 0 {
-		t.Errorf("got %d and %d held jobs after the end, want none", len(firstSidecar.submissions), len(secondSidecar.submissions))
+		t.Errorf("got %d and %d submissions at the sidecars after the end, want none", len(firstSidecar.submissions),
+			len(secondSidecar.submissions))
 	}
 }
--- a/dispatcher/census.go
+++ b/dispatcher/census.go
@@ -13,7 +13,8 @@
 	maxHandoverBytes = 8 << 20
 )
 
-// censusReply merges a sidecar's evidence. Replies to the census of another epoch list other keys and do not count.
+// handleCensusReply merges the started tasks that a sidecar reports. Replies to the census of another epoch are ignored,
+// because they cover other keys.
 func (c *Core) handleCensusReply(sc *sidecar, m *encoder.CensusReply) {
 	if m.Epoch != c.roster.Epoch {
 		c.counters.Ignored++
@@ -55,15 +56,15 @@
 		t.evidence[s.Task.Job] = e
 	}
 	e.updatedAt = now
-	row := startedTask{s.Task.Index, s.Status, from, s.Body, s.Reason}
+	task := startedTask{s.Task.Index, s.Status, from, s.Body, s.Reason}
 	if old := e.find(s.Task.Index); old == nil {
-		e.tasks = append(e.tasks, row)
+		e.tasks = append(e.tasks, task)
 	} else if old.status != encoder.StatusDone && old.status != encoder.StatusFailed {
-		*old = row
+		*old = task
 	}
 }
 
-// find returns what is known of a task, or nil. Sidecars report tasks in the order of the index, so the search is short.
+// find returns the evidence of a task, or nil. Sidecars report tasks in index order, so the search from the end is short.
 func (e *evidence) find(index uint32) *startedTask {
 	if e == nil {
 		return nil
@@ -76,20 +77,20 @@
 	return nil
 }
 
-// resume goes on with a submission that a former owner may have worked on. Known results are used, running tasks are
-// awaited, and tasks without evidence are queued only when no evidence can be missing.
+// resume continues a submission of which a former owner may have started tasks. Known results are used, running tasks are
+// awaited, and tasks without evidence are queued only if no evidence can be missing.
 func (c *Core) resume(s *submission) {
 	if !step(submissionChart, &s.state, eventAdmit) {
 		return
 	}
 	c.queueClaim(s.key)
 	c.resetStarts(s)
-	found := c.takeover.evidence[s.key]
+	known := c.takeover.evidence[s.key]
 	delete(c.takeover.evidence, s.key)
 	complete := c.hasCompleteEvidence(s.key)
-	c.recoverStarts(s, found)
+	c.recoverStarts(s, known)
 	for i := 0; i < len(s.tasks); i++ {
-		if e := found.find(uint32(i)); e != nil && e.status == encoder.StatusDone {
+		if e := known.find(uint32(i)); e != nil && e.status == encoder.StatusDone {
 			c.taskEnded(s, i, c.findSidecar(e.sidecar), e.status, e.body, e.reason, 0)
 		}
 	}
@@ -97,7 +98,7 @@
 		if s.tasks[i].state != taskQueued {
 			continue
 		}
-		e := found.find(uint32(i))
+		e := known.find(uint32(i))
 		switch {
 		case e != nil && e.status == encoder.StatusFailed:
 			c.taskEnded(s, i, c.findSidecar(e.sidecar), e.status, nil, e.reason, 0)
@@ -111,7 +112,7 @@
 			c.taskEnded(s, i, nil, encoder.StatusUnknown, nil, "it is not known whether the task was started before", 0)
 		}
 	}
-	// From here on this entry starts tasks itself, so the list of the former owner is out of date.
+	// This entry starts tasks itself from now on, so the former owner's list of started tasks is outdated.
 	delete(c.takeover.handovers, s.key)
 	switch {
 	case s.state != submissionOpen:
@@ -130,14 +131,15 @@
 	}
 }
 
-// maybeStarted reports whether a former owner may have started the task, going by what it handed over.
+// mayHaveStarted reports whether a former owner may have started the task. A task that is missing in the owner's handover
+// was not started; without a handover every task may have been.
 func (t *takeover) mayHaveStarted(key string, index uint32) bool {
-	h, ok := t.handovers[key]
-	return !ok || slices.Contains(h.started, index)
+	handover, ok := t.handovers[key]
+	return !ok || slices.Contains(handover.started, index)
 }
 
-// rewind forgets which starts this entry made itself before it lost the key. All sidecars that made them have answered
-// the census or count as missing, so their evidence decides.
+// resetStarts returns the tasks that this entry started before it lost the key to the queued state. All sidecars that
+// received these starts have answered the census or count as missing, so their evidence is authoritative.
 func (c *Core) resetStarts(s *submission) {
 	for i := range s.tasks {
 		t := &s.tasks[i]
@@ -149,12 +151,12 @@
 	}
 }
 
-// recover repeats the starts of tasks that a known sidecar runs or whose results it keeps. It then sends the results to
-// this entry.
-func (c *Core) recoverStarts(s *submission, found *evidence) {
+// recoverStarts resends the starts of tasks that a present sidecar is running or holds the results of. The sidecar then
+// sends the results to this entry.
+func (c *Core) recoverStarts(s *submission, known *evidence) {
 	for i := range s.tasks {
 		t := &s.tasks[i]
-		if e := found.find(uint32(i)); e != nil && t.state == taskQueued &&
+		if e := known.find(uint32(i)); e != nil && t.state == taskQueued &&
 			(e.status == encoder.StatusRunning || e.status == encoder.StatusKept) {
 			sc := c.findSidecar(e.sidecar)
 			if sc == nil || !step(taskChart, &t.state, eventRecover) {
@@ -172,7 +174,7 @@
 	}
 }
 
-// sidecarOf returns the sidecar when this very incarnation is present.
+// findSidecar returns the sidecar, or nil if this incarnation of it is not present.
 func (c *Core) findSidecar(m *encoder.Member) *sidecar {
 	if m == nil {
 		return nil
@@ -183,7 +185,8 @@
 	return nil
 }
 
-// peerCensus answers a peer with the keys of its share that this entry forwarded elsewhere, witnessed or owned.
+// handlePeerCensus replies to a peer with the sidecars that this entry knows, and with those keys now owned by the peer
+// that this entry forwarded to other owners, witnessed or owned.
 func (c *Core) handlePeerCensus(id SessionID, p *peer, m *encoder.PeerCensus) {
 	if m.Roster.Epoch > c.roster.Epoch && c.confirmations[StreamRoster] != 0 {
 		c.adoptRosterAfterGap(m.Roster)
@@ -200,17 +203,17 @@
 	}
 	for _, list := range []map[encoder.Member]timer.Millis{c.lostSidecars, c.takeover.missingEvidence} {
 		for m, at := range list {
-			if m != unlistedSidecars {
+			if m != unknownSidecars {
 				reply.Sidecars = append(reply.Sidecars, encoder.KnownSidecar{Member: m, Lost: c.now - at})
 			}
 		}
 	}
 	if lastStart, mayMiss := c.mayMissSidecars(); mayMiss {
-		reply.Sidecars = append(reply.Sidecars, encoder.KnownSidecar{Member: unlistedSidecars, Lost: c.now - lastStart})
+		reply.Sidecars = append(reply.Sidecars, encoder.KnownSidecar{Member: unknownSidecars, Lost: c.now - lastStart})
 	}
 	add := func(key string, first timer.Millis) {
-		owner, ok := elector.Owner(m.Roster, key)
-		if !ok || owner.Member != p.member {
+		newOwner, ok := elector.Owner(m.Roster, key)
+		if !ok || newOwner.Member != p.member {
 			return
 		}
 		if reply.Jobs = append(reply.Jobs, encoder.KnownJob{Key: key, Age: c.now - first}); len(reply.Jobs) == maxKeysPerMessage {
@@ -218,9 +221,9 @@
 			reply = &encoder.PeerCensusReply{Epoch: m.Roster.Epoch}
 		}
 	}
-	for key, passed := range c.knownOwners {
+	for key, owner := range c.knownOwners {
 		if c.mayHaveOtherOwner(key, p.member) {
-			add(key, passed.firstSeen)
+			add(key, owner.firstSeen)
 		}
 	}
 	for key, s := range c.submissions {
@@ -230,7 +233,7 @@
 	}
 	for key := range c.answerCache.byKey {
 		if !c.claims.loggedKeys.has(c.hashKey(key)) {
-			add(key, 0) // the others learn of the older keys from the claims
+			add(key, 0) // the peer knows all other keys from the claims stream
 		}
 	}
 	reply.Last = true
@@ -247,7 +250,7 @@
 		t.reportedKeys, t.reportedSidecars = map[string]reportedKey{}, map[encoder.Member]timer.Millis{}
 	}
 	for _, k := range m.Jobs {
-		// The peer measured the age after this entry adopted the roster, so the key is no older than this.
+		// The peer measured the age after this entry had adopted the roster, so the key is not older than this.
 		first := t.adoptedAt - k.Age
 		if old, ok := t.reportedKeys[k.Key]; ok {
 			first = min(first, old.firstSeen)
@@ -255,8 +258,8 @@
 		t.reportedKeys[k.Key] = reportedKey{firstSeen: first, reportedAt: c.now}
 	}
 	for _, sc := range m.Sidecars {
-		if sc.Member == unlistedSidecars {
-			p.incompleteEpoch, p.lastUnlistedStart = m.Epoch, c.now-sc.Lost
+		if sc.Member == unknownSidecars {
+			p.incompleteEpoch, p.lastUnknownSidecarStart = m.Epoch, c.now-sc.Lost
 		} else {
 			t.reportedSidecars[sc.Member] = max(t.reportedSidecars[sc.Member], c.now-sc.Lost)
 		}
@@ -267,8 +270,8 @@
 	}
 }
 
-// adoptFromPeer takes over a roster that the log has not shown to this entry yet. Rosters between may have been missed,
-// so every key counts as owned by another entry in the meantime.
+// adoptRosterAfterGap adopts a roster that this entry did not fold record by record, for example one from a peer.
+// Intermediate rosters may have been missed, so every key counts as owned by another entry in the meantime.
 func (c *Core) adoptRosterAfterGap(r encoder.Roster) {
 	c.takeover.pastRosters = append(c.takeover.pastRosters, pastRoster{encoder.Roster{}, c.now})
 	c.takeover.unsettledRosters = append(c.takeover.unsettledRosters, encoder.Roster{Epoch: c.roster.Epoch})
@@ -277,7 +280,8 @@
 	c.adopt(r)
 }
 
-// handOver gives a submission of this leaving entry to its next owner.
+// handOverSubmission sends a submission of this leaving entry to its next owner. If certain is true, no tasks other than
+// the listed ones can have been started.
 func (c *Core) handOverSubmission(s *submission, job encoder.Job, certain bool) {
 	owner, ok := elector.Owner(c.roster, s.key)
 	if !ok {
@@ -303,7 +307,7 @@
 	c.send(p.session(), m)
 }
 
-// handOverAnswers gives the newest kept answers to the next owners of their keys.
+// handOverAnswers sends the newest cached answers to the next owners of their keys.
 func (c *Core) handOverAnswers() {
 	order := c.answerCache.order
 	bytes := 0
@@ -320,12 +324,12 @@
 	}
 }
 
-// takeHandover goes on with a submission of a leaving entry, or keeps its answer.
+// handleHandover continues a submission of a leaving entry, or caches its answer.
 func (c *Core) handleHandover(m *encoder.Handover) {
 	key := m.Job.Key
 	if m.Answer.State == encoder.JobComplete || m.Answer.State == encoder.JobFailed {
 		if _, ok := c.answerCache.byKey[key]; !ok && c.submissions[key] == nil {
-			c.cacheAnswer(0, m.Answer) // without the job its content cannot be compared
+			c.cacheAnswer(0, m.Answer) // digest 0: the content of the job is unknown and cannot be compared
 		}
 		return
 	}
--- a/dispatcher/charts.go
+++ b/dispatcher/charts.go
@@ -61,8 +61,8 @@
 	takeoverChart   = interpreter.MustParse("takeover.chart", takeoverChartText)
 )
 
-// step moves state along the chart. It returns false and changes nothing when the chart refuses the event, as it does
-// for late and duplicate messages.
+// step applies the event to state. It returns false and leaves state unchanged if the chart refuses the event in this
+// state, which happens for late and duplicate messages.
 func step(c interpreter.Chart, state *string, event string) bool {
 	next, err := c.Step(*state, event)
 	if err != nil {
--- a/dispatcher/claim.go
+++ b/dispatcher/claim.go
@@ -11,14 +11,15 @@
 	maxPendingClaims  = 500_000
 	claimRetryDelay   = 250 * timer.Millisecond
 	maxKeysPerMessage = 500
-	// passKept is how long a forwarded key is remembered beyond its claim, which may still be on its way.
+	// knownOwnerRetention is the minimum time for which the owner of a forwarded key is kept, even if the claim of the key
+	// is in the log: the claim may not have reached the other entries yet.
 	knownOwnerRetention = 10 * timer.Second
-	// claimSettled is how long after an outage of the log every claim made before its end is in the log: an append is
-	// given up after 3 s and repeated.
+	// claimRecoveryTime is the time after a log outage within which every claim made before its end reaches the log: an
+	// append times out after 3 s and is repeated.
 	claimRecoveryTime = 10 * timer.Second
 )
 
-// claims are the submission keys that are or will be in the claims stream.
+// claimQueue holds the submission keys that are in the claims stream or have to be appended to it.
 type claimQueue struct {
 	loggedKeys keySet
 	pending    []string
@@ -32,7 +33,7 @@
 	}
 }
 
-// flushClaims appends the collected keys in batches.
+// flushClaims appends the pending keys to the claims stream in batches.
 func (c *Core) flushClaims() {
 	l := &c.claims
 	for len(l.pending) > 0 && c.now >= l.nextFlush && len(l.inFlight) < maxClaimAppends {
@@ -50,8 +51,8 @@
 	}
 }
 
-// claimsAppended handles the outcome of an append. Keys whose append may have failed are appended again; a repeated
-// claim changes nothing.
+// claimsAppended handles the outcome of an append and returns false if it was not an append of claims. Keys whose append
+// may have failed are appended again, which is safe because a repeated claim has no effect.
 func (c *Core) claimsAppended(tag uint64, ok bool) bool {
 	keys, found := c.claims.inFlight[tag]
 	if !found {
@@ -69,7 +70,8 @@
 	return true
 }
 
-// claimed opens the start gates of a submission that runs at most once.
+// claimRecorded tells the sidecars that the claim of a submission that may run only once is in the log, which opens their
+// start gates.
 func (c *Core) claimRecorded(key string) {
 	s := c.submissions[key]
 	if s == nil || !s.once || s.claimed {
@@ -85,7 +87,7 @@
 	}
 }
 
-// ClaimsRecord takes the keys of a record of the claims stream.
+// ClaimsRecord handles a record of the claims stream.
 func (c *Core) ClaimsRecord(now timer.Millis, r elector.Claims) {
 	c.now = now
 	for _, key := range r.Keys {
@@ -96,8 +98,8 @@
 	}
 }
 
-// Appended reports the outcome of an append effect. ok is false when the record is surely not in the log or when that
-// is not known; unknown tells these apart.
+// AppendDone handles the outcome of an EffectAppend. If ok is false, unknown tells whether the record may still be in the
+// log or is certain not to be.
 func (c *Core) AppendDone(now timer.Millis, tag, offset uint64, ok, unknown bool) {
 	c.now = now
 	if !c.claimsAppended(tag, ok) {
--- a/dispatcher/collect.go
+++ b/dispatcher/collect.go
@@ -7,16 +7,16 @@
 
 const (
 	maxTasksPerMessage = 1000
-	// collectPeriod gathers collected tasks, which are not urgent. Sent as soon as they were due, there was one message
-	// for two tasks in the demo.
+	// collectFlushInterval batches the Collected messages, which are not urgent. Without batching, the demo sent one message
+	// per two tasks.
 	collectFlushInterval = timer.Second
 )
 
 type (
-	// collection lists results that the sidecars may drop. They stay there for a while after the answer, as evidence
-	// for the next owner.
+	// collectedQueue holds the tasks whose results the sidecars may drop. A result stays at the sidecar for collectDelay
+	// after the answer, as evidence for the next owner.
 	collectedQueue struct {
-		tasks     []collectedTask // in order of time; the entries before head were sent
+		tasks     []collectedTask // in order of dueAt; the elements before head are sent
 		head      int
 		nextFlush timer.Millis
 	}
@@ -32,8 +32,8 @@
 	l.tasks = append(l.tasks, collectedTask{sc, task, at})
 }
 
-// due removes the tasks that are due and returns them by sidecar. The list moves only when half of it was sent:
-// at 100,000 tasks a second, a move in each tick took 0.3 ms of every 5 ms.
+// takeDue removes and returns the tasks that are due, grouped by sidecar. The slice is compacted only after half of it was
+// sent: at 100,000 tasks a second, compaction in each tick took 0.3 ms of the 5 ms between ticks.
 func (l *collectedQueue) takeDue(now timer.Millis) map[*sidecar][]encoder.TaskKey {
 	if now < l.nextFlush || l.head == len(l.tasks) || l.tasks[l.head].dueAt > now {
 		return nil
--- a/dispatcher/core.go
+++ b/dispatcher/core.go
@@ -1,5 +1,5 @@
-// Package dispatcher is the entry: it owns submissions, queues and places their tasks and answers callers. The Core
-// decides; the Entry is the process around it.
+// Package dispatcher implements the entry, which owns submissions, queues and places their tasks, and answers callers. Core
+// contains the decision logic without I/O; Entry connects it to sessions, the log and the clock.
 package dispatcher
 
 import (
@@ -12,41 +12,42 @@
 )
 
 const (
-	// EffectSend sends Message on Session. When the message is surely lost, Core.Unsent is to be called.
+	// EffectSend sends Message on Session. If the message is certain not to have been sent, the process calls
+	// Core.MessageNotSent.
 	EffectSend EffectKind = iota + 1
 	// EffectAnswer answers the caller's Request with Answer.
 	EffectAnswer
-	// EffectAppend appends Body to Stream of the log and reports the outcome with Core.Appended and Tag.
+	// EffectAppend appends Body to Stream of the log. The process reports the outcome with Core.AppendDone and Tag.
 	EffectAppend
-	// EffectDial asks for a lasting connection to the entry at Address.
+	// EffectDial maintains a connection to the entry at Address, and reconnects until EffectDisconnect.
 	EffectDial
-	// EffectHangUp ends the lasting connection to the entry at Address.
+	// EffectDisconnect stops maintaining the connection to the entry at Address.
 	EffectDisconnect
-	// EffectClose closes Session, so that the dialing side replaces it.
+	// EffectCloseSession closes Session. The dialing side then opens a new one.
 	EffectCloseSession
-	// EffectIncarnation says that the entry has a new incarnation, Member.
+	// EffectNewIncarnation reports Member as the new incarnation of the entry.
 	EffectNewIncarnation
-	// EffectConfiguration sends the configuration as a PeerConfiguration on Session.
+	// EffectSendConfiguration sends the configuration as a PeerConfiguration on Session.
 	EffectSendConfiguration
 )
 
 const (
-	// StreamConfiguration is the stream of operators' changes.
+	// StreamConfiguration is the log stream of configuration changes.
 	StreamConfiguration = "configuration"
-	// StreamRoster is the stream of the entries' membership.
+	// StreamRoster is the log stream of membership changes of the entries.
 	StreamRoster = "roster"
-	// StreamClaims is the stream of submission keys.
+	// StreamClaims is the log stream of submission keys in use.
 	StreamClaims = "claims"
 )
 
 type (
-	// EffectKind says what the process is to do.
+	// EffectKind is the type of an Effect.
 	EffectKind uint8
 
-	// SessionID names a session within the process. 0 is no session.
+	// SessionID identifies a session within the process. 0 means no session.
 	SessionID uint64
 
-	// Effect is one thing that the process does for the core.
+	// Effect is an action that the process carries out for the core. Which fields are set depends on Kind.
 	Effect struct {
 		Kind    EffectKind
 		Session SessionID
@@ -60,22 +61,22 @@
 		Member  encoder.Member
 	}
 
-	// Core holds the control state of an entry. One goroutine calls it; it has no clock and no I/O. Its methods
-	// collect effects, which Take returns. Make it with New.
+	// Core is the control state of an entry. It has no clock and no I/O and is not safe for concurrent use. Its methods
+	// collect effects, which TakeEffects returns. Create it with New.
 	Core struct {
 		settings Settings
 		self     encoder.Member
 		effects  []Effect
-		resends  []Effect // answers to peers that are sent again with the next tick
+		resends  []Effect // answers to peers that could not be sent and are sent again at the next tick
 		now      timer.Millis
 		seed     maphash.Seed
 		queue    scheduler.Scheduler
 
 		roster               encoder.Roster
-		foldedRoster         encoder.Roster // fold of the roster stream; ahead of roster before the first confirmation
+		foldedRoster         encoder.Roster // folded from the stream; ahead of roster until its first confirmation
 		joined               bool
 		draining             bool
-		leftVoluntarily      bool // this entry's own leave, and no removal, took it out of the roster
+		leftVoluntarily      bool // this entry left the roster by its own leave record, not by a removal
 		lastMembershipAppend timer.Millis
 		removalAttempts      map[encoder.Member]timer.Millis
 		lastTag              uint64
@@ -98,23 +99,23 @@
 		publications         publicationTracker
 		lastPeerPing         timer.Millis
 		lastTick             timer.Millis
-		lastOutage           timer.Millis // when the log was last unreachable from here
+		lastOutage           timer.Millis // last time at which this entry could not reach the log
 		lastForwardTick      timer.Millis
-		lastSweep            timer.Millis
+		lastCleanup          timer.Millis
 		totalReportedDemand  int
 		counters             Counters
 		receivedCounts       MessageCounts
 	}
 
-	// Counters count events since the start of the process.
+	// Counters are the event counts since process start.
 	Counters struct {
 		Submitted, Complete, Failed, Started, Refused, Requeued, Ignored, Forwarded, Takeovers uint64
 	}
 
-	// MessageCounts counts messages by their type.
+	// MessageCounts counts messages by type.
 	MessageCounts [encoder.MessageTypes]uint64
 
-	// session is an open session to a sidecar or to a peer.
+	// session is an open session to either a sidecar or a peer.
 	session struct {
 		id      SessionID
 		sidecar *sidecar
@@ -122,7 +123,7 @@
 	}
 )
 
-// New returns a core that is in no roster yet. Zero fields of s take their default values.
+// New returns a core that has not joined a roster yet. Zero fields of s are set to their defaults.
 func New(s Settings) *Core {
 	s = s.withDefaults()
 	c := &Core{
@@ -135,31 +136,32 @@
 	return c
 }
 
-// Take returns the effects since the last call. The slice is valid until the next call of a method of the core.
+// TakeEffects returns and clears the effects collected since the last call. The slice is valid until the next call of any
+// method of the core.
 func (c *Core) TakeEffects() []Effect {
 	out := c.effects
 	if c.effects = c.effects[:0]; cap(c.effects) > maxEffectBuffer {
-		c.effects = nil // a burst is not kept in memory
+		c.effects = nil // releases the memory of a burst
 	}
 	return out
 }
 
-// Self returns the incarnation that the entry has now.
+// Self returns the current incarnation of the entry.
 func (c *Core) Self() encoder.Member { return c.self }
 
-// Roster returns the roster that the entry works under.
+// Roster returns the roster that the entry currently acts on.
 func (c *Core) Roster() encoder.Roster { return c.roster }
 
 // Counters returns the event counts.
 func (c *Core) Counters() Counters { return c.counters }
 
-// Message handles a message from a session.
+// HandleMessage handles a message received on a session.
 func (c *Core) HandleMessage(now timer.Millis, id SessionID, m encoder.Message) {
 	c.now = now
 	s := c.sessions[id]
 	switch {
 	case s == nil:
-		c.counters.Ignored++ // the session ended before the message was handled
+		c.counters.Ignored++ // the session was closed before the message was handled
 	case s.sidecar != nil:
 		c.receivedCounts[encoder.TypeOf(m)]++
 		c.handleSidecarMessage(s.sidecar, m)
@@ -169,7 +171,7 @@
 	}
 }
 
-// Up handles a new session. For a peer the hello has at least role, member and address.
+// SessionOpened handles a new session. The Hello of a peer has at least Role, Member and Address set.
 func (c *Core) SessionOpened(now timer.Millis, id SessionID, h encoder.Hello) {
 	c.now = now
 	switch h.Role {
@@ -181,7 +183,7 @@
 	}
 }
 
-// Down handles the end of a session.
+// SessionClosed handles the end of a session.
 func (c *Core) SessionClosed(now timer.Millis, id SessionID) {
 	c.now = now
 	s := c.sessions[id]
@@ -196,7 +198,7 @@
 	}
 }
 
-// Unsent handles a message that surely did not leave the process.
+// MessageNotSent handles a message that is certain not to have left the process.
 func (c *Core) MessageNotSent(now timer.Millis, id SessionID, m encoder.Message) {
 	c.now = now
 	switch m := m.(type) {
@@ -205,14 +207,15 @@
 	case *encoder.Forward:
 		c.forwardNotSent(m.ID)
 	case *encoder.ForwardAnswer:
-		// The peer asks again only on a new session, so the answer is sent again on this one.
+		// The peer repeats its request only on a new session, so this one has to resend the answer.
 		if c.sessions[id] != nil {
 			c.resends = append(c.resends, Effect{Kind: EffectSend, Session: id, Message: m})
 		}
 	}
 }
 
-// Tick does what time alone brings about. It is to be called every few milliseconds.
+// Tick runs the time-driven work: deadlines, retries, heartbeats and batched sends. It must be called every few
+// milliseconds.
 func (c *Core) Tick(now timer.Millis) {
 	c.now = now
 	if !c.logReachable() {
@@ -232,15 +235,15 @@
 	c.tickRoster()
 	c.tickTakeover()
 	c.tickPublications()
-	if now-c.lastSweep >= cleanupInterval {
-		c.lastSweep = now
+	if now-c.lastCleanup >= cleanupInterval {
+		c.lastCleanup = now
 		c.removeExpired()
 	}
 	c.placeTasks()
 	c.sendDemand()
 }
 
-// sweep drops what has outlived its use.
+// removeExpired drops state whose retention has passed.
 func (c *Core) removeExpired() {
 	c.removeLostSidecars()
 	c.removeExpiredAnswers()
@@ -258,7 +261,7 @@
 	return c.lastTag
 }
 
-// owns reports whether this incarnation owns the key under r.
+// isOwner reports whether this incarnation of the entry owns the key under roster r.
 func (c *Core) isOwner(r encoder.Roster, key string) bool {
 	owner, ok := elector.Owner(r, key)
 	return ok && owner.Member == c.self
--- a/dispatcher/core_test.go
+++ b/dispatcher/core_test.go
@@ -9,7 +9,7 @@
 	"github.com/crocuslb/crocuslb/timer"
 )
 
-// bench drives one core with one sidecar by hand.
+// testBench drives a core with one simulated sidecar step by step.
 type testBench struct {
 	t       testing.TB
 	core    *Core
@@ -77,7 +77,7 @@
 	b.takeEffects()
 }
 
-// starts returns the indices of the tasks that were started since the last call.
+// starts returns and clears the indices of the tasks that were started since the last call.
 func (b *testBench) starts() []uint32 {
 	var list []uint32
 	for _, m := range b.sent {
@@ -89,10 +89,12 @@
 	return list
 }
 
-// TestAnswers guards against partial answers and untrue outcomes.
+// TestAnswers guards against partial answers and wrong outcomes.
 func TestAnswers(t *testing.T) {
 	done := func(i uint32) *encoder.Result {
-		return &encoder.Result{Task: encoder.TaskKey{Job: "k", Index: i}, Status: encoder.StatusDone, Body: []byte{byte(i)}, Credits: 1}
+		return &encoder.Result{
+			Task: encoder.TaskKey{Job: "k", Index: i}, Status: encoder.StatusDone, Body: []byte{byte(i)}, Credits: 1,
+		}
 	}
 	status := func(i uint32, s encoder.Status) *encoder.Result {
 		return &encoder.Result{Task: encoder.TaskKey{Job: "k", Index: i}, Status: s, Credits: 1}
@@ -160,7 +162,8 @@
 	}
 }
 
-// TestOnTask guards against ends that blame no worker, blame one twice, or blame one for a task that was asked to stop.
+// TestOnTask guards against ends of tasks that are not reported, are reported twice, or are not marked as canceled although
+// the task was asked to stop.
 func TestOnTask(t *testing.T) {
 	end := func(i uint32, s encoder.Status) *encoder.Result {
 		return &encoder.Result{Task: encoder.TaskKey{Job: "k", Index: i}, Status: s, Ran: 70, Credits: 1}
--- a/dispatcher/decision.go
+++ b/dispatcher/decision.go
@@ -10,11 +10,11 @@
 	PublicationAccepted PublicationState = iota + 1
 	// PublicationRecorded means that the change is in the log.
 	PublicationRecorded
-	// PublicationProvisional means that a withdrawal is obeyed and not recorded yet.
+	// PublicationProvisional means that a withdrawal is in effect but not recorded in the log yet.
 	PublicationProvisional
-	// PublicationRefused means that the change is not in force and will not be.
+	// PublicationRefused means that the change is not in force and will not come into force.
 	PublicationRefused
-	// PublicationUnknown means that the change may be in the log or may get there yet.
+	// PublicationUnknown means that the change may be in the log, or may still be appended to it.
 	PublicationUnknown
 )
 
@@ -22,15 +22,16 @@
 	acceptanceTimeout        = 3 * timer.Second
 	maxFoldedFindings        = 1000
 	provisionalRetryInterval = timer.Second
-	// otherRecorder is how long a provisional withdrawal that a peer told of waits for that peer to record it.
+	// peerRecordTimeout is the time that a peer gets to record its provisional withdrawal before this entry does so.
 	peerRecordTimeout = 2 * timer.Second
 )
 
 type (
-	// PublicationState is the state of an operator's change.
+	// PublicationState is the state of a configuration change.
 	PublicationState uint8
 
-	// Publication is the answer to an operator's change. Lagging counts the processes that are not known to have it.
+	// Publication is the result of publishing a configuration change. Lagging is the number of processes that have not
+	// reported it yet.
 	Publication struct {
 		Offset   uint64
 		State    PublicationState
@@ -38,13 +39,13 @@
 		Lagging  int
 	}
 
-	// Published is a Publication with the request that it answers.
+	// Published is a Publication and the identifier of the request that it answers.
 	Published struct {
 		Request     uint64
 		Publication Publication
 	}
 
-	// decisions are the operators' changes on their way into the log.
+	// publicationTracker tracks the configuration changes that are not decided yet.
 	publicationTracker struct {
 		pending        map[uint64]*pendingPublication // by append tag
 		foldedFindings map[uint64][]configurer.Finding
@@ -53,7 +54,7 @@
 
 	pendingPublication struct {
 		request   uint64
-		domain    string // set for withdrawals
+		domain    string // withdrawn domain; "" for other changes
 		author    string
 		offset    uint64
 		inLog     bool
@@ -61,7 +62,7 @@
 	}
 )
 
-// String returns the state's name as operators see it.
+// String returns the name of the state as shown to operators.
 func (s PublicationState) String() string {
 	names := [...]string{"", "accepted", "recorded", "provisional", "refused", "unknown"}
 	if int(s) < len(names) {
@@ -70,15 +71,15 @@
 	return ""
 }
 
-// Published returns the publications that were decided since the last call.
+// TakePublished returns and clears the publications that were decided since the last call.
 func (c *Core) TakePublished() []Published {
 	p := c.publications.published
 	c.publications.published = nil
 	return p
 }
 
-// Publish appends a record with an operator's change. Domain is set when the change is the withdrawal of that domain,
-// which is obeyed provisionally when it cannot be recorded now.
+// Publish appends the record of a configuration change to the log. If the change withdraws a failure domain, domain is its
+// name, and the withdrawal takes effect provisionally if it cannot be recorded now.
 func (c *Core) Publish(now timer.Millis, request uint64, record []byte, domain, author string) {
 	c.now = now
 	if !c.hasLogQuorum() {
@@ -135,7 +136,8 @@
 	c.addPublished(d.request, p)
 }
 
-// ConfigurationRecord reports what the fold found in the configuration record at offset.
+// ConfigurationRecord handles the findings of folding the configuration record at offset. Without findings the record is in
+// force.
 func (c *Core) ConfigurationRecord(now timer.Millis, offset uint64, findings []configurer.Finding) {
 	c.now = now
 	if c.publications.foldedFindings == nil {
@@ -145,7 +147,8 @@
 	delete(c.publications.foldedFindings, offset-maxFoldedFindings)
 }
 
-// tickDecisions answers operators whose change was folded and accepted, and records provisional withdrawals.
+// tickPublications completes the changes that were refused or accepted, or whose acceptance timed out, and appends the
+// provisional withdrawals to the log.
 func (c *Core) tickPublications() {
 	for tag, d := range c.publications.pending {
 		if !d.inLog {
@@ -195,7 +198,8 @@
 	}
 }
 
-// adoptProvisional obeys a withdrawal that a peer told of, unless this entry has seen it recorded since.
+// adoptProvisional applies a provisional withdrawal reported by a peer whose configuration has the given offset, unless
+// this entry has seen the withdrawal recorded at a later offset.
 func (c *Core) adoptProvisional(domain string, offset uint64) {
 	if _, ok := c.domainState.provisional[domain]; ok || offset < c.domainState.recordedOffsets[domain] {
 		return
@@ -208,7 +212,8 @@
 	}
 }
 
-// resolveProvisional ends a provisional withdrawal that is in the log now. Peers that are behind do not renew it.
+// endProvisional ends a provisional withdrawal that is now recorded in the log. Reports of peers with an older
+// configuration do not renew it.
 func (c *Core) endProvisional(domain string) {
 	delete(c.domainState.provisional, domain)
 	if c.domainState.recordedOffsets == nil {
@@ -217,7 +222,7 @@
 	c.domainState.recordedOffsets[domain] = c.domainState.offset
 }
 
-// lagging counts the members and sidecars that are not known to have the configuration offset.
+// lagging returns the number of members and sidecars that have not reported the configuration offset.
 func (c *Core) lagging(offset uint64) int {
 	count := 0
 	for _, e := range c.roster.Entries {
--- a/dispatcher/entry.go
+++ b/dispatcher/entry.go
@@ -21,23 +21,23 @@
 const (
 	tickInterval   = 5 * time.Millisecond
 	eventQueueSize = 8192
-	// eventBatch bounds the events that are handled before their effects are performed.
+	// maxEventBatch is the maximum number of events handled before their effects are carried out.
 	maxEventBatch = 256
-	// tailWait bounds the age of a confirmation: a read at the head waits that long for a record.
+	// tailReadWait is the long-poll time of a read at the head of the log. It bounds the age of a confirmation.
 	tailReadWait = 150 * timer.Millisecond
-	// claimsHistory is the number of claims records that a new entry reads.
+	// claimsHistoryLength is the number of past claims records that a new entry reads.
 	claimsHistoryLength = 50_000
 	maxHistory          = 1000
 	teamPrefix          = "team/"
 )
 
 type (
-	// Entry is the entry process. Set the exported fields before Run.
+	// Entry is the entry process. The exported fields must be set before Run is called.
 	Entry struct {
 		ID          string
-		Incarnation uint64 // 0 means the wall clock in milliseconds, so that a restarted process has a larger one
+		Incarnation uint64 // 0 means the wall clock time in milliseconds, which increases on restart
 		Listen      string // UDP address of the QUIC listener
-		Advertise   string // address under which other processes reach the listener; "" means the bound address
+		Advertise   string // address at which other processes reach the listener; "" means the bound address
 		Domain      string // failure domain of the entry
 		Log         *appender.Client
 		TLS         *tls.Config // nil means loopback only
@@ -45,8 +45,8 @@
 		Logger      log.Interface
 		Settings    Settings // Member, Address, Domain, WithdrawRecord and OnTask are set by Run
 
-		// OnTask hears of the end of each task that this entry owns. The control goroutine calls it, so it must not
-		// block. May be nil.
+		// OnTask is called for the end of each task that this entry owns. It runs on the control goroutine and must not
+		// block. It may be nil.
 		OnTask func(TaskReport)
 
 		once           sync.Once
@@ -55,10 +55,10 @@
 		lastRequest    atomic.Uint64
 		member         atomic.Pointer[encoder.Member]
 		roster         atomic.Pointer[encoder.Roster]
-		loggedTakeover string // last logged state
+		loggedTakeover string // takeover state that was logged last
 		address        string
 
-		// The fields below belong to the control goroutine.
+		// The fields below are used by the control goroutine only.
 		core                *Core
 		node                *messenger.Node
 		runCtx              context.Context
@@ -80,7 +80,7 @@
 		sentCounts MessageCounts
 	}
 
-	// Change is an operator's change in the log. Findings is empty when it is in force.
+	// Change is a configuration change in the log. Findings is empty if the change took effect.
 	Change struct {
 		Offset   uint64
 		Note     configurer.Note
@@ -131,12 +131,12 @@
 	})
 }
 
-// Run serves until ctx ends.
+// Run serves until ctx is done.
 func (e *Entry) Run(ctx context.Context) error {
 	e.init()
 	defer close(e.stopped)
 	if e.ID == "" || e.Log == nil {
-		return trace.BadParameter("an entry needs an identifier and a log")
+		return trace.BadParameter("entry ID and log client must be set")
 	}
 	if e.Incarnation == 0 {
 		e.Incarnation = uint64(time.Now().UnixMilli())
@@ -147,7 +147,9 @@
 	member := encoder.Member{ID: e.ID, Incarnation: e.Incarnation}
 	e.member.Store(&member)
 	e.roster.Store(&encoder.Roster{})
-	e.node = &messenger.Node{Hello: e.hello, Accept: e.accept, OnUp: e.onSessionOpened, OnMessage: e.onMessage, OnDown: e.onSessionClosed, TLS: e.TLS}
+	e.node = &messenger.Node{
+		Hello: e.hello, Accept: e.accept, OnUp: e.onSessionOpened, OnMessage: e.onMessage, OnDown: e.onSessionClosed, TLS: e.TLS,
+	}
 	bound, err := e.node.Listen(ctx, e.Listen)
 	if err != nil {
 		return trace.Wrap(err, "entry %s cannot listen", e.ID)
@@ -162,7 +164,7 @@
 	e.sessions, e.sessionIDs = map[SessionID]*messenger.Session{}, map[*messenger.Session]SessionID{}
 	e.dialCancels = map[string]context.CancelFunc{}
 	e.pendingAnswers, e.pendingPublications = map[uint64]chan encoder.Answer{}, map[uint64]chan Publication{}
-	e.Logger.Infof("entry: %s incarnation %d listens on %s as %s", e.ID, e.Incarnation, bound, e.address)
+	e.Logger.Infof("entry: %s incarnation %d listens on %s, advertised as %s", e.ID, e.Incarnation, bound, e.address)
 	var tails sync.WaitGroup
 	for _, stream := range []string{StreamConfiguration, StreamRoster, StreamClaims} {
 		tails.Go(func() { e.followStream(ctx, stream) })
@@ -173,7 +175,7 @@
 	return nil
 }
 
-// control is the loop of the goroutine that owns the core.
+// controlLoop handles events and ticks on the goroutine that owns the core, until ctx is done.
 func (e *Entry) controlLoop(ctx context.Context) {
 	tick := time.NewTicker(tickInterval)
 	defer tick.Stop()
@@ -239,14 +241,14 @@
 	case eventAppendDone:
 		e.core.AppendDone(now, ev.tag, ev.offset, ev.err == nil, ev.err != nil && appender.IsUnknown(ev.err))
 		if ev.err != nil {
-			e.Logger.Warnf("entry: append to %s: %v", ev.stream, ev.err)
+			e.Logger.Warnf("entry: append to log stream %s failed: %v", ev.stream, ev.err)
 		}
 	case eventCall:
 		ev.call()
 	}
 }
 
-// perform carries out the effects of the core, and those that follow from messages that could not be sent.
+// performEffects carries out the effects of the core, including those that result from messages that could not be sent.
 func (e *Entry) performEffects() {
 	for {
 		effects := e.core.TakeEffects()
@@ -328,7 +330,7 @@
 	}
 }
 
-// post hands an event to the control goroutine. It returns false when the entry has stopped.
+// post sends an event to the control goroutine. It returns false if the entry has stopped.
 func (e *Entry) post(ev event) bool {
 	select {
 	case e.events <- ev:
@@ -342,8 +344,8 @@
 	return encoder.Hello{Role: encoder.RoleEntry, Member: *e.member.Load(), Address: e.address}
 }
 
-// accept acknowledges a session. The control goroutine knows a sidecar before it is told so, because from then on the
-// sidecar may accept starts that a census has to find.
+// accept acknowledges a session. A sidecar is registered with the core before it receives the acknowledgement, because from
+// then on it may accept starts, which a census must be able to find.
 func (e *Entry) accept(h *encoder.Hello) (encoder.HelloAck, error) {
 	if h.Role == encoder.RoleSidecar {
 		known := make(chan struct{})
--- a/dispatcher/entry_log.go
+++ b/dispatcher/entry_log.go
@@ -9,13 +9,14 @@
 	"github.com/crocuslb/crocuslb/timer"
 )
 
-// record folds a record of the log.
+// handleRecord folds a record of a log stream.
 func (e *Entry) handleRecord(now timer.Millis, stream string, r appender.Record) {
 	switch stream {
 	case StreamConfiguration:
 		findings := e.configurationReplay.Add(r)
 		if r.Offset >= e.configuration.Offset() {
-			// The outcome of a record that came with a peer's configuration is not known; its decision stays unknown.
+			// The findings of a record that is part of a configuration adopted from a peer are unknown, so they are not
+			// reported.
 			e.core.ConfigurationRecord(now, r.Offset, findings)
 		}
 		if d, err := configurer.DecodeRecord(r.Body); err == nil && d.Kind == configurer.KindNote {
@@ -39,10 +40,10 @@
 	}
 }
 
-// rosterRecord folds a record of the roster stream. The core sees each change, or the whole roster after a gap.
+// handleRosterRecord folds a record of the roster stream. The core receives each change, or the whole roster after a gap.
 func (e *Entry) handleRosterRecord(now timer.Millis, r appender.Record) {
 	_, known := e.rosterReplay.Roster()
-	_ = e.rosterReplay.Add(r) // every reader refuses the same record
+	_ = e.rosterReplay.Add(r) // every reader rejects the same record
 	roster, ok := e.rosterReplay.Roster()
 	change, err := elector.DecodeChange(r.Body)
 	if err == nil && change.Kind == elector.ChangeCheckpoint {
@@ -68,17 +69,17 @@
 	e.core.SetConfiguration(now, s.Offset(), s.DomainInForce)
 }
 
-// sendConfiguration gives a peer the configuration.
+// sendConfiguration sends the current configuration to a peer as a checkpoint.
 func (e *Entry) sendConfiguration(s *messenger.Session) {
 	body, err := configurer.AppendCheckpoint(nil, e.configuration)
 	if s == nil || err != nil {
 		return
 	}
-	s.Send(&encoder.PeerConfiguration{Checkpoint: body}) // offered again when it is lost
+	s.Send(&encoder.PeerConfiguration{Checkpoint: body}) // offerConfiguration repeats a lost message
 }
 
-// adoptConfiguration takes over a later configuration from a peer. Records of the log that it includes are skipped when
-// the log can be read again.
+// adoptConfiguration adopts a later configuration from a peer. The records that it includes are skipped when the log can be
+// read again.
 func (e *Entry) adoptConfiguration(now timer.Millis, m *encoder.PeerConfiguration) {
 	r, err := configurer.DecodeRecord(m.Checkpoint)
 	if err != nil || r.Kind != configurer.KindCheckpoint || !e.configurationReplay.Adopt(r.Checkpoint) {
@@ -90,7 +91,8 @@
 	}
 }
 
-// read handles the end of a read of the log.
+// handleRead handles a completed read of the log. A read that reached the head confirms the stream, unless its state is not
+// known yet.
 func (e *Entry) handleRead(now timer.Millis, stream string, p appender.Progress) {
 	if p.Err != nil || !p.Head {
 		return
--- a/dispatcher/entry_test.go
+++ b/dispatcher/entry_test.go
@@ -13,7 +13,7 @@
 	"github.com/crocuslb/crocuslb/messenger"
 )
 
-// network is a log, entries and one fake sidecar over loopback.
+// testNetwork is a log, a number of entries and one simulated sidecar, connected over loopback.
 type testNetwork struct {
 	ctx     context.Context
 	entries []*Entry
@@ -24,12 +24,12 @@
 func newTestNetwork(t testing.TB, entries int) *testNetwork {
 	ctx, cancel := context.WithCancel(context.Background())
 	n := &testNetwork{ctx: ctx}
-	platform := httptest.NewServer(&emulator.Log{})
-	t.Cleanup(func() { cancel(); n.running.Wait(); platform.Close() })
+	logServer := httptest.NewServer(&emulator.Log{})
+	t.Cleanup(func() { cancel(); n.running.Wait(); logServer.Close() })
 	for i := range entries {
 		e := &Entry{
 			ID: "entry-" + strconv.Itoa(i), Incarnation: uint64(i + 1), Listen: "127.0.0.1:0", Domain: "north",
-			Log: &appender.Client{URL: platform.URL},
+			Log: &appender.Client{URL: logServer.URL},
 		}
 		run, stop := context.WithCancel(ctx)
 		n.entries, n.stops = append(n.entries, e), append(n.stops, stop)
@@ -51,14 +51,14 @@
 	return n
 }
 
-// until polls a condition. Only the test's own timeout ends it.
+// waitUntil polls a condition until it holds. It has no timeout other than that of the test binary.
 func (n *testNetwork) waitUntil(condition func() bool) {
 	for !condition() {
 		sleep(n.ctx, followRetryDelay/20)
 	}
 }
 
-// sidecar runs a sidecar that answers every start with the payload.
+// connectSidecar connects a sidecar that answers every start with the task's payload.
 func (n *testNetwork) connectSidecar() {
 	node := &messenger.Node{
 		Hello: func() encoder.Hello { h := hello("s", 1); h.Slots = 8; return h },
@@ -85,7 +85,8 @@
 	})
 }
 
-// TestEntries guards the process around the core: sessions, the log's tails, forwarding, operators' changes and drain.
+// TestEntries guards the integration of the core into a process: sessions, reading the log, forwarding, configuration changes
+// and drain.
 func TestEntries(t *testing.T) {
 	n := newTestNetwork(t, 3)
 	for i, e := range n.entries {
--- a/dispatcher/follow.go
+++ b/dispatcher/follow.go
@@ -13,19 +13,20 @@
 const (
 	followRetryDelay        = 200 * time.Millisecond
 	checkpointRetryInterval = 10 * timer.Second
-	// checkpointEach bounds the age of the last checkpoint. The log's retention is not known until records are gone, so a
-	// retention of two hours or more always holds a checkpoint.
+	// checkpointInterval bounds the age of the last checkpoint. The log's retention is unknown until records are truncated;
+	// with this interval, a retention of two hours or more always contains a checkpoint.
 	checkpointInterval = 60 * timer.Minute
 	maxHeldChanges     = 10_000
 )
 
-// checkpoints is the state of a stream's checkpoints.
+// checkpointState tracks the checkpoints of a stream.
 type checkpointState struct {
-	lastOffset  uint64 // offset of the newest one
+	lastOffset  uint64 // offset of the newest checkpoint
 	lastAttempt timer.Millis
 }
 
-// follow reads a stream until ctx ends.
+// followStream tails a log stream until ctx is done and posts its records as events. The claims stream is read from the
+// last claimsHistoryLength records on, the others from their first record.
 func (e *Entry) followStream(ctx context.Context, stream string) {
 	var from uint64
 	for stream == StreamClaims && ctx.Err() == nil {
@@ -48,7 +49,8 @@
 		}
 		page, err := e.Log.Read(ctx, stream, from, 1, 0)
 		if appender.IsTruncated(err) {
-			e.Logger.Warnf("entry: %s is read from offset %d on, records from %d are gone", stream, page.First, from)
+			e.Logger.Warnf("entry: log stream %s continues at offset %d; the records from offset %d on were truncated",
+				stream, page.First, from)
 			from = page.First
 		}
 	}
@@ -61,8 +63,8 @@
 	}
 }
 
-// checkpoint restates the state of a stream before half of its retained records have passed. The first member of the
-// roster does so.
+// appendCheckpointIfDue appends the folded state of a stream as a checkpoint, so that the log may truncate older records.
+// Only the first member of the roster does so.
 func (e *Entry) appendCheckpointIfDue(stream string, p appender.Progress) {
 	r := e.core.roster
 	if p.Next == 0 || !e.core.joined || r.Entries[0].Member != e.core.self || !e.core.hasLogQuorum() {
@@ -88,8 +90,8 @@
 	}
 }
 
-// checkpointDue reports whether a stream needs a checkpoint: when records have gone and the last checkpoint, at the given
-// offset, is in the older half of the rest, or when the last one was tried long ago.
+// checkpointDue reports whether a stream needs a checkpoint: if records were truncated and the last checkpoint, at the given
+// offset, is in the older half of the retained records, or if the last attempt is older than checkpointInterval.
 func checkpointDue(p appender.Progress, last uint64, since timer.Millis) bool {
 	if since <= checkpointRetryInterval {
 		return false
--- a/dispatcher/forward.go
+++ b/dispatcher/forward.go
@@ -7,29 +7,29 @@
 )
 
 type (
-	// forward is a caller's request that another entry is to answer. It is kept until the answer arrives and sent
-	// again when the owner changes, which is safe because submission is idempotent.
+	// forward is a caller's request that was forwarded to the owner of its key. It is kept until the answer arrives and
+	// resent when the owner changes, which is safe because submission is idempotent.
 	forward struct {
 		id       uint64
 		waiter   waiter
 		request  encoder.Request
 		job      encoder.Job
-		deadline timer.Millis // point in time; 0 for none
+		deadline timer.Millis // absolute time; 0 means none
 		hops     uint32
-		session  SessionID // 0 while it waits for a session to the owner
+		session  SessionID // session on which it was sent; 0 while there is none to the owner
 		retryAt  timer.Millis
-		// Parts of an answer that does not fit a frame.
+		// Parts received of an answer that does not fit into one frame.
 		results  []encoder.TaskResult
 		received []bool
 		missing  int
 	}
 
-	// pass remembers to whom a submission was forwarded, or who owned it when this entry was its witness.
+	// knownOwner is the owner to which a submission was forwarded, or which sent the key to this entry as its witness.
 	knownOwner struct {
 		owner      encoder.Member
-		multiple   bool         // there were other owners before
-		recordedAt timer.Millis // when it came here first
-		firstSeen  timer.Millis // since when the submission exists; 0 when it may be older than its arrival here
+		multiple   bool         // there were other owners before owner
+		recordedAt timer.Millis // when the key first reached this entry
+		firstSeen  timer.Millis // earliest time at which the submission can have existed; 0 if unknown
 	}
 )
 
@@ -43,8 +43,8 @@
 	c.knownOwners[key] = p
 }
 
-// firstSeen returns the time since which a submission that arrives now exists, or 0 when it may be older. A submission
-// that came to another entry before has left a claim, unless the log was hard to reach.
+// firstSeen returns the earliest time at which a submission that arrives now can have existed, or 0 if that is unknown. A
+// submission that reached another entry before has a claim in the log, unless the log was unreachable.
 func (c *Core) firstSeen(key string) timer.Millis {
 	if s := c.submissions[key]; s != nil {
 		return s.firstSeen
@@ -55,14 +55,14 @@
 	if _, ok := c.answerCache.byKey[key]; ok || c.takeover.evidence[key] != nil {
 		return 0
 	}
-	readable := c.now-c.confirmations[StreamClaims] <= logTimeout && c.now-c.lastOutage > claimRecoveryTime
-	if !readable || c.claims.loggedKeys.has(c.hashKey(key)) {
+	claimsCurrent := c.now-c.confirmations[StreamClaims] <= logTimeout && c.now-c.lastOutage > claimRecoveryTime
+	if !claimsCurrent || c.claims.loggedKeys.has(c.hashKey(key)) {
 		return 0
 	}
 	return c.now
 }
 
-// passedBeside reports whether an owner other than m may have got the submission from here.
+// mayHaveOtherOwner reports whether this entry knows an owner other than m that the submission had.
 func (c *Core) mayHaveOtherOwner(key string, m encoder.Member) bool {
 	p, ok := c.knownOwners[key]
 	return ok && (p.multiple || p.owner != m)
@@ -83,7 +83,8 @@
 	c.sendForward(f)
 }
 
-// sendForward sends the request to the owner, serves it when the owner is this entry by now, or leaves it waiting.
+// sendForward sends the request to the owner of its key. If this entry has become the owner, it serves the request itself;
+// if there is no session to the owner, the request is retried later.
 func (c *Core) sendForward(f *forward) {
 	f.session = 0
 	f.retryAt = c.now + forwardRetryInterval
@@ -94,7 +95,7 @@
 	job := f.job
 	if f.deadline != 0 {
 		if f.deadline <= c.now {
-			return // sweepForwards answers it
+			return // tickForwards answers it
 		}
 		job.Deadline = f.deadline - c.now
 	}
@@ -108,7 +109,7 @@
 		return
 	}
 	if f.hops >= maxHops {
-		// The entries disagree on the roster. The request waits here until the next retry.
+		// The entries disagree on the roster. The request is retried after forwardRetryInterval.
 		f.hops = 0
 		return
 	}
@@ -122,7 +123,7 @@
 func (c *Core) handleForwardAnswer(m *encoder.ForwardAnswer) {
 	f := c.forwards[m.ID]
 	if f == nil || f.job.Key != m.Answer.Key {
-		c.counters.Ignored++ // an answer that came before, or to another request
+		c.counters.Ignored++ // a duplicate answer, or the answer to another request
 		return
 	}
 	if m.Total != 0 && !f.addPart(m) {
@@ -132,11 +133,11 @@
 	c.answer(f.waiter, m.Answer)
 }
 
-// collect stores a part of an answer. When all parts are there it puts the results into m and returns true. Parts may come
-// in any order, and again after a lost session.
+// addPart stores a part of an answer. When all parts have arrived, it sets the results of m to the complete list and returns
+// true. Parts may arrive in any order, and may be repeated after a session was lost.
 func (f *forward) addPart(m *encoder.ForwardAnswer) bool {
 	if m.Total > encoder.MaxTasks || int(m.First)+len(m.Answer.Results) > int(m.Total) {
-		return false // not an answer that this version sends
+		return false // malformed: this version does not send such an answer
 	}
 	if len(f.results) != int(m.Total) {
 		f.results, f.received, f.missing = make([]encoder.TaskResult, m.Total), make([]bool, m.Total), int(m.Total)
@@ -156,12 +157,12 @@
 	return true
 }
 
-// forwardsLost takes back the requests that were sent on a session that ended.
+// handleForwardSessionClosed resends the requests that were sent on a closed session, and drops those received on it.
 func (c *Core) handleForwardSessionClosed(id SessionID) {
 	for _, f := range c.forwards {
 		switch id {
 		case f.waiter.session:
-			delete(c.forwards, f.id) // the peer sends it again on its next session
+			delete(c.forwards, f.id) // the peer resends it on its next session
 		case f.session:
 			c.sendForward(f)
 		}
@@ -174,7 +175,7 @@
 	}
 }
 
-// retryForwards sends the requests that wait for a session to the given entry.
+// retryForwards sends the requests that are waiting for a session to the given entry.
 func (c *Core) retryForwards(owner string) {
 	for _, f := range c.forwards {
 		if f.session != 0 {
@@ -186,7 +187,7 @@
 	}
 }
 
-// redirectForwards sends requests again whose owner differs under the new roster.
+// redirectForwards resends the requests whose owner changed with the new roster.
 func (c *Core) redirectForwards() {
 	for _, f := range c.forwards {
 		owner, ok := elector.Owner(c.roster, f.job.Key)
@@ -198,8 +199,8 @@
 	}
 }
 
-// sweepForwards answers requests whose deadline has passed and retries the waiting ones. Another entry may have run the
-// job, so the outcome is unknown.
+// tickForwards answers the requests whose deadline has passed and retries those that wait for a session. The outcome of an
+// expired request is unknown, because another entry may have run the job.
 func (c *Core) tickForwards() {
 	for _, f := range c.forwards {
 		switch {
@@ -215,13 +216,14 @@
 
 func (c *Core) removeExpiredOwners() {
 	for key, p := range c.knownOwners {
-		if p.recordedAt+c.settings.KeyRetention < c.now || p.recordedAt+knownOwnerRetention < c.now && c.claims.loggedKeys.has(c.hashKey(key)) {
+		if p.recordedAt+c.settings.KeyRetention < c.now ||
+			p.recordedAt+knownOwnerRetention < c.now && c.claims.loggedKeys.has(c.hashKey(key)) {
 			delete(c.knownOwners, key)
 		}
 	}
 }
 
-// witness tells the next owner in line of a key that no other entry knows.
+// sendWitness sends a key that only this entry knows to the entry that would own it next, its witness.
 func (c *Core) sendWitness(key string) {
 	next, ok := elector.Successor(c.roster, key)
 	if !ok {
@@ -232,7 +234,7 @@
 	}
 }
 
-// witnessAgain repeats the witness notes for a peer, because those on its former session may be lost.
+// resendWitness repeats the Witness messages to a peer, because those on its former session may have been lost.
 func (c *Core) resendWitness(id string) {
 	var keys []string
 	for _, s := range c.submissions {
--- a/dispatcher/freshness.go
+++ b/dispatcher/freshness.go
@@ -6,24 +6,23 @@
 	"github.com/crocuslb/crocuslb/timer"
 )
 
-// domains is what the entry knows of the configuration's failure domains.
+// domainState is the state of the failure domains according to the configuration and provisional withdrawals.
 type domainState struct {
 	offset          uint64
-	inForce         func(domain string) bool // nil means that all are in force
+	inForce         func(domain string) bool // nil means that all domains are in force
 	provisional     map[string]provisionalWithdrawal
-	recordedOffsets map[string]uint64 // configuration offset at which a provisional withdrawal was recorded
+	recordedOffsets map[string]uint64 // configuration offset at which the provisional withdrawal of a domain was found recorded
 }
 
-// provisional is a withdrawal that is obeyed and not recorded yet.
+// provisionalWithdrawal is a withdrawal that is in effect but not recorded in the log yet.
 type provisionalWithdrawal struct {
-	author      string // "" when a peer told of it
+	author      string // "" if it was reported by a peer
 	startedAt   timer.Millis
-	appendTag   uint64 // append that records it; 0 for none
+	appendTag   uint64 // tag of the append that records it; 0 if none is in flight
 	lastAttempt timer.Millis
 }
 
-// Confirmed reports an exchange with the log, begun at the given time, after which the entry has every record of the
-// stream.
+// StreamConfirmed handles a read of the log, begun at the given time, after which the entry has every record of the stream.
 func (c *Core) StreamConfirmed(now timer.Millis, stream string, begun timer.Millis) {
 	c.now = now
 	c.confirmations[stream] = max(c.confirmations[stream], begun)
@@ -32,7 +31,8 @@
 	}
 }
 
-// SetConfiguration adopts a configuration. Offset is one more than that of the last record in it.
+// SetConfiguration adopts a configuration. offset is the offset of the last record in it plus 1. An older configuration is
+// ignored.
 func (c *Core) SetConfiguration(now timer.Millis, offset uint64, inForce func(domain string) bool) {
 	c.now = now
 	if offset < c.domainState.offset {
@@ -54,7 +54,7 @@
 	}
 }
 
-// inForce reports whether work may start in the domain, provisional withdrawals included.
+// inForce reports whether tasks may start in the domain, taking provisional withdrawals into account.
 func (c *Core) inForce(domain string) bool {
 	if _, ok := c.domainState.provisional[domain]; ok {
 		return false
@@ -62,18 +62,18 @@
 	return c.domainState.inForce == nil || c.domainState.inForce(domain)
 }
 
-// confirmedAt is the time at which the entry surely knew the heads of both streams.
+// lastConfirmation returns the last time at which the entry is certain to have known the heads of both streams, or 0.
 func (c *Core) lastConfirmation() timer.Millis {
 	return min(c.confirmations[StreamConfiguration], c.confirmations[StreamRoster])
 }
 
-// logReachable is the entry's own report about the log.
+// logReachable reports whether this entry can reach the log.
 func (c *Core) logReachable() bool {
 	return c.lastConfirmation() != 0 && c.now-c.lastConfirmation() <= logTimeout
 }
 
-// attests reports whether a majority of the roster, this entry included, holds the log for unreachable and nobody
-// knows newer state. Then no change can be accepted, so the entry's state is current.
+// attestsLogOutage reports whether a majority of the roster, this entry included, reports the log as unreachable and no
+// valid report has a newer epoch or configuration. Then no change can be accepted, so this entry's state is current.
 func (c *Core) attestsLogOutage() bool {
 	if !c.joined || c.logReachable() {
 		return false
@@ -94,8 +94,8 @@
 	return 2*count > len(c.roster.Entries)
 }
 
-// mayDecide reports whether at least half of the roster, this entry included, reports the log as reachable. Otherwise
-// the rest could attest an outage while this entry changes what is in force.
+// hasLogQuorum reports whether at least half of the roster, this entry included, reports the log as reachable. Without
+// that, the other members could attest a log outage while this entry changes the configuration or the roster.
 func (c *Core) hasLogQuorum() bool {
 	if !c.joined || !c.logReachable() {
 		return false
@@ -103,7 +103,7 @@
 	return c.confirmedByHalf(func(p *peer) bool { return p.report.LogReachable })
 }
 
-// accepted reports whether at least half of the roster, this entry included, has reported the configuration offset.
+// isAccepted reports whether at least half of the roster, this entry included, has reported the configuration offset.
 func (c *Core) isAccepted(offset uint64) bool {
 	return c.domainState.offset >= offset && c.confirmedByHalf(func(p *peer) bool { return p.report.ConfigOffset >= offset })
 }
@@ -122,7 +122,8 @@
 	return 2*count >= len(c.roster.Entries)
 }
 
-// pong renews a sidecar's freshness lease with what this entry can attest.
+// sendPong answers a sidecar's ping. It renews the sidecar's freshness lease if the entry's state is confirmed by the log or
+// by an attested log outage.
 func (c *Core) sendPong(sc *sidecar, m *encoder.Ping) {
 	p := &encoder.Pong{
 		Sequence: m.Sequence, Roster: c.roster, ConfigOffset: c.domainState.offset,
--- a/dispatcher/freshness_test.go
+++ b/dispatcher/freshness_test.go
@@ -11,20 +11,22 @@
 	"github.com/crocuslb/crocuslb/timer"
 )
 
-// group returns a bench whose core is in a roster with the named peers, each with the session 1, 2, ...
+// newBenchWithPeers returns a test bench whose core shares a roster with the named peers. Their sessions are 1, 2, ...
 func newBenchWithPeers(t testing.TB, peers ...string) *testBench {
 	b := newTestBench(t, Settings{WithdrawRecord: func(domain, author string) []byte { return []byte(domain + " by " + author) }})
 	for i, id := range peers {
 		b.core.RosterRecord(b.now, uint64(i+1), elector.Change{
 			Kind: elector.ChangeJoin, Entry: encoder.RosterEntry{Member: encoder.Member{ID: id, Incarnation: 1}, Address: id},
 		})
-		b.core.SessionOpened(b.now, SessionID(i+1), encoder.Hello{Role: encoder.RoleEntry, Member: encoder.Member{ID: id, Incarnation: 1}})
+		b.core.SessionOpened(b.now, SessionID(i+1), encoder.Hello{
+			Role: encoder.RoleEntry, Member: encoder.Member{ID: id, Incarnation: 1},
+		})
 	}
 	b.takeEffects()
 	return b
 }
 
-// report lets the peer of the session answer a ping that was sent delay ago.
+// answerPing lets the peer of a session answer a ping that was sent the given delay ago.
 func (b *testBench) answerPing(id SessionID, s encoder.PeerPing, delay timer.Millis) {
 	p := b.core.sessions[id].peer
 	b.core.now = b.now - delay
@@ -33,7 +35,7 @@
 	b.takeEffects()
 }
 
-// TestFreshness guards the rules by which an entry renews leases and takes decisions.
+// TestFreshness guards the rules by which an entry renews freshness leases and may append changes to the log.
 func TestFreshness(t *testing.T) {
 	const epoch = 4
 	up := encoder.PeerPing{Epoch: epoch, LogReachable: true}
@@ -88,8 +90,8 @@
 	}
 }
 
-// TestDecisions guards the answers to operators: accepted only with half of the roster, refused as the fold says, and
-// withdrawals that are obeyed during an outage and recorded after it.
+// TestDecisions guards the answers to configuration changes: accepted only if half of the roster has reported the change,
+// refused if folding it gives findings. Withdrawals take effect during a log outage and are recorded after it.
 func TestDecisions(t *testing.T) {
 	up := encoder.PeerPing{Epoch: 3, LogReachable: true}
 	tests := []struct {
@@ -119,8 +121,8 @@
 		configuration := func(offset uint64, inForce bool) {
 			b.core.SetConfiguration(b.now, offset, func(domain string) bool { return inForce || domain != "north" })
 		}
-		for _, step := range tt.steps {
-			switch step {
+		for _, action := range tt.steps {
+			switch action {
 			case "up":
 				b.confirmStreams()
 				b.answerPing(1, up, 10)
@@ -163,7 +165,8 @@
 	}
 }
 
-// TestRoster guards the membership: dead peers are removed, a paused entry removes nobody, and a removed one comes back.
+// TestRoster guards the membership: failed peers are removed, an entry that was paused removes no peers, and a removed entry
+// joins again with a new incarnation.
 func TestRoster(t *testing.T) {
 	takeChanges := func(b *testBench) []string {
 		var list []string
@@ -177,7 +180,7 @@
 	}
 	b := newBenchWithPeers(t, "b", "c")
 	var got []string
-	for range 200 { // 4 s; b answers, c is silent
+	for range 200 { // 4 s in which b answers and c does not
 		b.now += 20
 		b.confirmStreams()
 		b.answerPing(1, encoder.PeerPing{Epoch: 3, LogReachable: true}, 10)
@@ -205,14 +208,15 @@
 	}
 }
 
-// TestComplete guards against a second start after the first one's sidecar, owner and receiving entry were all lost: a
-// submission counts as newer than a loss only when an earlier arrival elsewhere would have left a claim.
+// TestHasCompleteEvidence guards against a second start of a task after the sidecar, owner and receiving entry of the first
+// start were all lost. A submission counts as newer than the loss of a sidecar only if an earlier arrival at another entry
+// would have left a claim.
 func TestHasCompleteEvidence(t *testing.T) {
 	tests := []struct {
 		name   string
-		before func(b *testBench) // before the submission passes through this entry
+		before func(b *testBench) // applied before this entry forwards the submission
 		after  func(b *testBench)
-		lost   timer.Millis // how long before the submission the sidecar was lost
+		lost   timer.Millis // time from the loss of the sidecar to the submission
 		want   bool
 	}{
 		{"came after the loss", nil, nil, 20 * timer.Second, true},
@@ -224,7 +228,9 @@
 		{"claims not read", func(b *testBench) { b.now += 2 * timer.Second }, nil, 20 * timer.Second, false},
 		{"log was down", func(b *testBench) { b.now += 2 * timer.Second; b.tick(1); b.confirmStreams() }, nil, 20 * timer.Second, false},
 		{"another peer had it", nil, func(b *testBench) {
-			b.core.HandleMessage(b.now, 1, &encoder.PeerCensusReply{Epoch: b.core.roster.Epoch, Jobs: []encoder.KnownJob{{Key: "k", Age: timer.Minute}}})
+			b.core.HandleMessage(b.now, 1, &encoder.PeerCensusReply{
+				Epoch: b.core.roster.Epoch, Jobs: []encoder.KnownJob{{Key: "k", Age: timer.Minute}},
+			})
 		}, 20 * timer.Second, false},
 	}
 	for _, tt := range tests {
@@ -242,13 +248,13 @@
 			tt.after(b)
 		}
 		if got := b.core.hasCompleteEvidence("k"); got != tt.want {
-			t.Errorf("%s: complete is %v", tt.name, got)
+			t.Errorf("%s: got complete evidence %v", tt.name, got)
 		}
 	}
 }
 
-// TestOfferConfiguration guards against an entry that serves an older configuration than its peers because it cannot
-// read the log.
+// TestOfferConfiguration guards against an entry that keeps an older configuration than its peers because it cannot read the
+// log.
 func TestOfferConfiguration(t *testing.T) {
 	tests := []struct {
 		name   string
--- a/dispatcher/keyset.go
+++ b/dispatcher/keyset.go
@@ -2,8 +2,8 @@
 
 import "github.com/crocuslb/crocuslb/timer"
 
-// keySet is a set of hashes of submission keys that forgets each one between one and two retentions after it was added.
-// It has two generations, so that forgetting takes no time. The zero value is ready to use.
+// keySet is a set of hashes of submission keys. A hash expires between one and two retention periods after it was added.
+// Two generations make expiry constant-time. The zero value is ready to use.
 type keySet struct {
 	current, previous map[uint64]struct{}
 	rotatedAt         timer.Millis
--- a/dispatcher/peer.go
+++ b/dispatcher/peer.go
@@ -8,31 +8,31 @@
 
 const (
 	maxSentPings            = 8
-	firstContactTimeout     = 3 * timer.Second // time that a new member has to be heard for the first time
+	firstContactTimeout     = 3 * timer.Second // time within which a new member must send its first message
 	fullSidecarListInterval = 10 * timer.Second
-	offerRetryInterval      = timer.Second // time until a configuration that was not adopted is sent again
+	offerRetryInterval      = timer.Second // time after which a configuration that the peer did not adopt is sent again
 )
 
 type (
-	// peer is another entry, under any incarnation.
+	// peer is another entry, in whatever incarnation.
 	peer struct {
-		member            encoder.Member
-		address           string
-		sessions          []SessionID // the newest last
-		lastHeard         timer.Millis
-		redialed          bool
-		sequence          uint64
-		sentPings         [maxSentPings]sentPing
-		report            encoder.PeerPing
-		reportBegan       timer.Millis // begin of the exchange that brought the report; 0 for none
-		offeredOffset     uint64       // configuration offset that was sent to the peer
-		offeredAt         timer.Millis // when it was sent
-		highestEpoch      uint64       // highest epoch that any incarnation has reported
-		listedSidecars    map[encoder.Member]bool
-		lastFullList      timer.Millis
-		censusEpoch       uint64       // epoch of the last complete answer to a peer census
-		incompleteEpoch   uint64       // epoch of the last such answer that left sidecars open which it may not know
-		lastUnlistedStart timer.Millis // last time at which sidecars that the peer does not know can have started tasks
+		member                  encoder.Member
+		address                 string
+		sessions                []SessionID // in the order of opening
+		lastHeard               timer.Millis
+		reconnecting            bool
+		sequence                uint64
+		sentPings               [maxSentPings]sentPing
+		report                  encoder.PeerPing
+		reportBegan             timer.Millis // time at which the ping was sent that report answers; 0 if there is no report
+		offeredOffset           uint64       // offset of the configuration last sent to the peer
+		offeredAt               timer.Millis // time at which that configuration was sent
+		highestEpoch            uint64       // highest epoch reported by any incarnation
+		listedSidecars          map[encoder.Member]bool
+		lastFullList            timer.Millis
+		censusEpoch             uint64       // epoch of the last complete answer to a peer census
+		incompleteEpoch         uint64       // epoch of the last such answer by which the peer may not know all sidecars
+		lastUnknownSidecarStart timer.Millis // last time at which sidecars unknown to the peer may have started tasks
 	}
 
 	sentPing struct {
@@ -41,12 +41,12 @@
 	}
 )
 
-// valid reports whether the last report of this incarnation still counts.
+// hasValidReport reports whether the last report is of incarnation m and not older than reportValidity.
 func (p *peer) hasValidReport(now timer.Millis, m encoder.Member) bool {
 	return p.reportBegan != 0 && p.member == m && now-p.reportBegan < reportValidity
 }
 
-// session returns the newest session, 0 when there is none.
+// session returns the newest session, or 0 if there is none.
 func (p *peer) session() SessionID {
 	if len(p.sessions) == 0 {
 		return 0
@@ -101,7 +101,7 @@
 
 func (c *Core) handlePeerMessage(s *session, m encoder.Message) {
 	p := s.peer
-	p.lastHeard, p.redialed = max(p.lastHeard, c.now), false
+	p.lastHeard, p.reconnecting = max(p.lastHeard, c.now), false
 	switch m := m.(type) {
 	case *encoder.PeerPing:
 		c.applyPeerReport(p, m)
@@ -133,7 +133,7 @@
 	}
 }
 
-// peerState takes the facts of a report that stay true: epochs, sidecars and provisional withdrawals.
+// applyPeerReport applies the parts of a report that do not expire: epoch, sidecars and provisional withdrawals.
 func (c *Core) applyPeerReport(p *peer, s *encoder.PeerPing) {
 	p.highestEpoch = max(p.highestEpoch, s.Epoch)
 	for _, m := range s.Sidecars {
@@ -145,17 +145,19 @@
 	c.offerConfiguration(p, s)
 }
 
-// offerConfiguration sends the configuration to a peer that has an older one and cannot read the log.
+// offerConfiguration sends the configuration to a peer that has an older one and cannot reach the log.
 func (c *Core) offerConfiguration(p *peer, s *encoder.PeerPing) {
 	id, offset := p.session(), c.domainState.offset
-	if id == 0 || s.LogReachable || s.ConfigOffset >= offset || p.offeredOffset == offset && c.now-p.offeredAt < offerRetryInterval {
+	if id == 0 || s.LogReachable || s.ConfigOffset >= offset ||
+		p.offeredOffset == offset && c.now-p.offeredAt < offerRetryInterval {
 		return
 	}
 	p.offeredOffset, p.offeredAt = offset, c.now
 	c.effects = append(c.effects, Effect{Kind: EffectSendConfiguration, Session: id})
 }
 
-// state is the entry's own report to p.
+// reportFor returns this entry's report to p. It lists the sidecars that p was not told of yet, and every
+// fullSidecarListInterval all of them.
 func (c *Core) reportFor(p *peer) encoder.PeerPing {
 	s := encoder.PeerPing{
 		Epoch: c.roster.Epoch, ConfigOffset: c.domainState.offset, LogReachable: c.logReachable(),
@@ -189,22 +191,22 @@
 	c.send(id, &ping)
 }
 
-// tickPeers sends heartbeats, replaces silent sessions and removes dead peers from the roster.
+// tickPeers sends heartbeats, reconnects to silent peers and removes failed peers from the roster.
 func (c *Core) tickPeers() {
-	gap := c.now - c.lastTick
+	sinceLastTick := c.now - c.lastTick
 	c.lastTick = c.now
 	for _, e := range c.roster.Entries {
 		if e.Member.ID == c.self.ID {
 			continue
 		}
 		p := c.getOrAddPeer(e.Member.ID)
-		if gap > pauseThreshold {
-			// This entry itself was paused, so the silence says nothing about its peers.
+		if sinceLastTick > pauseThreshold {
+			// This entry itself was paused, so the silence does not indicate a failure of its peers.
 			p.lastHeard = max(p.lastHeard, c.now)
 		}
 		silence := c.now - p.lastHeard
-		if silence > reconnectTimeout && !p.redialed && len(p.sessions) > 0 {
-			p.redialed = true
+		if silence > reconnectTimeout && !p.reconnecting && len(p.sessions) > 0 {
+			p.reconnecting = true
 			c.effects = append(c.effects, Effect{Kind: EffectCloseSession, Session: p.session()})
 			c.pingPeer(p)
 		}
@@ -221,7 +223,8 @@
 	}
 }
 
-// remove appends the removal of a dead member. The fold ignores it when the member has a new incarnation by then.
+// appendRemoval appends the removal of a failed member. The record has no effect if the member has a new incarnation by
+// then.
 func (c *Core) appendRemoval(e encoder.RosterEntry) {
 	if !c.hasLogQuorum() || c.draining {
 		return
--- a/dispatcher/placement.go
+++ b/dispatcher/placement.go
@@ -9,11 +9,11 @@
 const (
 	minRequeueDelay = 5 * timer.Millisecond
 	maxRequeueDelay = 200 * timer.Millisecond
-	// runMargin is added to the run limit before a started task without a result counts as lost.
+	// runLimitMargin is the time beyond the run limit after which a started task without a result counts as lost.
 	runLimitMargin = 10 * timer.Second
 )
 
-// delayed is a refused task that is queued again at a time, and not before the entry has the epoch.
+// delayedTask is a refused task that is queued again at dueAt, but not before the entry has reached the epoch.
 type delayedTask struct {
 	dueAt      timer.Millis
 	epoch      uint64
@@ -21,10 +21,11 @@
 	index      int
 }
 
-// admit opens a submission whose ownership is settled.
+// admit opens a submission if the ownership of its key is settled. Its tasks are queued, or it is resumed if a former owner
+// may have started some.
 func (c *Core) admit(s *submission) {
 	if !c.isSettled(s.key) {
-		return // held; tickTakeover admits it
+		return // stays held until tickTakeover admits it
 	}
 	if s.deadline != 0 && s.deadline <= c.now {
 		c.deadlineExceeded(s)
@@ -51,7 +52,7 @@
 	}
 }
 
-// queued describes a task to the scheduler.
+// schedulerTask returns the scheduler's description of a task.
 func (c *Core) schedulerTask(s *submission, i int) scheduler.Task {
 	spec := &s.specs[i]
 	return scheduler.Task{
@@ -60,7 +61,7 @@
 	}
 }
 
-// place starts queued tasks as long as there are credits.
+// placeTasks starts queued tasks while the scheduler has credits to place them.
 func (c *Core) placeTasks() {
 	for {
 		p, ok := c.queue.Next(c.now)
@@ -75,7 +76,7 @@
 			continue
 		}
 		if s == nil || s.state != submissionOpen || !step(taskChart, &s.tasks[i].state, eventPlace) {
-			// The task ended while it was queued, so the credit is still good.
+			// The task ended while it was queued, so the credit was not used.
 			c.queue.Refused(p.Sidecar, p.Task, encoder.RefusalCanceled)
 			c.queue.Grant(p.Sidecar, 1)
 			continue
@@ -103,7 +104,7 @@
 	})
 }
 
-// find returns the submission and the task index, or nil when the task is not known.
+// findTask returns the submission and the index of a task, or nil if the task is unknown.
 func (c *Core) findTask(k encoder.TaskKey) (*submission, int) {
 	s := c.submissions[k.Job]
 	if s == nil || int(k.Index) >= len(s.tasks) {
@@ -112,8 +113,8 @@
 	return s, int(k.Index)
 }
 
-// result handles the end of a task. A result counts for the task that is started on this very sidecar incarnation, or
-// for one that is queued here because an earlier owner started it.
+// handleResult handles the result of a task. It is accepted if the task was started on this sidecar incarnation, or if it is
+// queued here and a former owner started it.
 func (c *Core) handleResult(sc *sidecar, m *encoder.Result) {
 	c.addCredits(sc, m.Credits)
 	s, i := c.findTask(m.Task)
@@ -133,19 +134,19 @@
 	c.taskEnded(s, i, sc, m.Status, m.Body, m.Reason, m.Ran)
 }
 
-// taskEnded applies the end of a task. Later ends of the same task are refused by the chart and change nothing.
+// taskEnded applies the end of a task. The state chart refuses further ends of the same task, which have no effect.
 func (c *Core) taskEnded(s *submission, i int, sc *sidecar, status encoder.Status, body []byte, reason string,
 	ran timer.Millis,
 ) {
 	t := &s.tasks[i]
 	event := endEvent(status)
-	was := t.state
+	previous := t.state
 	if event == "" || !step(taskChart, &t.state, event) {
 		c.counters.Ignored++
 		return
 	}
 	c.reportTaskEnd(s, i, sc, status, ran)
-	if was != taskQueued {
+	if previous != taskQueued {
 		s.running--
 		c.queue.Finished(sc.hello.Member.ID, c.schedulerTask(s, i), status, ran)
 	}
@@ -177,7 +178,7 @@
 	}
 }
 
-// endEvent returns the chart's event for a final status, and "" for the others.
+// endEvent returns the event of the state chart for a final status, and "" for other statuses.
 func endEvent(status encoder.Status) string {
 	switch status {
 	case encoder.StatusDone:
@@ -190,7 +191,7 @@
 	return ""
 }
 
-// refused handles a refusal. It counts only for a task that is started on this sidecar.
+// handleRefusal handles a refused start. It is ignored unless the task was started on this sidecar.
 func (c *Core) handleRefusal(sc *sidecar, m *encoder.Refusal) {
 	c.addCredits(sc, m.Credits)
 	s, i := c.findTask(m.Task)
@@ -200,12 +201,12 @@
 	}
 	c.counters.Refused++
 	if m.Reason == encoder.RefusalDuplicate {
-		return // it was started there before; the sidecar sends the result
+		return // an earlier start was accepted, whose result the sidecar sends
 	}
 	c.requeue(s, i, sc, m.Reason, m.Epoch)
 }
 
-// requeue takes back a start that was definitely not made.
+// requeue queues a task again whose start was definitely not carried out.
 func (c *Core) requeue(s *submission, i int, sc *sidecar, reason encoder.RefusalReason, epoch uint64) {
 	t := &s.tasks[i]
 	if t.sidecar != sc || !step(taskChart, &t.state, eventRefuse) {
@@ -240,22 +241,22 @@
 }
 
 func (c *Core) requeueDelayed() {
-	waiting := c.delayedTasks[:0]
+	remaining := c.delayedTasks[:0]
 	for _, d := range c.delayedTasks {
 		switch {
 		case d.submission.state != submissionOpen || d.submission.tasks[d.index].state != taskQueued:
 		case d.dueAt > c.now || d.epoch > c.roster.Epoch:
-			waiting = append(waiting, d)
+			remaining = append(remaining, d)
 		default:
 			c.queue.Push(c.schedulerTask(d.submission, d.index))
 		}
 	}
-	clear(c.delayedTasks[len(waiting):])
-	c.delayedTasks = waiting
+	clear(c.delayedTasks[len(remaining):])
+	c.delayedTasks = remaining
 }
 
-// startUnsent takes back a start that did not leave the process. A start that was sent again stays in doubt, because
-// the first one may have arrived.
+// startNotSent requeues a task whose start did not leave the process. If the start was resent, the task becomes in doubt
+// instead, because the first start may have arrived.
 func (c *Core) startNotSent(id SessionID, m *encoder.Start) {
 	s, i := c.findTask(m.Task)
 	if s == nil || s.tasks[i].sidecar == nil || s.tasks[i].sidecar.session != id || s.tasks[i].state != taskStarted {
--- a/dispatcher/property_test.go
+++ b/dispatcher/property_test.go
@@ -14,7 +14,7 @@
 	"github.com/crocuslb/crocuslb/timer"
 )
 
-// A fixed seed makes runs repeatable; -rapid.seed tries others.
+// A fixed seed makes runs reproducible; the flag -rapid.seed overrides it.
 var _ = flag.Set("rapid.seed", "1")
 
 const (
@@ -22,8 +22,9 @@
 	simulationKeys  = 4
 )
 
-// TestOwnership guards the promises that hold whatever fails: no task starts twice, under one owner or two, every answer
-// is whole or failed, "not run" is true, and every caller is answered once the failures end.
+// TestOwnership guards the guarantees that hold under all failures: no task starts twice, under the same or different
+// owners; every answer is complete or failed; "not run" is true; and every caller is answered once the failures have
+// ended.
 func TestOwnership(t *testing.T) {
 	totals := map[string]int{}
 	rapid.Check(t, func(t *rapid.T) {
@@ -56,11 +57,11 @@
 	t.Log("answers:", totals)
 }
 
-// step draws one event.
+// step draws one random event and applies it.
 func (sm *simulation) step() {
-	nodes, fakes := sm.sortedEntries(), sm.sortedSidecars()
+	nodes, sidecars := sm.sortedEntries(), sm.sortedSidecars()
 	n := nodes[rapid.IntRange(0, len(nodes)-1).Draw(sm.t, "entry")]
-	s := fakes[rapid.IntRange(0, len(fakes)-1).Draw(sm.t, "sidecar")]
+	s := sidecars[rapid.IntRange(0, len(sidecars)-1).Draw(sm.t, "sidecar")]
 	switch rapid.IntRange(0, 31).Draw(sm.t, "event") {
 	case 0:
 		sm.logOutage = !sm.logOutage
@@ -113,8 +114,8 @@
 		}
 	case 20:
 		if n.alive && !n.paused {
-			out := rapid.IntRange(0, 3).Draw(sm.t, "withdraw") > 0
-			sm.publishDomainChange(n, out)
+			withdraw := rapid.IntRange(0, 3).Draw(sm.t, "withdraw") > 0
+			sm.publishDomainChange(n, withdraw)
 		}
 	default:
 		for _, l := range slices.Clone(sm.links) {
@@ -147,9 +148,9 @@
 	}
 }
 
-// publish withdraws the domain of the first sidecar or returns it.
-func (sm *simulation) publishDomainChange(n *simEntry, out bool) {
-	if out {
+// publishDomainChange withdraws the failure domain of the first sidecar, or returns it to service.
+func (sm *simulation) publishDomainChange(n *simEntry, withdraw bool) {
+	if withdraw {
 		n.core.Publish(sm.now, 1, []byte{1}, "s0", "ann")
 	} else {
 		n.core.Publish(sm.now, 1, []byte{0}, "", "ann")
@@ -157,7 +158,7 @@
 	sm.perform(n)
 }
 
-// heal ends all failures, lets provisional withdrawals be recorded, and returns the domain.
+// heal ends all failures, runs until provisional withdrawals are recorded, and returns the failure domain to service.
 func (sm *simulation) heal() {
 	sm.logOutage = false
 	clear(sm.separated)
@@ -177,7 +178,7 @@
 	sm.withdrawalAcceptedAt = 0
 }
 
-// settle lets everything run without failures for a number of steps of 10 ms.
+// runSteps runs the simulation without new failures for a number of steps of 10 ms.
 func (sm *simulation) runSteps(steps int) {
 	for range steps {
 		for len(sm.appends) > 0 {
@@ -191,7 +192,7 @@
 	}
 }
 
-// exchange delivers the messages that wait.
+// deliverAll delivers all queued messages.
 func (sm *simulation) deliverAll() {
 	for _, l := range slices.Clone(sm.links) {
 		sm.deliver(l, 0, 1<<20)
@@ -199,8 +200,8 @@
 	}
 }
 
-// TestFencing guards against two owners that start the same task: a former owner that was paused, and a majority without
-// the log that goes on while the minority with the log changes the roster.
+// TestFencing guards against two owners that start the same task, which may happen after a pause of the former owner, or if
+// a majority without the log continues while the minority with the log changes the roster.
 func TestFencing(t *testing.T) {
 	starts := 0
 	rapid.Check(t, func(t *rapid.T) {
@@ -237,7 +238,7 @@
 		for _, n := range sm.sortedEntries() {
 			n.paused = false
 		}
-		sm.deliverAll() // what waited for a paused entry arrives before it reads the log
+		sm.deliverAll() // messages queued for a paused entry arrive before it reads the log
 		sm.heal()
 		sm.runSteps(700)
 		starts += len(sm.startCounts)
@@ -245,8 +246,8 @@
 	t.Log("tasks started:", starts)
 }
 
-// TestWithdrawal guards the bound of 3 s between the acceptance of a withdrawal and the last start in the domain, while
-// entries are paused, cut off from the log or partitioned.
+// TestWithdrawal guards the bound of 3 s between the acceptance of a withdrawal and the last start in the failure domain,
+// while entries are paused, unable to reach the log, or partitioned.
 func TestWithdrawal(t *testing.T) {
 	accepted := 0
 	rapid.Check(t, func(t *rapid.T) {
--- a/dispatcher/request.go
+++ b/dispatcher/request.go
@@ -10,7 +10,7 @@
 	"github.com/crocuslb/crocuslb/encoder"
 )
 
-// Submit submits a job and waits for its answer. When ctx ends first the answer is that the job is running.
+// Submit submits a job and waits for its answer. If ctx is done first, the answer has the state running.
 func (e *Entry) Submit(ctx context.Context, job encoder.Job) encoder.Answer {
 	return e.request(ctx, eventSubmit, job)
 }
@@ -20,7 +20,7 @@
 	return e.request(ctx, eventGet, encoder.Job{Key: key})
 }
 
-// Cancel cancels a submission and returns its state after that. Tasks that run may end later.
+// Cancel cancels a submission and returns its state right after the cancellation. Running tasks may end later.
 func (e *Entry) Cancel(ctx context.Context, key string) encoder.Answer {
 	return e.request(ctx, eventCancel, encoder.Job{Key: key})
 }
@@ -44,7 +44,7 @@
 	}
 }
 
-// call runs a function on the control goroutine and waits for it.
+// runOnControlLoop calls a function on the control goroutine and waits for it to return.
 func (e *Entry) runOnControlLoop(ctx context.Context, run func()) error {
 	e.init()
 	done := make(chan struct{})
@@ -61,8 +61,8 @@
 	}
 }
 
-// Publish checks an operator's note, appends it to the log and waits until it is accepted. With dryRun it is only
-// checked against the present configuration.
+// Publish checks a configuration change, appends it to the log and waits until it is accepted. With dryRun, the change is
+// only checked against the current configuration.
 func (e *Entry) Publish(ctx context.Context, n configurer.Note, dryRun bool) (Publication, error) {
 	return e.publish(ctx, func() (configurer.Note, string) { return n, "" }, dryRun)
 }
@@ -72,7 +72,7 @@
 	return e.publish(ctx, func() (configurer.Note, string) { return e.domainNote(domain, author, false), domain }, false)
 }
 
-// Return puts a failure domain back into service. A withdrawal that is not recorded yet has to be recorded first.
+// Return returns a failure domain to service. It is refused while the withdrawal is not recorded in the log yet.
 func (e *Entry) Return(ctx context.Context, domain, author string) (Publication, error) {
 	var provisional bool
 	if err := e.runOnControlLoop(ctx, func() { _, provisional = e.core.domainState.provisional[domain] }); err != nil {
@@ -86,7 +86,7 @@
 	return e.publish(ctx, func() (configurer.Note, string) { return e.domainNote(domain, author, true), "" }, false)
 }
 
-// publish builds the note on the control goroutine, so that it fits the configuration that it is checked against.
+// publish builds the change on the control goroutine, so that it is based on the configuration that it is checked against.
 func (e *Entry) publish(ctx context.Context, build func() (configurer.Note, string), dryRun bool) (Publication, error) {
 	id := e.lastRequest.Add(1)
 	done := make(chan Publication, 1)
@@ -96,7 +96,9 @@
 			n.ID = appender.NewID()
 		}
 		if len(n.Added)+len(n.Changed)+len(n.Withdrawn) == 0 && (domain != "" || !dryRun) && n.Comment == domainChangeComment {
-			done <- Publication{Offset: e.configuration.Offset(), State: PublicationAccepted, Lagging: e.core.lagging(e.configuration.Offset())}
+			done <- Publication{
+				Offset: e.configuration.Offset(), State: PublicationAccepted, Lagging: e.core.lagging(e.configuration.Offset()),
+			}
 			return
 		}
 		if findings := configurer.Check(e.configuration, n); len(findings) > 0 || dryRun {
@@ -124,7 +126,7 @@
 	}
 }
 
-// commentDomain marks notes that change the state of a failure domain.
+// domainChangeComment is the comment of changes that withdraw or return a failure domain.
 const domainChangeComment = "failure domain"
 
 func (e *Entry) domainNote(domain, author string, inForce bool) configurer.Note {
@@ -146,7 +148,7 @@
 	return configurer.AppendNote(nil, n)
 }
 
-// History returns the last operators' changes that this entry read from the log, the newest first.
+// History returns the latest configuration changes that this entry read from the log, newest first.
 func (e *Entry) History(ctx context.Context, limit int) ([]Change, error) {
 	var list []Change
 	err := e.runOnControlLoop(ctx, func() {
@@ -157,8 +159,8 @@
 	return list, err
 }
 
-// Drain refuses new submissions, hands over those that the entry owns, leaves the roster, and waits until no caller
-// waits here or ctx ends.
+// Drain refuses new submissions, leaves the roster, hands over the submissions that the entry owns, and returns when no
+// caller is waiting at this entry. It returns an error if ctx is done first.
 func (e *Entry) Drain(ctx context.Context) error {
 	done := make(chan struct{})
 	err := e.runOnControlLoop(ctx, func() {
--- a/dispatcher/roster.go
+++ b/dispatcher/roster.go
@@ -6,7 +6,8 @@
 	"github.com/crocuslb/crocuslb/timer"
 )
 
-// RosterRecord folds a record of the roster stream. Until the first confirmation of the stream the records are history.
+// RosterRecord folds a record of the roster stream. The result is adopted only after the stream was first confirmed,
+// because earlier records are history.
 func (c *Core) RosterRecord(now timer.Millis, offset uint64, change elector.Change) {
 	c.now = now
 	if offset < c.foldedRoster.Epoch {
@@ -14,7 +15,7 @@
 	}
 	next, err := elector.Apply(c.foldedRoster, offset, change)
 	if err != nil {
-		return // every reader refuses the same record
+		return // every reader rejects the same record
 	}
 	c.foldedRoster = next
 	if change.Kind == elector.ChangeLeave {
@@ -26,7 +27,7 @@
 	}
 }
 
-// RosterGap takes the roster after records of the stream were missed.
+// RosterGap sets the roster after records of the stream were missed.
 func (c *Core) RosterGap(now timer.Millis, r encoder.Roster) {
 	c.now = now
 	if r.Epoch <= c.foldedRoster.Epoch {
@@ -38,7 +39,7 @@
 	c.foldedRoster = r
 }
 
-// adopt makes r the roster that the entry works under.
+// adopt makes r the roster that the entry acts on, and starts the takeover of the keys that it gains.
 func (c *Core) adopt(r encoder.Roster) {
 	if r.Epoch <= c.roster.Epoch {
 		return
@@ -67,7 +68,8 @@
 	c.placeTasks()
 }
 
-// renew gives the entry a new incarnation after it was removed. All sessions start anew, so that every process sees it.
+// startNewIncarnation gives the entry a new incarnation after its removal from the roster. It closes all sessions, so that
+// every peer and sidecar learns the new incarnation from the next Hello.
 func (c *Core) startNewIncarnation(incarnation uint64) {
 	c.self.Incarnation = incarnation
 	c.leftVoluntarily = false
@@ -78,7 +80,7 @@
 	}
 }
 
-// meetPeers asks for connections to the members of the roster and ends those to former members.
+// updatePeerConnections opens connections to new members of the roster and closes those to former members.
 func (c *Core) updatePeerConnections(prev encoder.Roster) {
 	for _, e := range prev.Entries {
 		if current, ok := elector.Find(c.roster, e.Member.ID); !ok || current.Address != e.Address {
@@ -98,7 +100,7 @@
 	}
 }
 
-// tickRoster joins the roster as long as the entry is not in it, and leaves it when the entry drains.
+// tickRoster appends a join record while the entry is not in the roster, or a leave record while it is draining.
 func (c *Core) tickRoster() {
 	if c.joined != c.draining || c.confirmations[StreamRoster] == 0 || !c.logReachable() {
 		return
@@ -120,8 +122,8 @@
 	}))
 }
 
-// Drain stops the acceptance of new submissions and asks to leave the roster. Submissions move to their next owners
-// when the leave is in the log.
+// Drain refuses new submissions and starts leaving the roster. Submissions move to their next owners once the leave record
+// is in the log.
 func (c *Core) Drain(now timer.Millis) {
 	c.now = now
 	if c.draining {
@@ -131,7 +133,7 @@
 	c.tickRoster()
 }
 
-// Idle reports whether no caller waits at this entry and it owns no submission.
+// Idle reports whether no caller is waiting at this entry and it owns no submission.
 func (c *Core) Idle() bool {
 	for _, f := range c.forwards {
 		if f.waiter != (waiter{}) {
--- a/dispatcher/settings.go
+++ b/dispatcher/settings.go
@@ -20,45 +20,46 @@
 	maxProvisional  = 64
 	maxEffectBuffer = 4096
 
-	// logSilence is the age of the last confirmation from which on the entry reports the log as unreachable. It is
-	// several confirmation periods, so that one slow read is no outage, and half of the lease.
+	// logTimeout is the age of the last confirmation above which the entry reports the log as unreachable. It is several
+	// confirmation intervals, so that a single slow read does not count as an outage, and half of the lease.
 	logTimeout = timer.Second
 
-	// redialAfter and silentAfter bound the detection of a dead peer: a new connection is tried after a missed
-	// heartbeat, and the peer is held for dead 0.3 s beyond its heartbeat.
+	// reconnectTimeout and peerTimeout bound the detection of a failed peer: a new connection is opened after a missed
+	// heartbeat, and the peer counts as failed 0.3 s after its heartbeat was due.
 	reconnectTimeout = 200 * timer.Millisecond
 	peerTimeout      = heartbeatInterval + 300*timer.Millisecond
 
-	// ownPause is the time between two ticks from which on the entry itself was paused.
+	// pauseThreshold is the time between two ticks above which the entry itself counts as having been paused.
 	pauseThreshold = 200 * timer.Millisecond
 
-	// lostWait is how long after its last sign of life a sidecar delays takeovers. Beyond it no entry has a session
-	// to the sidecar, so its lease has expired.
+	// lostSidecarWait is the time after the last contact during which an unreachable sidecar delays takeovers. After it no
+	// entry has a session to the sidecar, so its lease has expired.
 	lostSidecarWait = timer.Minute
 )
 
 type (
-	// Settings are fixed while the process runs. Zero fields take the default values.
+	// Settings are constant while the process runs. Zero fields are set to their defaults.
 	Settings struct {
 		Member         encoder.Member
 		Address        string       // advertised address of the QUIC listener
 		Domain         string       // failure domain of the entry
-		KeyRetention   timer.Millis // how long answers are kept; 0 means 10 minutes
-		KeptAnswers    int          // bound on kept answers; 0 means 200,000
-		KeptBytes      int          // bound on bytes of kept answers; 0 means 64 MB
-		MaxKeys        int          // bound on known submission keys; 0 means 4,000,000
-		MaxJobs        int          // bound on submissions in flight; 0 means 100,000
-		MaxTasks       int          // bound on tasks of a job; 0 means 1,000
-		MaxKey         int          // bound on the length of a key; 0 means 200
-		SidecarTimeout timer.Millis // silence after which a sidecar is gone; 0 means 10 s
-		RunLimit       timer.Millis // longest run time of a task; 0 means 5 minutes
-		MaxAttempts    uint32       // starts of one task that may be refused; 0 means 1,000
+		KeyRetention   timer.Millis // retention of answers and keys; 0 means 10 minutes
+		KeptAnswers    int          // maximum number of cached answers; 0 means 200,000
+		KeptBytes      int          // maximum size of the cached answers in bytes; 0 means 64 MB
+		MaxKeys        int          // maximum number of known submission keys; 0 means 4,000,000
+		MaxJobs        int          // maximum number of submissions in flight; 0 means 100,000
+		MaxTasks       int          // maximum number of tasks of a job; 0 means 1,000
+		MaxKey         int          // maximum length of a key in bytes; 0 means 200
+		SidecarTimeout timer.Millis // time without a session after which a sidecar counts as lost; 0 means 10 s
+		RunLimit       timer.Millis // maximum run time of a task; 0 means 5 minutes
+		MaxAttempts    uint32       // maximum number of refused starts of a task; 0 means 1,000
 
-		// WithdrawRecord returns the configuration record that withdraws a domain, for the present configuration. The
-		// author is "" when another entry took the operator's request.
+		// WithdrawRecord returns the configuration record that withdraws a domain, based on the current configuration.
+		// author is "" if another entry received the operator's request.
 		WithdrawRecord func(domain, author string) []byte
 
-		// OnTask is called for each ended task of an own submission that is not answered yet. It must not block. May be nil.
+		// OnTask is called for each ended task of a submission that this entry owns and has not answered yet. It must not
+		// block. It may be nil.
 		OnTask func(TaskReport)
 	}
 )
--- a/dispatcher/sidecar.go
+++ b/dispatcher/sidecar.go
@@ -6,21 +6,22 @@
 	"github.com/crocuslb/crocuslb/timer"
 )
 
-// sidecar is one incarnation of a sidecar that has or had a session to this entry.
+// sidecar is an incarnation of a sidecar that has or had a session to this entry.
 type sidecar struct {
 	hello          encoder.Hello
 	session        SessionID    // 0 while there is none
 	disconnectedAt timer.Millis // when the session ended
 	leaving        bool
 	running        uint32
-	credits        uint32 // as granted, spent and given back; the scheduler decides with its own count
-	censusEpoch    uint64 // epoch of the last census that was sent on the session
+	credits        uint32 // granted minus spent and returned, for the status; the scheduler has its own count
+	censusEpoch    uint64 // epoch of the last census sent on the session
 	reportedDemand int
-	configOffset   uint64                   // configuration offset of the last pong
-	submissions    map[*submission]struct{} // those with a task that was placed here, until they end
+	configOffset   uint64                   // configuration offset in the last pong sent
+	submissions    map[*submission]struct{} // submissions with a task placed on this sidecar, until they end
 }
 
-// hold notes that a task of s was placed on the sidecar, so that the loss of a sidecar needs no search in all jobs.
+// addSubmission records that a task of s was placed on the sidecar. Because of this index, the loss of a sidecar needs no
+// search through all submissions.
 func (sc *sidecar) addSubmission(s *submission) {
 	if _, ok := sc.submissions[s]; !ok {
 		sc.submissions[s] = struct{}{}
@@ -28,7 +29,7 @@
 	}
 }
 
-// release drops s from the lists of its sidecars.
+// detachSidecars removes s from the submissions of its sidecars.
 func (s *submission) detachSidecars() {
 	for _, sc := range s.sidecars {
 		delete(sc.submissions, s)
@@ -36,7 +37,7 @@
 	s.sidecars = nil
 }
 
-// Announce notes a sidecar whose session is about to be accepted.
+// RegisterSidecar records a sidecar whose session is about to be accepted, so that the next takeover takes it into account.
 func (c *Core) RegisterSidecar(now timer.Millis, m encoder.Member) {
 	c.now = now
 	c.takeover.sidecarSeen(m, now)
@@ -52,8 +53,8 @@
 		c.sidecarLost(sc)
 		sc = nil
 	case sc != nil && sc.session != 0:
-		// Messages of the replaced session no longer count: a late refusal would look like the answer to a start
-		// that was sent again on the new session.
+		// Messages of the replaced session are ignored from now on: a late refusal would be taken for the answer to a
+		// start that was resent on the new session.
 		delete(c.sessions, sc.session)
 		c.effects = append(c.effects, Effect{Kind: EffectCloseSession, Session: sc.session})
 		c.queue.RemoveSidecar(h.Member.ID)
@@ -76,7 +77,7 @@
 	c.resendStarts(sc)
 }
 
-// startAgain repeats the starts whose outcome is open. The sidecar's table of started tasks makes that safe.
+// resendStarts repeats the starts whose outcome is not known. The sidecar's started-task table makes this idempotent.
 func (c *Core) resendStarts(sc *sidecar) {
 	for s := range sc.submissions {
 		for i := range s.tasks {
@@ -108,7 +109,8 @@
 	}
 }
 
-// sidecarGone ends the tasks of a sidecar that cannot answer any more. They are never placed again.
+// sidecarLost ends the tasks of a sidecar that cannot send results any more with the status unknown. They are never placed
+// again.
 func (c *Core) sidecarLost(sc *sidecar) {
 	c.lostSidecars[sc.hello.Member] = c.now
 	if c.sidecars[sc.hello.Member.ID] == sc {
@@ -168,10 +170,10 @@
 	case *encoder.Grant:
 		c.addCredits(sc, m.Credits)
 	case *encoder.Recall:
-		// The sidecar asks again only after an answer, so it gets one even when nothing is left to give back.
-		taken := c.queue.Recall(sc.hello.Member.ID, m.Credits)
-		sc.credits -= min(taken, sc.credits)
-		c.send(sc.session, &encoder.Release{Credits: taken})
+		// The sidecar sends no further Recall before it has an answer, so it gets one even if no credits are returned.
+		returned := c.queue.Recall(sc.hello.Member.ID, m.Credits)
+		sc.credits -= min(returned, sc.credits)
+		c.send(sc.session, &encoder.Release{Credits: returned})
 	case *encoder.CensusReply:
 		c.handleCensusReply(sc, m)
 	case *encoder.Leaving:
@@ -195,7 +197,8 @@
 	}
 }
 
-// tellDemand reports the length of the queue to the sidecars when it changed from or to empty, or doubled.
+// sendDemand reports the length of the queue to the sidecars when it has become empty or non-empty, or more than doubled
+// since the last report.
 func (c *Core) sendDemand() {
 	queued := c.queue.Queued()
 	if queued == 0 && c.totalReportedDemand == 0 {
--- a/dispatcher/simulation_log_test.go
+++ b/dispatcher/simulation_log_test.go
@@ -6,23 +6,24 @@
 	"github.com/crocuslb/crocuslb/elector"
 )
 
-// resolve ends an append: it takes effect or not, and the entry learns so or not.
+// completeAppend completes a pending append: the record is written or not, and the entry receives the outcome or, if lost is
+// set, does not.
 func (sm *simulation) completeAppend(i int, lost bool) {
 	p := sm.appends[i]
 	sm.appends = slices.Delete(sm.appends, i, i+1)
 	var offset uint64
-	cut := sm.logOutage || p.entry.logUnreachable
+	failed := sm.logOutage || p.entry.logUnreachable
 	var r logRecord
 	switch p.effect.Stream {
 	case StreamRoster:
 		r.change, _ = elector.DecodeChange(p.effect.Body)
-		cut = cut || r.change.Kind == elector.ChangeRemove && !sm.evidenceRemainsWithout(r.change.Entry.Member.ID)
+		failed = failed || r.change.Kind == elector.ChangeRemove && !sm.evidenceRemainsWithout(r.change.Entry.Member.ID)
 	case StreamClaims:
 		r.claims, _ = elector.DecodeClaims(p.effect.Body)
 	case StreamConfiguration:
 		r.withdrawn = p.effect.Body[0] == 1
 	}
-	if !cut {
+	if !failed {
 		if p.effect.Stream == StreamConfiguration {
 			sm.withdrawalAcceptedAt = 0
 		}
@@ -31,12 +32,12 @@
 		sm.logf("%s record %d of %s: %+v", p.effect.Stream, offset, p.entry.id, r)
 	}
 	if p.entry.core == p.core && p.entry.alive {
-		p.core.AppendDone(sm.now, p.effect.Tag, offset, !cut && !lost, lost)
+		p.core.AppendDone(sm.now, p.effect.Tag, offset, !failed && !lost, lost)
 		sm.perform(p.entry)
 	}
 }
 
-// readLog brings an entry up to the head of the log.
+// readLog lets an entry read all streams up to the head of the log.
 func (sm *simulation) readLog(n *simEntry) {
 	if sm.logOutage || n.logUnreachable {
 		return
--- a/dispatcher/simulation_test.go
+++ b/dispatcher/simulation_test.go
@@ -14,11 +14,11 @@
 	"github.com/crocuslb/crocuslb/timer"
 )
 
-// withdrawalBound is the requirement for the last start after a withdrawal was accepted.
+// maxStartAfterWithdrawal is the required bound between the acceptance of a withdrawal and the last start in the domain.
 const maxStartAfterWithdrawal = 3 * timer.Second
 
 type (
-	// world holds entry cores, fake sidecars and a log in virtual time. rapid draws what happens next.
+	// simulation runs entry cores, sidecar cores and a log in virtual time. rapid draws the events.
 	simulation struct {
 		t                    *rapid.T
 		now                  timer.Millis
@@ -29,11 +29,11 @@
 		log                  map[string][]logRecord
 		appends              []*pendingAppend
 		logOutage            bool
-		separated            map[string]bool // processes on the far side of a partition
+		separated            map[string]bool // processes on the other side of the partition
 		startCounts          map[encoder.TaskKey]int
 		jobs                 map[string]*simJob
 		lastRequest          uint64
-		withdrawalAcceptedAt timer.Millis // when the withdrawal of the first sidecar's domain was accepted; 0 while it is in force
+		withdrawalAcceptedAt timer.Millis // acceptance of the withdrawal of the first sidecar's domain; 0 while in force
 		pendingRequests      map[uint64]string
 		outcomeCounts        map[string]int
 	}
@@ -43,34 +43,34 @@
 		core           *Core
 		alive          bool
 		paused         bool
-		logUnreachable bool // the log cannot be reached from here
+		logUnreachable bool
 		incarnation    uint64
 		dialed         map[string]bool
 		nextOffset     map[string]int
 	}
 
-	// fake is a sidecar's core with a backend server whose runs end when the test says so.
+	// simSidecar is a sidecar core with a simulated backend server, whose tasks end when the test calls finishTask.
 	simSidecar struct {
 		id          string
 		incarnation uint64
 		alive       bool
 		core        *starter.Core
-		started     map[encoder.TaskKey]bool // the started tasks; true while they run
+		started     map[encoder.TaskKey]bool // started tasks; true while running
 	}
 
-	// link is a session. Messages wait in order, per direction; the first end is the dialing one.
+	// simLink is a session with a FIFO queue of messages per direction. The first endpoint is the dialing one.
 	simLink struct {
 		id          SessionID
 		endpoints   [2]string
 		queues      [2][]encoder.Message
-		silentSince timer.Millis // when it went silent; 0 for never
+		silentSince timer.Millis // when it began to drop messages; 0 if it does not
 		closed      bool
 	}
 
 	logRecord struct {
 		change    elector.Change
 		claims    elector.Claims
-		withdrawn bool // configuration: the domain of the first sidecar is withdrawn
+		withdrawn bool // configuration only: the domain of the first sidecar is withdrawn
 	}
 
 	pendingAppend struct {
@@ -82,7 +82,7 @@
 	simJob struct {
 		job             encoder.Job
 		pendingRequests int
-		lastNotRun      bool // the last answer said "not run"
+		lastNotRun      bool // the outcome of the last answer was "not run"
 		startedBy       encoder.Member
 	}
 )
@@ -90,8 +90,9 @@
 func newSimulation(t *rapid.T, entries, sidecars int) *simulation {
 	sm := &simulation{
 		t: t, now: timer.Minute, entries: map[string]*simEntry{}, sidecars: map[string]*simSidecar{}, log: map[string][]logRecord{},
-		startCounts: map[encoder.TaskKey]int{}, jobs: map[string]*simJob{}, pendingRequests: map[uint64]string{}, outcomeCounts: map[string]int{},
-		separated: map[string]bool{},
+		startCounts: map[encoder.TaskKey]int{}, jobs: map[string]*simJob{}, pendingRequests: map[uint64]string{},
+		outcomeCounts: map[string]int{},
+		separated:     map[string]bool{},
 	}
 	for i := range entries {
 		sm.entries["e"+strconv.Itoa(i)] = &simEntry{id: "e" + strconv.Itoa(i)}
@@ -108,7 +109,7 @@
 	return sm
 }
 
-// nodes and fakes return the processes in a fixed order, so that a seed always gives the same run.
+// sortedEntries and sortedSidecars return the processes in a fixed order, so that a seed always gives the same run.
 func (sm *simulation) sortedEntries() []*simEntry {
 	var list []*simEntry
 	for _, id := range slices.Sorted(maps.Keys(sm.entries)) {
@@ -175,7 +176,7 @@
 	}
 }
 
-// connect opens the sessions that are wanted and not there.
+// openMissingLinks opens the sessions that should exist and do not.
 func (sm *simulation) openMissingLinks() {
 	for _, n := range sm.sortedEntries() {
 		for _, to := range slices.Sorted(maps.Keys(n.dialed)) {
@@ -199,13 +200,13 @@
 	}
 }
 
-// reaches reports whether a session between the two can and should be opened.
+// canOpenLink reports whether two processes are on the same side of the partition and have no session yet.
 func (sm *simulation) canOpenLink(from, to string) bool {
 	return sm.separated[from] == sm.separated[to] &&
 		!slices.ContainsFunc(sm.links, func(l *simLink) bool { return !l.closed && l.endpoints == [2]string{from, to} })
 }
 
-// part puts a process on the other side of the partition when that spares a trace of every start.
+// tryMoveAcrossPartition moves a process to the other side of the partition if evidence of every start remains.
 func (sm *simulation) tryMoveAcrossPartition(id string) {
 	sm.separated[id] = !sm.separated[id]
 	ok := sm.evidenceRemainsWithout(id)
@@ -215,7 +216,7 @@
 	}
 }
 
-// cross puts a process on the other side of the partition. Sessions across it go silent.
+// moveAcrossPartition moves a process to the other side of the partition. Sessions across the partition become silent.
 func (sm *simulation) moveAcrossPartition(id string) {
 	sm.logf("%s is moved across the partition", id)
 	sm.separated[id] = !sm.separated[id]
@@ -239,7 +240,7 @@
 	}
 }
 
-// perform carries out the effects of a core.
+// perform carries out the effects of an entry's core.
 func (sm *simulation) perform(n *simEntry) {
 	for _, p := range n.core.TakePublished() {
 		log := sm.log[StreamConfiguration]
@@ -286,7 +287,7 @@
 	return nil
 }
 
-// deliver hands over the first messages of a direction.
+// deliver delivers up to count queued messages of one direction.
 func (sm *simulation) deliver(l *simLink, from, count int) {
 	to := l.endpoints[1-from]
 	n, s := sm.entries[to], sm.sidecars[to]
@@ -305,7 +306,8 @@
 	}
 }
 
-// performSidecar carries out the effects of a sidecar's core. It checks that no task starts twice.
+// performSidecar carries out the effects of a sidecar's core. It checks that no task starts twice, after the answer "not
+// run", or too long after a withdrawal.
 func (sm *simulation) performSidecar(s *simSidecar, effects []starter.Effect) {
 	for _, f := range slices.Clone(effects) {
 		switch l := sm.findLink(SessionID(f.Session)); f.Kind {
@@ -340,10 +342,10 @@
 
 func expectedResult(k encoder.TaskKey) []byte { return fmt.Appendf(nil, "%s/%d", k.Job, k.Index) }
 
-// spared reports whether a trace of every started task is left without the given process: in the table of a sidecar that
-// every entry can reach, in the claims, or at a member of the roster that runs. The promise that no task starts twice
-// ends where all are lost.
-func (sm *simulation) evidenceRemainsWithout(without string) bool {
+// evidenceRemainsWithout reports whether evidence of every started task remains without the given process: in the
+// started-task table of a sidecar that every entry can reach, in the claims, or at a running member of the roster. Once all
+// of these are lost, the guarantee that no task starts twice does not hold.
+func (sm *simulation) evidenceRemainsWithout(excluded string) bool {
 	known := map[string]bool{}
 	for _, r := range sm.log[StreamClaims] {
 		for _, key := range r.claims.Keys {
@@ -356,7 +358,7 @@
 	}
 	for _, n := range sm.entries {
 		listed, _ := elector.Find(roster, n.id)
-		if !n.alive || n.paused || n.id == without || listed.Member != n.core.Self() {
+		if !n.alive || n.paused || n.id == excluded || listed.Member != n.core.Self() {
 			continue
 		}
 		for key, c := range sm.jobs {
@@ -367,20 +369,22 @@
 		}
 	}
 	for task, count := range sm.startCounts {
-		held := known[task.Job] || count == 0
+		remains := known[task.Job] || count == 0
 		for _, s := range sm.sidecars {
-			apart := slices.ContainsFunc(sm.sortedEntries(), func(n *simEntry) bool { return sm.separated[n.id] != sm.separated[s.id] })
+			separated := slices.ContainsFunc(sm.sortedEntries(), func(n *simEntry) bool {
+				return sm.separated[n.id] != sm.separated[s.id]
+			})
 			_, ran := s.started[task]
-			held = held || s.alive && !apart && s.id != without && ran
+			remains = remains || s.alive && !separated && s.id != excluded && ran
 		}
-		if !held {
+		if !remains {
 			return false
 		}
 	}
 	return true
 }
 
-// finish ends a running task.
+// finishTask ends a running task with the given status.
 func (sm *simulation) finishTask(s *simSidecar, task encoder.TaskKey, status encoder.Status) {
 	s.started[task] = false
 	if status == encoder.StatusNotStarted {
@@ -400,11 +404,11 @@
 	sm.perform(n)
 }
 
-// answered checks that an answer is whole or failed and that "not run" is true.
+// checkAnswer checks that an answer is complete or failed, and that "not run" is true.
 func (sm *simulation) checkAnswer(request uint64, a encoder.Answer) {
 	key, ok := sm.pendingRequests[request]
 	if !ok {
-		sm.t.Fatalf("answer to request %d, which has one or never was", request)
+		sm.t.Fatalf("answer to request %d, which was already answered or never sent", request)
 	}
 	delete(sm.pendingRequests, request)
 	sm.logf("answer to request %d: %+v", request, a)
@@ -432,11 +436,11 @@
 	case len(a.Results) > 0:
 		sm.t.Fatalf("failed answer with results: %+v", a)
 	case a.Outcome == encoder.OutcomeNotRun && ran > 0:
-		sm.t.Fatalf("%q is said not to have run (code %d, %s), but %d tasks started", key, a.Code, a.Reason, ran)
+		sm.t.Fatalf("%q was answered \"not run\" (code %d, %s), but %d tasks started", key, a.Code, a.Reason, ran)
 	}
 }
 
-// pass lets time pass. Processes that are not paused do what time brings about.
+// advance advances the virtual time, and runs the ticks of all processes that are not paused.
 func (sm *simulation) advance(d timer.Millis) {
 	sm.now += d
 	for _, l := range sm.links {
--- a/dispatcher/status.go
+++ b/dispatcher/status.go
@@ -10,7 +10,7 @@
 )
 
 type (
-	// Status is the state of an entry at a point in time.
+	// Status is a snapshot of the state of an entry.
 	Status struct {
 		Entry        encoder.Member
 		Joined       bool
@@ -26,9 +26,9 @@
 		Jobs         int
 		Kept         int
 		KeptBytes    int
-		Lagging      int // processes that are not known to have the configuration
+		Lagging      int // processes that have not reported the configuration
 		Counters     Counters
-		Sent         MessageCounts // to sidecars and entries, without the handshake of sessions
+		Sent         MessageCounts // to sidecars and entries, without session handshakes
 		Received     MessageCounts // from sidecars
 	}
 
@@ -43,7 +43,7 @@
 		ConfigOffset uint64
 		Connected    bool
 		Leaving      bool
-		Silence      timer.Millis // since the session ended
+		Silence      timer.Millis // time since the session ended; 0 while connected
 	}
 
 	// DomainStatus describes a failure domain.
@@ -55,7 +55,7 @@
 	}
 )
 
-// Status returns the state of the entry. It is zero when ctx ends first.
+// Status returns the state of the entry. It is zero if ctx is done first or the entry has stopped.
 func (e *Entry) Status(ctx context.Context) Status {
 	var s Status
 	_ = e.runOnControlLoop(ctx, func() {
@@ -65,26 +65,26 @@
 	return s
 }
 
-// Status returns the core's state.
+// Status returns the state of the core.
 func (c *Core) Status(now timer.Millis) Status {
 	c.now = now
 	s := Status{
 		Entry: c.self, Joined: c.joined, Draining: c.draining, LogReachable: c.logReachable(), Attests: c.attestsLogOutage(),
 		Takeover: c.takeover.state, Roster: c.roster, ConfigOffset: c.domainState.offset, Queued: c.queue.Queued(),
-		Jobs: len(c.submissions), Kept: len(c.answerCache.byKey), KeptBytes: c.answerCache.bytes, Lagging: c.lagging(c.domainState.offset),
-		Counters: c.counters, Received: c.receivedCounts,
+		Jobs: len(c.submissions), Kept: len(c.answerCache.byKey), KeptBytes: c.answerCache.bytes,
+		Lagging: c.lagging(c.domainState.offset), Counters: c.counters, Received: c.receivedCounts,
 	}
 	domains := map[string]int{}
 	for _, sc := range c.sidecars {
 		h := sc.hello
-		one := SidecarStatus{
+		status := SidecarStatus{
 			Member: h.Member, Domain: h.Domain, Worker: h.Worker, Slots: h.Slots, Running: sc.running,
 			Credits: sc.credits, ConfigOffset: sc.configOffset, Connected: sc.session != 0, Leaving: sc.leaving,
 		}
 		if sc.session == 0 {
-			one.Silence = now - sc.disconnectedAt
+			status.Silence = now - sc.disconnectedAt
 		}
-		s.Sidecars = append(s.Sidecars, one)
+		s.Sidecars = append(s.Sidecars, status)
 		domains[h.Domain]++
 	}
 	for name := range c.domainState.provisional {
@@ -99,7 +99,7 @@
 	return s
 }
 
-// Sum returns the number of messages of all types.
+// Sum returns the total number of messages.
 func (n *MessageCounts) Sum() uint64 {
 	var sum uint64
 	for _, k := range n {
--- a/dispatcher/submission.go
+++ b/dispatcher/submission.go
@@ -10,7 +10,7 @@
 )
 
 type (
-	// submission is one job at its owner.
+	// submission is the state of a job at its owner.
 	submission struct {
 		key, team      string
 		digest         uint64
@@ -18,20 +18,20 @@
 		tasks          []task
 		specs          []encoder.JobTask
 		waiters        []waiter
-		sidecars       []*sidecar // that hold it
+		sidecars       []*sidecar // sidecars on which tasks were placed
 		arrivedAt      timer.Millis
-		firstSeen      timer.Millis // since when the submission exists; 0 when it may be older than its arrival here
-		deadline       timer.Millis // 0 for none
+		firstSeen      timer.Millis // earliest time at which the submission can have existed; 0 if unknown
+		deadline       timer.Millis // 0 means none
 		lastStart      timer.Millis
 		movedAt        timer.Millis
-		unfinished     uint32 // tasks that have not ended
-		running        uint32 // tasks that are started or in doubt
+		unfinished     uint32 // number of tasks that have not ended
+		running        uint32 // number of tasks that are started or in doubt
 		anyRan         bool   // a task ended as done or failed
 		anyUnknown     bool   // a task ended as unknown
 		once           bool
 		claimed        bool
 		ownedElsewhere bool // another entry may have owned the submission since it arrived here
-		receivedHere   bool // the caller's request arrived at this entry
+		receivedHere   bool // the caller sent the request to this entry
 		code           encoder.FailureCode
 		reason         string
 	}
@@ -41,10 +41,11 @@
 		sidecar  *sidecar
 		body     []byte
 		attempts uint32
-		resent   bool // the start was sent more than once to the sidecar
+		resent   bool // the start was sent to the sidecar more than once
 	}
 
-	// waiter is a caller that waits for an answer: a local request, or a forwarded one of a peer's session.
+	// waiter identifies a caller that waits for an answer: a request to this entry, or one that a peer forwarded on a
+	// session.
 	waiter struct {
 		request uint64
 		session SessionID
@@ -54,7 +55,7 @@
 	deadlineHeap []*submission
 )
 
-// Submit handles a caller's job. The answer comes as an effect when the submission has ended.
+// Submit handles the submission of a job. The answer follows as an EffectAnswer when the submission has ended.
 func (c *Core) Submit(now timer.Millis, request uint64, job encoder.Job) {
 	c.now = now
 	c.counters.Submitted++
@@ -62,19 +63,19 @@
 	c.placeTasks()
 }
 
-// Get handles a caller's question for the state of a submission.
+// Get handles a request for the state of a submission.
 func (c *Core) Get(now timer.Millis, request uint64, key string) {
 	c.now = now
 	c.route(waiter{request: request}, encoder.RequestGet, encoder.Job{Key: key}, 0)
 }
 
-// Cancel handles a caller's cancellation. The answer is the state of the submission right after it.
+// Cancel handles the cancellation of a submission. The answer is the state right after the cancellation.
 func (c *Core) Cancel(now timer.Millis, request uint64, key string) {
 	c.now = now
 	c.route(waiter{request: request}, encoder.RequestCancel, encoder.Job{Key: key}, 0)
 }
 
-// route serves the request when this entry owns the key, and forwards it to the owner otherwise.
+// route serves a request if this entry owns the key, and forwards it to the owner otherwise.
 func (c *Core) route(w waiter, r encoder.Request, job encoder.Job, hops uint32) {
 	if reason := c.validate(r, job); reason != "" {
 		c.answer(w, failedAnswer(job.Key, encoder.CodeInvalid, encoder.OutcomeNotRun, reason))
@@ -136,7 +137,8 @@
 	s := &submission{
 		key: job.Key, team: job.Team, digest: digest, state: submissionChart.Start(),
 		tasks: make([]task, len(job.Tasks)), specs: job.Tasks, waiters: []waiter{w},
-		arrivedAt: c.now, firstSeen: c.firstSeen(job.Key), unfinished: uint32(len(job.Tasks)), once: job.Once, receivedHere: w.session == 0,
+		arrivedAt: c.now, firstSeen: c.firstSeen(job.Key), unfinished: uint32(len(job.Tasks)), once: job.Once,
+		receivedHere: w.session == 0,
 	}
 	for i := range s.tasks {
 		s.tasks[i].state = taskChart.Start()
@@ -152,7 +154,8 @@
 	c.admit(s)
 }
 
-// resubmit attaches another caller to a submission that is not answered yet.
+// addWaiter attaches another caller to a submission that is not answered yet. A submission whose key has returned to this
+// entry is admitted again.
 func (c *Core) addWaiter(s *submission, w waiter, digest uint64) {
 	if s.digest != digest {
 		c.answer(w, conflictAnswer(s.key))
@@ -164,7 +167,7 @@
 	}
 }
 
-// digest hashes the content of a job. The deadline takes no part, because a caller that submits again may shorten it.
+// digest hashes the content of a job. The deadline is left out, because a caller that submits again may shorten it.
 func (c *Core) digest(job encoder.Job) uint64 {
 	var h maphash.Hash
 	h.SetSeed(c.seed)
@@ -192,7 +195,8 @@
 
 func (c *Core) hashKey(key string) uint64 { return maphash.String(c.seed, key) }
 
-// fail ends the submission as failed once its started tasks have ended. Queued tasks are dropped at once.
+// fail drops the queued tasks of a submission, cancels the started ones and ends the submission as failed once these have
+// ended.
 func (c *Core) fail(s *submission, code encoder.FailureCode, reason string) {
 	if step(submissionChart, &s.state, eventClose) {
 		s.code, s.reason = code, reason
@@ -231,7 +235,8 @@
 	}
 }
 
-// cancel ends a submission at the caller's wish. Tasks that run are asked to stop, and their ends are awaited.
+// cancel ends a submission at the caller's request. Running tasks are canceled, and the submission ends when they have
+// ended.
 func (c *Core) cancel(key string) {
 	s := c.submissions[key]
 	if s == nil {
@@ -245,7 +250,7 @@
 	c.fail(s, encoder.CodeCanceled, "canceled by the caller")
 }
 
-// expire ends submissions whose deadline has passed. Tasks that still run make the outcome unknown.
+// expireDeadlines ends the submissions whose deadline has passed. The outcome is unknown if tasks are still running.
 func (c *Core) expireDeadlines() {
 	for len(c.byDeadline) > 0 && c.byDeadline[0].deadline <= c.now {
 		s, _ := heap.Pop(&c.byDeadline).(*submission)
@@ -274,7 +279,7 @@
 	}
 }
 
-// outcome says what the submission may have done so far.
+// outcome reports whether tasks of the submission have run so far.
 func (s *submission) outcome() encoder.Outcome {
 	switch {
 	case s.anyUnknown || s.running > 0:
@@ -285,7 +290,7 @@
 	return encoder.OutcomeNotRun
 }
 
-// endWhenDone answers the submission when all its tasks have ended.
+// endIfFinished ends the submission if all its tasks have ended.
 func (c *Core) endIfFinished(s *submission) {
 	if s.unfinished > 0 {
 		return
@@ -302,14 +307,14 @@
 	a.Results = make([]encoder.TaskResult, len(s.tasks))
 	for i := range s.tasks {
 		if s.tasks[i].state != taskDone {
-			panic("a submission without failures has a task without result")
+			panic("dispatcher: task of a complete submission has no result")
 		}
 		a.Results[i].Body = s.tasks[i].body
 	}
 	c.end(s, a)
 }
 
-// end gives the answer to all waiting callers and keeps it.
+// end sends the answer to all waiting callers and caches it.
 func (c *Core) end(s *submission, a encoder.Answer) {
 	if !step(submissionChart, &s.state, eventEnd) {
 		return
@@ -320,7 +325,7 @@
 			continue
 		}
 		if t.state == taskStarted {
-			// The result will find no submission, so the scheduler hears of the end now.
+			// A later result will not find the submission, so the scheduler is told of the end now.
 			c.queue.Refused(t.sidecar.hello.Member.ID, c.schedulerTask(s, i), encoder.RefusalCanceled)
 		}
 		c.collected.add(t.sidecar, encoder.TaskKey{Job: s.key, Index: uint32(i)}, c.now+collectDelay)
@@ -339,7 +344,7 @@
 	s.tasks, s.specs, s.waiters = nil, nil, nil
 }
 
-// Abandon forgets a local request whose caller no longer waits. The submission goes on.
+// Abandon removes a request to this entry whose caller no longer waits. The submission continues.
 func (c *Core) Abandon(now timer.Millis, request uint64, key string) {
 	c.now = now
 	if s := c.submissions[key]; s != nil {
@@ -358,7 +363,7 @@
 	}
 }
 
-// Len, Less, Swap, Push and Pop make a heap of submissions by deadline.
+// Len, Less, Swap, Push and Pop implement heap.Interface, ordered by deadline.
 func (d deadlineHeap) Len() int           { return len(d) }
 func (d deadlineHeap) Less(i, j int) bool { return d[i].deadline < d[j].deadline }
 func (d deadlineHeap) Swap(i, j int)      { d[i], d[j] = d[j], d[i] }
--- a/dispatcher/takeover.go
+++ b/dispatcher/takeover.go
@@ -10,40 +10,43 @@
 )
 
 const (
-	// takeoverWait is the time after which no sidecar that has not answered can start anything for a former owner:
-	// the validity of a peer's report, the freshness lease and a margin.
+	// takeoverTimeout is the time after which a sidecar that has not answered the census can no longer start tasks for a
+	// former owner: the validity of a peer's report, the freshness lease and a margin.
 	takeoverTimeout     = reportValidity + leaseDuration + leaseMargin
 	censusRetryInterval = timer.Second
-	// seenMargin is longer than a claim takes to reach the other entries while the log is reachable.
+	// claimDelayMargin is an upper bound of the time that a claim takes to reach the other entries while the log is
+	// reachable.
 	claimDelayMargin = 5 * timer.Second
 )
 
-// unknownSidecars stands for sidecars that started tasks and that no remaining member of the roster may know.
-var unlistedSidecars = encoder.Member{ID: "unknown sidecars"}
+// unknownSidecars stands for sidecars that may have started tasks but may be unknown to every remaining member of the
+// roster.
+var unknownSidecars = encoder.Member{ID: "unknown sidecars"}
 
 type (
-	// takeover is the state of the keys that this entry gained and the evidence about them.
+	// takeover is the state of the keys that this entry gained, and the evidence of which of their tasks were started.
 	takeover struct {
 		state            string
-		unsettledRosters []encoder.Roster // former rosters under which the keys were not settled yet
+		unsettledRosters []encoder.Roster // former rosters since the ownership of the keys was last settled
 		pastRosters      []pastRoster     // former rosters within the retention
 		adoptedAt        timer.Millis
-		supersededAt     timer.Millis
-		lastCensus       timer.Millis
-		answeredEpochs   map[encoder.Member]uint64       // sidecar to the epoch of its last complete answer
-		peerSidecars     map[encoder.Member]timer.Millis // sidecars that peers know, with the time when they were told of
-		reportedSidecars map[encoder.Member]timer.Millis // sidecars that peers knew, too, by the answers to the peer census
-		missingEvidence  map[encoder.Member]timer.Millis // sidecars whose evidence is lost, with the last time they could start
-		leftEntries      map[encoder.Member]timer.Millis // entries that left the roster at their own request
+		supersededAt     timer.Millis                    // when formerRostersSuperseded first held
+		lastCensus       timer.Millis                    // when the census was last sent to all
+		answeredEpochs   map[encoder.Member]uint64       // sidecars that answered; epoch of the last complete answer
+		peerSidecars     map[encoder.Member]timer.Millis // sidecars known here or to peers; time of the last report
+		reportedSidecars map[encoder.Member]timer.Millis // sidecars in peer census replies; last time with a session
+		missingEvidence  map[encoder.Member]timer.Millis // sidecars without evidence; time of the last possible start
+		leftEntries      map[encoder.Member]timer.Millis // entries that left by their own leave record; time of the leave
 		reportedKeys     map[string]reportedKey          // keys that peers reported
-		handovers        map[string]handoverRecord       // submissions that leaving entries handed over
+		handovers        map[string]handoverRecord       // submissions handed over by leaving entries
 		evidence         map[string]*evidence
 	}
 
-	// reportedKey is a key that a peer reported. First is the earliest time at which a peer saw it.
+	// reportedKey describes a key that a peer reported. firstSeen is the earliest time at which a peer saw it.
 	reportedKey struct{ firstSeen, reportedAt timer.Millis }
 
-	// handed lists the tasks of a submission that its former owner may have started, by index. It started no others.
+	// handoverRecord lists the indices of the tasks of a submission that its former owner may have started. No other tasks
+	// were started.
 	handoverRecord struct {
 		receivedAt timer.Millis
 		started    []uint32
@@ -54,7 +57,7 @@
 		replacedAt timer.Millis
 	}
 
-	// evidence lists the started tasks of a submission.
+	// evidence lists the tasks of a submission that are known to be started.
 	evidence struct {
 		updatedAt timer.Millis
 		tasks     []startedTask
@@ -63,14 +66,14 @@
 	startedTask struct {
 		index   uint32
 		status  encoder.Status
-		sidecar *encoder.Member // nil when the former owner told of it
+		sidecar *encoder.Member // nil if reported by the former owner
 		body    []byte
 		reason  string
 	}
 )
 
-// change begins a takeover after the roster prev was replaced. Submissions that another entry owned at any time since
-// are held until the census is done.
+// beginTakeover begins a takeover after the roster prev was replaced. Submissions that another entry owned at any time since
+// the last settled roster are held until the census is complete.
 func (c *Core) beginTakeover(prev encoder.Roster) {
 	t := &c.takeover
 	t.pastRosters = append(t.pastRosters, pastRoster{prev, c.now})
@@ -87,8 +90,8 @@
 		}
 	}
 	for _, s := range c.submissions {
-		mine := c.isOwner(c.roster, s.key)
-		if (!mine || c.ownedByOther(s.key)) && s.state != submissionEnded {
+		owned := c.isOwner(c.roster, s.key)
+		if (!owned || c.ownedByOther(s.key)) && s.state != submissionEnded {
 			c.moveSubmission(s)
 		}
 	}
@@ -104,7 +107,7 @@
 	c.tickTakeover()
 }
 
-// gained reports whether another entry or incarnation owned the key since the keys were last settled.
+// ownedByOther reports whether another entry or incarnation has owned the key since ownership was last settled.
 func (c *Core) ownedByOther(key string) bool {
 	for _, r := range c.takeover.unsettledRosters {
 		if !c.isOwner(r, key) {
@@ -114,12 +117,12 @@
 	return false
 }
 
-// settled reports whether this entry may start work for a key that it owns.
+// isSettled reports whether this entry may start tasks of a key that it owns.
 func (c *Core) isSettled(key string) bool {
 	return c.joined && (len(c.takeover.unsettledRosters) == 0 || !c.ownedByOther(key))
 }
 
-// known reports whether a former owner may have started tasks of the key.
+// formerOwnerMayHaveStarted reports whether a former owner may have started tasks of the key.
 func (c *Core) formerOwnerMayHaveStarted(key string) bool {
 	ownedByOther := false
 	for i := range c.takeover.pastRosters {
@@ -138,24 +141,24 @@
 	return c.claims.loggedKeys.has(c.hashKey(key)) || s != nil && s.ownedElsewhere
 }
 
-// complete reports whether every sidecar that can have started tasks of the key has told so. A sidecar that was lost
-// before the key was first seen cannot have started any.
+// hasCompleteEvidence reports whether every sidecar that may have started tasks of the key has answered the census. A
+// sidecar that was lost before the key was first seen cannot have started any.
 func (c *Core) hasCompleteEvidence(key string) bool {
 	owners, ok := c.knownOwners[key]
 	firstSeen := owners.firstSeen
 	if k, reported := c.takeover.reportedKeys[key]; reported && (!ok || k.firstSeen < firstSeen) {
 		firstSeen = k.firstSeen
 	}
-	for _, lost := range c.takeover.missingEvidence {
-		if lost+claimDelayMargin >= firstSeen {
+	for _, lastStart := range c.takeover.missingEvidence {
+		if lastStart+claimDelayMargin >= firstSeen {
 			return false
 		}
 	}
 	return true
 }
 
-// move hands the callers of a submission over to its owner. The tasks stay as evidence for the case that the key comes
-// back.
+// moveSubmission routes the callers of a submission to its new owner. The tasks are kept as evidence in case the key returns
+// to this entry.
 func (c *Core) moveSubmission(s *submission) {
 	held := s.state == submissionHeld
 	if !step(submissionChart, &s.state, eventMove) {
@@ -170,11 +173,12 @@
 		job.Deadline = max(1, s.deadline-c.now)
 	}
 	if c.draining && !c.joined {
-		// After a removal another entry may have started tasks since, so only a leaver can be certain.
+		// After a removal, another entry may have started tasks in the meantime. Only an entry that left by its own leave
+		// record knows all starts.
 		c.handOverSubmission(s, job, !held && c.leftVoluntarily)
 	}
 	if len(waiters) == 0 && c.isOwner(c.roster, s.key) {
-		waiters = []waiter{{}} // nobody waits, but the job goes on
+		waiters = []waiter{{}} // no caller waits, but the job continues
 	}
 	for _, w := range waiters {
 		c.route(w, encoder.RequestSubmit, job, 0)
@@ -198,7 +202,7 @@
 	}
 }
 
-// tickTakeover moves the takeover on when its conditions hold.
+// tickTakeover repeats the census while it is incomplete, and advances the takeover when its conditions hold.
 func (c *Core) tickTakeover() {
 	t := &c.takeover
 	c.removeExpiredEvidence()
@@ -223,18 +227,18 @@
 	if t.state != takeoverAsking {
 		return
 	}
-	pending, lost := c.unansweredSidecars()
+	pending, unanswered := c.unansweredSidecars()
 	switch {
 	case !c.allPeersAnswered():
 		return
-	case pending == 0 && len(lost) == 0:
+	case pending == 0 && len(unanswered) == 0:
 		step(takeoverChart, &t.state, eventAnswered)
 	case (pending == 0 || c.now-t.supersededAt >= takeoverTimeout) && c.confirmations[StreamClaims] >= t.adoptedAt:
 		step(takeoverChart, &t.state, eventExpire)
 		if t.missingEvidence == nil {
 			t.missingEvidence = map[encoder.Member]timer.Millis{}
 		}
-		for m, at := range lost {
+		for m, at := range unanswered {
 			t.missingEvidence[m] = at
 		}
 	default:
@@ -249,8 +253,8 @@
 	c.placeTasks()
 }
 
-// leftBehind reports whether at least half of each former roster has reported the roster after it, so that the rest can
-// form no majority that attests a log outage under the former one.
+// formerRostersSuperseded reports whether at least half of each former roster has left or has reported the epoch of the next
+// roster. The rest can then form no majority that attests a log outage under the former roster.
 func (c *Core) formerRostersSuperseded() bool {
 	t := &c.takeover
 	for i, r := range t.unsettledRosters {
@@ -260,9 +264,9 @@
 		}
 		count := 0
 		for _, e := range r.Entries {
-			_, stopped := t.leftEntries[e.Member]
+			_, left := t.leftEntries[e.Member]
 			p := c.peers[e.Member.ID]
-			if e.Member.ID == c.self.ID || stopped || p != nil && p.highestEpoch >= epoch {
+			if e.Member.ID == c.self.ID || left || p != nil && p.highestEpoch >= epoch {
 				count++
 			}
 		}
@@ -273,14 +277,14 @@
 	return true
 }
 
-// unanswered counts the sidecars whose answer has to be awaited, and returns all whose evidence is lacking with the last
-// time at which they can have started a task.
-func (c *Core) unansweredSidecars() (pending int, lost map[encoder.Member]timer.Millis) {
+// unansweredSidecars returns the sidecars without evidence, with the last time at which each may have started a task, and
+// the number of those whose answer has to be awaited.
+func (c *Core) unansweredSidecars() (pending int, unanswered map[encoder.Member]timer.Millis) {
 	t := &c.takeover
-	lost = map[encoder.Member]timer.Millis{}
+	unanswered = map[encoder.Member]timer.Millis{}
 	check := func(m encoder.Member, last timer.Millis) {
 		if t.answeredEpochs[m] < c.roster.Epoch {
-			lost[m] = max(lost[m], last)
+			unanswered[m] = max(unanswered[m], last)
 		}
 	}
 	for _, sc := range c.sidecars {
@@ -301,20 +305,20 @@
 			check(m, at)
 		}
 	}
-	if last, ok := c.lastUnlistedStart(); ok {
-		check(unlistedSidecars, last)
+	if last, ok := c.lastUnknownSidecarStart(); ok {
+		check(unknownSidecars, last)
 	}
-	for m, last := range lost {
+	for m, last := range unanswered {
 		current := c.sidecars[m.ID]
 		replaced := current != nil && current.hello.Member.Incarnation > m.Incarnation
 		if !replaced && c.now-last < lostSidecarWait {
 			pending++
 		}
 	}
-	return pending, lost
+	return pending, unanswered
 }
 
-// peersAnswered reports whether the other members told the keys and sidecars that they know.
+// allPeersAnswered reports whether all other members have answered the peer census completely.
 func (c *Core) allPeersAnswered() bool {
 	for _, e := range c.roster.Entries {
 		if p := c.peers[e.Member.ID]; e.Member.ID != c.self.ID && (p == nil || p.censusEpoch < c.roster.Epoch) {
@@ -324,10 +328,10 @@
 	return true
 }
 
-// unknown returns the last time at which a sidecar that nobody knows any more can have started tasks under the former
-// rosters. ok is false when there is none: a sidecar accepts starts only when each member knows it, so one member without
-// doubts that remains of each roster knows all of them.
-func (c *Core) lastUnlistedStart() (last timer.Millis, ok bool) {
+// lastUnknownSidecarStart returns the last time at which a sidecar that no member knows any more may have started tasks
+// under the former rosters. ok is false if there is no such sidecar: a sidecar accepts starts only if each member knows it,
+// so one remaining member of each roster that is certain to know all sidecars is sufficient.
+func (c *Core) lastUnknownSidecarStart() (last timer.Millis, ok bool) {
 	for _, r := range c.takeover.unsettledRosters {
 		rosterLast, incomplete := c.now, len(r.Entries) > 0
 		for _, e := range r.Entries {
@@ -335,13 +339,13 @@
 			if !listed || current.Member != e.Member {
 				continue
 			}
-			at, mayMiss := c.takeover.missingEvidence[unlistedSidecars]
+			at, mayMiss := c.takeover.missingEvidence[unknownSidecars]
 			if e.Member != c.self {
 				p := c.peers[e.Member.ID]
 				if p == nil || p.censusEpoch != c.roster.Epoch {
 					continue
 				}
-				at, mayMiss = p.lastUnlistedStart, p.incompleteEpoch == c.roster.Epoch
+				at, mayMiss = p.lastUnknownSidecarStart, p.incompleteEpoch == c.roster.Epoch
 			}
 			rosterLast, incomplete = min(rosterLast, at), incomplete && mayMiss
 		}
@@ -352,8 +356,8 @@
 	return last, ok
 }
 
-// doubts reports whether there may be sidecars that accepted starts under the former rosters and that this entry does
-// not know, and the last time at which they can have started tasks.
+// mayMissSidecars reports whether sidecars unknown to this entry may have accepted starts under the former rosters, and the
+// last time at which they may have started tasks.
 func (c *Core) mayMissSidecars() (last timer.Millis, ok bool) {
 	for _, r := range c.takeover.unsettledRosters {
 		if self, listed := elector.Find(r, c.self.ID); len(r.Entries) > 0 && (!listed || self.Member != c.self) {
@@ -363,11 +367,11 @@
 	if !c.joined {
 		return c.now, true
 	}
-	last, ok = c.takeover.missingEvidence[unlistedSidecars]
+	last, ok = c.takeover.missingEvidence[unknownSidecars]
 	return last, ok
 }
 
-// lost describes the sidecars whose evidence is missing, for the log.
+// missingSummary describes the sidecars without evidence for the log line, or returns "".
 func (t *takeover) missingSummary() string {
 	if len(t.missingEvidence) == 0 {
 		return ""
@@ -382,44 +386,44 @@
 
 func (c *Core) removeExpiredEvidence() {
 	t := &c.takeover
-	old := c.now - c.settings.KeyRetention
-	for len(t.pastRosters) > 0 && t.pastRosters[0].replacedAt < old {
+	cutoff := c.now - c.settings.KeyRetention
+	for len(t.pastRosters) > 0 && t.pastRosters[0].replacedAt < cutoff {
 		t.pastRosters = t.pastRosters[1:]
 	}
-	if c.now != c.lastSweep {
+	if c.now != c.lastCleanup {
 		return
 	}
 	for key, s := range c.submissions {
-		if s.state == submissionMoved && s.movedAt < old && step(submissionChart, &s.state, eventEnd) {
+		if s.state == submissionMoved && s.movedAt < cutoff && step(submissionChart, &s.state, eventEnd) {
 			delete(c.submissions, key)
 			s.detachSidecars()
 		}
 	}
 	for _, list := range []map[encoder.Member]timer.Millis{t.peerSidecars, t.reportedSidecars, t.missingEvidence, t.leftEntries} {
 		for m, at := range list {
-			if at < old {
+			if at < cutoff {
 				delete(list, m)
 			}
 		}
 	}
 	for key, k := range t.reportedKeys {
-		if k.reportedAt < old {
+		if k.reportedAt < cutoff {
 			delete(t.reportedKeys, key)
 		}
 	}
 	for key, h := range t.handovers {
-		if h.receivedAt < old {
+		if h.receivedAt < cutoff {
 			delete(t.handovers, key)
 		}
 	}
 	for key, e := range t.evidence {
-		if e.updatedAt < old {
+		if e.updatedAt < cutoff {
 			delete(t.evidence, key)
 		}
 	}
 }
 
-// heard notes a sidecar that a peer has a session to.
+// sidecarSeen records a sidecar that this entry or a peer has a session to.
 func (t *takeover) sidecarSeen(m encoder.Member, now timer.Millis) {
 	if t.peerSidecars == nil {
 		t.peerSidecars = map[encoder.Member]timer.Millis{}
@@ -427,7 +431,7 @@
 	t.peerSidecars[m] = now
 }
 
-// left notes an entry that has left the roster at its own request and starts nothing any more.
+// entryLeft records an entry that left the roster by its own leave record and starts no tasks any more.
 func (t *takeover) entryLeft(m encoder.Member, now timer.Millis) {
 	if t.leftEntries == nil {
 		t.leftEntries = map[encoder.Member]timer.Millis{}
--- a/dispatcher/taskreport.go
+++ b/dispatcher/taskreport.go
@@ -5,9 +5,9 @@
 	"github.com/crocuslb/crocuslb/timer"
 )
 
-// TaskReport describes the end of a task. Domain and Worker are those of the sidecar that ran it, and empty when it is
-// not known. Status is done, failed or unknown. Ran is 0 when unknown. Expected is the declared run time, else the
-// learnt one, else 0. Canceled says that the submission had failed or was canceled before, so that its started tasks
+// TaskReport describes the end of a task. Domain and Worker are those of the sidecar that ran it, or empty if it is not
+// known. Status is done, failed or unknown. Ran is the run time, or 0 if unknown. Expected is the declared run time, else
+// the learnt one, else 0. Canceled means that the submission had already failed or been canceled, so that its started tasks
 // were asked to stop.
 type TaskReport struct {
 	Domain, Worker string
@@ -16,7 +16,7 @@
 	Canceled       bool
 }
 
-// reportTask tells the process about the end of a task. The caller has not applied the end to s yet.
+// reportTaskEnd calls OnTask for the end of a task. It must be called before the end is applied to s.
 func (c *Core) reportTaskEnd(s *submission, i int, sc *sidecar, status encoder.Status, ran timer.Millis) {
 	if c.settings.OnTask == nil {
 		return
