--- a/dispatcher/answer.go
+++ b/dispatcher/answer.go
@@ -121,7 +121,7 @@
 	k.byKey[a.Key] = cachedAnswer{answer: a, digest: digest, size: size}
 	k.order = append(k.order, cachedKey{a.Key, c.now})
 	k.bytes += size
-	for len(k.byKey) > c.settings.KeptAnswers || k.bytes > c.settings.KeptBytes {
+	for len(k.byKey) > c.settings.MaxCachedAnswers || k.bytes > c.settings.MaxCachedAnswerBytes {
 		k.evicted.add(c.hashKey(k.evictOldest()))
 	}
 }
--- a/dispatcher/core_test.go
+++ b/dispatcher/core_test.go
@@ -115,8 +115,8 @@
 		{"failed task waits for the running one", []any{status(0, encoder.StatusFailed)}, 0, 0, 0},
 		{"failed task", []any{status(0, encoder.StatusFailed), done(1)}, encoder.JobFailed, encoder.CodeTask, encoder.OutcomeRan},
 		{"unknown task", []any{status(0, encoder.StatusUnknown), done(1)}, encoder.JobFailed, encoder.CodeUnknown, encoder.OutcomeUnknown},
-		{"not started is placed again", []any{status(0, encoder.StatusNotStarted), done(1), done(2), done(0)}, encoder.JobComplete, 0, encoder.OutcomeRan},
-		{"refused is placed again", []any{refuse(0, encoder.RefusalDuplicate), refuse(1, encoder.RefusalClaimTimeout), done(0), done(2), done(1)}, encoder.JobComplete, 0, encoder.OutcomeRan},
+		{"not started is requeued", []any{status(0, encoder.StatusNotStarted), done(1), done(2), done(0)}, encoder.JobComplete, 0, encoder.OutcomeRan},
+		{"refused is requeued", []any{refuse(0, encoder.RefusalDuplicate), refuse(1, encoder.RefusalClaimTimeout), done(0), done(2), done(1)}, encoder.JobComplete, 0, encoder.OutcomeRan},
 		{"refusal after result", []any{done(0), refuse(0, encoder.RefusalStaleEpoch), done(1), done(2)}, encoder.JobComplete, 0, encoder.OutcomeRan},
 		{"deadline while running", []any{func(b *testBench) { b.tick(timer.Minute) }}, encoder.JobFailed, encoder.CodeDeadline, encoder.OutcomeUnknown},
 		{"refused for the deadline", []any{refuse(0, encoder.RefusalDeadline), refuse(1, encoder.RefusalDeadline)}, encoder.JobFailed, encoder.CodeDeadline, encoder.OutcomeNotRun},
@@ -177,9 +177,9 @@
 		want     []string
 	}{
 		{"done", 50, 0, []*encoder.Result{end(0, encoder.StatusDone)}, false, []string{"{north w done 70ms 50ms false}"}},
-		{"no run time is known", 0, 0, []*encoder.Result{end(0, encoder.StatusDone)}, false, []string{"{north w done 70ms 0ms false}"}},
+		{"unknown run time", 0, 0, []*encoder.Result{end(0, encoder.StatusDone)}, false, []string{"{north w done 70ms 0ms false}"}},
 		{"learnt run time", 0, 9, []*encoder.Result{end(0, encoder.StatusDone)}, false, []string{"{north w done 70ms 112ms false}"}},
-		{"declared goes before learnt", 50, 9, []*encoder.Result{end(0, encoder.StatusDone)}, false, []string{"{north w done 70ms 50ms false}"}},
+		{"declared run time takes precedence", 50, 9, []*encoder.Result{end(0, encoder.StatusDone)}, false, []string{"{north w done 70ms 50ms false}"}},
 		{"counted once", 0, 0, []*encoder.Result{end(0, encoder.StatusDone), end(0, encoder.StatusDone)}, false, []string{"{north w done 70ms 0ms false}"}},
 		{"not started", 0, 0, []*encoder.Result{end(0, encoder.StatusNotStarted)}, false, nil},
 		{"stopped after a failure", 0, 0, []*encoder.Result{end(0, encoder.StatusFailed), end(1, encoder.StatusFailed)}, false, []string{"{north w failed 70ms 0ms false}", "{north w failed 70ms 0ms true}"}},
--- a/dispatcher/entry_test.go
+++ b/dispatcher/entry_test.go
@@ -106,17 +106,17 @@
 	}
 	p, err := n.entries[1].Withdraw(n.ctx, "north", "ann")
 	if err != nil || p.State != PublicationAccepted {
-		t.Fatalf("withdrawal is %v (%v, %v)", p.State, p.Findings, err)
+		t.Fatalf("got withdrawal %v (%v, %v)", p.State, p.Findings, err)
 	}
 	n.waitUntil(func() bool { return n.entries[0].Status(n.ctx).ConfigOffset == 1 })
 	if d := n.entries[0].Status(n.ctx).Domains; len(d) != 1 || d[0].InForce {
-		t.Errorf("domains are %v", d)
+		t.Errorf("got domains %v", d)
 	}
 	if p, err = n.entries[2].Return(n.ctx, "north", "ann"); err != nil || p.State != PublicationAccepted {
-		t.Fatalf("return is %v (%v, %v)", p.State, p.Findings, err)
+		t.Fatalf("got return %v (%v, %v)", p.State, p.Findings, err)
 	}
 	if h, _ := n.entries[2].History(n.ctx, 9); len(h) != 2 || h[0].Note.Author != "ann" {
-		t.Errorf("history is %v", h)
+		t.Errorf("got history %v", h)
 	}
 	if err := n.entries[0].Drain(n.ctx); err != nil {
 		t.Error(err)
--- a/dispatcher/forward.go
+++ b/dispatcher/forward.go
@@ -62,7 +62,8 @@
 	return c.now
 }
 
-// mayHaveOtherOwner reports whether this entry knows an owner other than m that the submission had.
+// mayHaveOtherOwner reports whether this entry forwarded the submission to an owner other than m, or was its witness for
+// one.
 func (c *Core) mayHaveOtherOwner(key string, m encoder.Member) bool {
 	p, ok := c.knownOwners[key]
 	return ok && (p.multiple || p.owner != m)
@@ -254,7 +255,7 @@
 
 func (c *Core) handleWitness(owner encoder.Member, keys []string) {
 	for _, key := range keys {
-		if len(key) <= c.settings.MaxKey && len(c.knownOwners) < c.settings.MaxKeys {
+		if len(key) <= c.settings.MaxKeyLength && len(c.knownOwners) < c.settings.MaxKeys {
 			c.recordOwner(key, owner)
 		}
 	}
--- a/dispatcher/freshness_test.go
+++ b/dispatcher/freshness_test.go
@@ -46,7 +46,7 @@
 		reports   []encoder.PeerPing
 		delay     timer.Millis // age of the reports
 		attests   bool
-		decides   bool
+		quorum    bool
 		confirmed bool
 	}{
 		{"all reachable", 100, []encoder.PeerPing{up, up, up}, 50, false, true, true},
@@ -73,19 +73,19 @@
 		}
 		b.core.now = b.now
 		if got := b.core.attestsLogOutage(); got != tt.attests {
-			t.Errorf("%s: attests is %v", tt.name, got)
+			t.Errorf("%s: got attested log outage %v", tt.name, got)
 		}
-		if got := b.core.hasLogQuorum(); got != tt.decides {
-			t.Errorf("%s: may decide is %v", tt.name, got)
+		if got := b.core.hasLogQuorum(); got != tt.quorum {
+			t.Errorf("%s: got log quorum %v", tt.name, got)
 		}
 		b.sent = nil
 		b.message(&encoder.Ping{Sequence: 7})
 		pong, ok := b.sent[0].(*encoder.Pong)
 		if !ok || pong.Sequence != 7 || pong.Confirmed != tt.confirmed || pong.LogReachable == tt.attests {
-			t.Errorf("%s: pong is %+v", tt.name, b.sent[0])
+			t.Errorf("%s: got pong %+v", tt.name, b.sent[0])
 		}
 		if want := tt.silence; !tt.attests && tt.confirmed && pong.Age != want || tt.attests && pong.Age != 0 {
-			t.Errorf("%s: age is %v, last confirmation %v ago", tt.name, pong.Age, want)
+			t.Errorf("%s: got age %v, last confirmation %v ago", tt.name, pong.Age, want)
 		}
 	}
 }
@@ -102,7 +102,7 @@
 		records int
 	}{
 		{"accepted", []string{"up", "publish", "append", "fold", "know"}, PublicationAccepted, false, 1},
-		{"nobody reports it", []string{"up", "publish", "append", "fold", "time"}, PublicationRecorded, false, 1},
+		{"not reported by peers", []string{"up", "publish", "append", "fold", "time"}, PublicationRecorded, false, 1},
 		{"undecided", []string{"up", "publish", "append", "fold"}, 0, false, 1},
 		{"not folded yet", []string{"up", "publish", "append"}, 0, true, 1},
 		{"refused by the fold", []string{"up", "publish", "append", "conflict"}, PublicationRefused, true, 1},
@@ -188,7 +188,7 @@
 		got = append(got, takeChanges(b)...)
 	}
 	if want := []string{"--c", "--c"}; !slices.Equal(got, want) {
-		t.Errorf("changes are %v, want %v", got, want)
+		t.Errorf("got changes %v, want %v", got, want)
 	}
 	b = newBenchWithPeers(t, "b", "c")
 	b.tick(1)
@@ -197,14 +197,14 @@
 	b.answerPing(1, encoder.PeerPing{Epoch: 3, LogReachable: true}, 10)
 	b.core.Tick(b.now)
 	if got := takeChanges(b); len(got) > 0 {
-		t.Errorf("after a pause: %v", got)
+		t.Errorf("after a pause: got changes %v, want none", got)
 	}
 	b.core.RosterRecord(b.now, 3, elector.Change{
 		Kind: elector.ChangeRemove, Entry: encoder.RosterEntry{Member: encoder.Member{ID: "a", Incarnation: 1}},
 	})
 	b.core.Tick(b.now)
 	if got := takeChanges(b); !slices.Equal(got, []string{"a"}) || b.core.Self().Incarnation != 2 {
-		t.Errorf("after the removal: %v, incarnation %d", got, b.core.Self().Incarnation)
+		t.Errorf("after the removal: got changes %v and incarnation %d", got, b.core.Self().Incarnation)
 	}
 }
 
@@ -261,10 +261,10 @@
 		report encoder.PeerPing
 		want   int // offers after two reports in a row
 	}{
-		{"older without the log", encoder.PeerPing{ConfigOffset: 3}, 1},
-		{"older, reads the log", encoder.PeerPing{ConfigOffset: 3, LogReachable: true}, 0},
-		{"the same", encoder.PeerPing{ConfigOffset: 7}, 0},
-		{"later", encoder.PeerPing{ConfigOffset: 9}, 0},
+		{"older offset, log unreachable", encoder.PeerPing{ConfigOffset: 3}, 1},
+		{"older offset, log reachable", encoder.PeerPing{ConfigOffset: 3, LogReachable: true}, 0},
+		{"same offset", encoder.PeerPing{ConfigOffset: 7}, 0},
+		{"later offset", encoder.PeerPing{ConfigOffset: 9}, 0},
 	}
 	for _, tt := range tests {
 		b := newBenchWithPeers(t, "b")
--- a/dispatcher/property_test.go
+++ b/dispatcher/property_test.go
@@ -65,10 +65,10 @@
 	switch rapid.IntRange(0, 31).Draw(sm.t, "event") {
 	case 0:
 		sm.logOutage = !sm.logOutage
-		sm.logf("outage %v", sm.logOutage)
+		sm.logf("log outage: %v", sm.logOutage)
 	case 1:
 		n.logUnreachable = !n.logUnreachable
-		sm.logf("%s cut off from the log: %v", n.id, n.logUnreachable)
+		sm.logf("%s cannot reach the log: %v", n.id, n.logUnreachable)
 	case 2, 3:
 		switch {
 		case !n.alive:
@@ -89,7 +89,7 @@
 	case 7, 8:
 		if len(sm.links) > 0 {
 			l := sm.links[rapid.IntRange(0, len(sm.links)-1).Draw(sm.t, "link")]
-			sm.logf("break %v", l.endpoints)
+			sm.logf("link failure between %v", l.endpoints)
 			if rapid.Bool().Draw(sm.t, "silent") && l.silentSince == 0 {
 				l.silentSince = sm.now
 			} else {
--- a/dispatcher/decision.go
+++ b/dispatcher/publication.go
@@ -30,8 +30,8 @@
 	// PublicationState is the state of a configuration change.
 	PublicationState uint8
 
-	// Publication is the result of publishing a configuration change. Lagging is the number of processes that have not
-	// reported it yet.
+	// Publication is the result of publishing a configuration change. Lagging is the number of processes that are
+	// not known to have it.
 	Publication struct {
 		Offset   uint64
 		State    PublicationState
@@ -39,8 +39,8 @@
 		Lagging  int
 	}
 
-	// Published is a Publication and the identifier of the request that it answers.
-	Published struct {
+	// PublishResponse is a Publication and the identifier of the request that it answers.
+	PublishResponse struct {
 		Request     uint64
 		Publication Publication
 	}
@@ -49,7 +49,7 @@
 	publicationTracker struct {
 		pending        map[uint64]*pendingPublication // by append tag
 		foldedFindings map[uint64][]configurer.Finding
-		published      []Published
+		responses      []PublishResponse
 	}
 
 	pendingPublication struct {
@@ -71,10 +71,10 @@
 	return ""
 }
 
-// TakePublished returns and clears the publications that were decided since the last call.
-func (c *Core) TakePublished() []Published {
-	p := c.publications.published
-	c.publications.published = nil
+// TakePublished returns and clears the responses to Publish that were decided since the last call.
+func (c *Core) TakePublished() []PublishResponse {
+	p := c.publications.responses
+	c.publications.responses = nil
 	return p
 }
 
@@ -85,10 +85,10 @@
 	if !c.hasLogQuorum() {
 		if domain != "" {
 			c.withdrawProvisionally(domain, author)
-			c.addPublished(request, Publication{State: PublicationProvisional, Lagging: c.lagging(0)})
+			c.addPublishResponse(request, Publication{State: PublicationProvisional, Lagging: c.lagging(0)})
 			return
 		}
-		c.addPublished(request, Publication{State: PublicationRefused, Findings: []configurer.Finding{{
+		c.addPublishResponse(request, Publication{State: PublicationRefused, Findings: []configurer.Finding{{
 			Place: "log", Text: "less than half of the entries report the log as reachable",
 		}}})
 		return
@@ -100,8 +100,8 @@
 	c.publications.pending[tag] = &pendingPublication{request: request, domain: domain, author: author, startedAt: now}
 }
 
-func (c *Core) addPublished(request uint64, p Publication) {
-	c.publications.published = append(c.publications.published, Published{request, p})
+func (c *Core) addPublishResponse(request uint64, p Publication) {
+	c.publications.responses = append(c.publications.responses, PublishResponse{request, p})
 }
 
 func (c *Core) publicationAppended(tag, offset uint64, ok, unknown bool) {
@@ -133,11 +133,11 @@
 		c.withdrawProvisionally(d.domain, d.author)
 		p = Publication{State: PublicationProvisional, Lagging: c.lagging(0)}
 	}
-	c.addPublished(d.request, p)
+	c.addPublishResponse(d.request, p)
 }
 
-// ConfigurationRecord handles the findings of folding the configuration record at offset. Without findings the record is in
-// force.
+// ConfigurationRecord handles the findings of folding the configuration record at offset. A record with findings was
+// refused.
 func (c *Core) ConfigurationRecord(now timer.Millis, offset uint64, findings []configurer.Finding) {
 	c.now = now
 	if c.publications.foldedFindings == nil {
@@ -166,7 +166,7 @@
 			continue
 		}
 		delete(c.publications.pending, tag)
-		c.addPublished(d.request, p)
+		c.addPublishResponse(d.request, p)
 	}
 	if c.settings.WithdrawRecord == nil {
 		return
@@ -222,7 +222,7 @@
 	c.domainState.recordedOffsets[domain] = c.domainState.offset
 }
 
-// lagging returns the number of members and sidecars that have not reported the configuration offset.
+// lagging returns the number of members and sidecars that are not known to have the configuration offset.
 func (c *Core) lagging(offset uint64) int {
 	count := 0
 	for _, e := range c.roster.Entries {
--- a/dispatcher/settings.go
+++ b/dispatcher/settings.go
@@ -40,19 +40,19 @@
 type (
 	// Settings are constant while the process runs. Zero fields are set to their defaults.
 	Settings struct {
-		Member         encoder.Member
-		Address        string       // advertised address of the QUIC listener
-		Domain         string       // failure domain of the entry
-		KeyRetention   timer.Millis // retention of answers and keys; 0 means 10 minutes
-		KeptAnswers    int          // maximum number of cached answers; 0 means 200,000
-		KeptBytes      int          // maximum size of the cached answers in bytes; 0 means 64 MB
-		MaxKeys        int          // maximum number of known submission keys; 0 means 4,000,000
-		MaxJobs        int          // maximum number of submissions in flight; 0 means 100,000
-		MaxTasks       int          // maximum number of tasks of a job; 0 means 1,000
-		MaxKey         int          // maximum length of a key in bytes; 0 means 200
-		SidecarTimeout timer.Millis // time without a session after which a sidecar counts as lost; 0 means 10 s
-		RunLimit       timer.Millis // maximum run time of a task; 0 means 5 minutes
-		MaxAttempts    uint32       // maximum number of refused starts of a task; 0 means 1,000
+		Member               encoder.Member
+		Address              string       // advertised address of the QUIC listener
+		Domain               string       // failure domain of the entry
+		KeyRetention         timer.Millis // retention of answers and keys; 0 means 10 minutes
+		MaxCachedAnswers     int          // maximum number of cached answers; 0 means 200,000
+		MaxCachedAnswerBytes int          // maximum size of the cached answers in bytes; 0 means 64 MB
+		MaxKeys              int          // maximum number of known submission keys; 0 means 4,000,000
+		MaxJobs              int          // maximum number of submissions in flight; 0 means 100,000
+		MaxTasks             int          // maximum number of tasks of a job; 0 means 1,000
+		MaxKeyLength         int          // maximum length of a key in bytes; 0 means 200
+		SidecarTimeout       timer.Millis // time without a session after which a sidecar counts as lost; 0 means 10 s
+		RunLimit             timer.Millis // maximum run time of a task; 0 means 5 minutes
+		MaxAttempts          uint32       // maximum number of refused starts of a task; 0 means 1,000
 
 		// WithdrawRecord returns the configuration record that withdraws a domain, based on the current configuration.
 		// author is "" if another entry received the operator's request.
@@ -66,12 +66,12 @@
 
 func (s Settings) withDefaults() Settings {
 	s.KeyRetention = positiveOr(s.KeyRetention, 10*timer.Minute)
-	s.KeptAnswers = positiveOr(s.KeptAnswers, 200_000)
-	s.KeptBytes = positiveOr(s.KeptBytes, 64<<20)
+	s.MaxCachedAnswers = positiveOr(s.MaxCachedAnswers, 200_000)
+	s.MaxCachedAnswerBytes = positiveOr(s.MaxCachedAnswerBytes, 64<<20)
 	s.MaxKeys = positiveOr(s.MaxKeys, 4_000_000)
 	s.MaxJobs = positiveOr(s.MaxJobs, 100_000)
 	s.MaxTasks = positiveOr(s.MaxTasks, 1000)
-	s.MaxKey = positiveOr(s.MaxKey, 200)
+	s.MaxKeyLength = positiveOr(s.MaxKeyLength, 200)
 	s.SidecarTimeout = positiveOr(s.SidecarTimeout, 10*timer.Second)
 	s.RunLimit = positiveOr(s.RunLimit, 5*timer.Minute)
 	s.MaxAttempts = positiveOr(s.MaxAttempts, 1000)
--- a/dispatcher/simulation_log_test.go
+++ b/dispatcher/simulation_log_test.go
@@ -6,8 +6,8 @@
 	"github.com/crocuslb/crocuslb/elector"
 )
 
-// completeAppend completes a pending append: the record is written or not, and the entry receives the outcome or, if lost is
-// set, does not.
+// completeAppend completes a pending append. The record is written unless the log is unreachable. If lost is set, the entry
+// is told that the outcome is unknown.
 func (sm *simulation) completeAppend(i int, lost bool) {
 	p := sm.appends[i]
 	sm.appends = slices.Delete(sm.appends, i, i+1)
--- a/dispatcher/simulation_test.go
+++ b/dispatcher/simulation_test.go
@@ -91,8 +91,7 @@
 	sm := &simulation{
 		t: t, now: timer.Minute, entries: map[string]*simEntry{}, sidecars: map[string]*simSidecar{}, log: map[string][]logRecord{},
 		startCounts: map[encoder.TaskKey]int{}, jobs: map[string]*simJob{}, pendingRequests: map[uint64]string{},
-		outcomeCounts: map[string]int{},
-		separated:     map[string]bool{},
+		outcomeCounts: map[string]int{}, separated: map[string]bool{},
 	}
 	for i := range entries {
 		sm.entries["e"+strconv.Itoa(i)] = &simEntry{id: "e" + strconv.Itoa(i)}
@@ -128,7 +127,7 @@
 
 func (sm *simulation) startEntry(n *simEntry) {
 	n.incarnation += 1000
-	sm.logf("boot %s/%d", n.id, n.incarnation)
+	sm.logf("start entry %s/%d", n.id, n.incarnation)
 	n.alive, n.paused, n.dialed, n.nextOffset = true, false, map[string]bool{}, map[string]int{}
 	n.core = New(Settings{
 		Member: encoder.Member{ID: n.id, Incarnation: n.incarnation}, Address: n.id,
@@ -138,7 +137,7 @@
 
 func (sm *simulation) startSidecar(s *simSidecar) {
 	s.incarnation++
-	sm.logf("boot %s/%d", s.id, s.incarnation)
+	sm.logf("start sidecar %s/%d", s.id, s.incarnation)
 	s.alive, s.started = true, map[encoder.TaskKey]bool{}
 	s.core = &starter.Core{ID: s.id, Slots: 2}
 }
--- a/dispatcher/status.go
+++ b/dispatcher/status.go
@@ -26,7 +26,7 @@
 		Jobs         int
 		Kept         int
 		KeptBytes    int
-		Lagging      int // processes that have not reported the configuration
+		Lagging      int // processes that are not known to have the configuration
 		Counters     Counters
 		Sent         MessageCounts // to sidecars and entries, without session handshakes
 		Received     MessageCounts // from sidecars
--- a/dispatcher/submission.go
+++ b/dispatcher/submission.go
@@ -98,7 +98,7 @@
 
 func (c *Core) validate(r encoder.Request, job encoder.Job) string {
 	switch {
-	case job.Key == "" || len(job.Key) > c.settings.MaxKey:
+	case job.Key == "" || len(job.Key) > c.settings.MaxKeyLength:
 		return "the key is empty or too long"
 	case r == encoder.RequestSubmit && len(job.Tasks) == 0:
 		return "the job has no tasks"
