--- a/dispatcher/entry.go
+++ b/dispatcher/entry.go
@@ -75,13 +75,13 @@
 		configurationCheckpoints checkpointState
 		rosterCheckpoints        checkpointState
 
-		history    []Change
+		history    []ConfigurationChange
 		drained    chan struct{}
 		sentCounts MessageCounts
 	}
 
-	// Change is a configuration change in the log. Findings is empty if the change took effect.
-	Change struct {
+	// ConfigurationChange is a configuration change in the log. Findings is empty if the change took effect.
+	ConfigurationChange struct {
 		Offset   uint64
 		Note     configurer.Note
 		Findings []configurer.Finding
--- a/dispatcher/entry_log.go
+++ b/dispatcher/entry_log.go
@@ -20,9 +20,9 @@
 			e.core.ConfigurationRecord(now, r.Offset, findings)
 		}
 		if d, err := configurer.DecodeRecord(r.Body); err == nil && d.Kind == configurer.KindNote {
-			e.history = append(e.history, Change{Offset: r.Offset, Note: d.Note, Findings: findings})
+			e.history = append(e.history, ConfigurationChange{Offset: r.Offset, Note: d.Note, Findings: findings})
 			if len(e.history) > 2*maxHistory {
-				e.history = append([]Change(nil), e.history[maxHistory:]...)
+				e.history = append([]ConfigurationChange(nil), e.history[maxHistory:]...)
 			}
 		}
 		if d, err := configurer.DecodeRecord(r.Body); err == nil && d.Kind == configurer.KindCheckpoint {
--- a/dispatcher/request.go
+++ b/dispatcher/request.go
@@ -149,8 +149,8 @@
 }
 
 // History returns the latest configuration changes that this entry read from the log, newest first.
-func (e *Entry) History(ctx context.Context, limit int) ([]Change, error) {
-	var list []Change
+func (e *Entry) History(ctx context.Context, limit int) ([]ConfigurationChange, error) {
+	var list []ConfigurationChange
 	err := e.runOnControlLoop(ctx, func() {
 		for i := len(e.history) - 1; i >= 0 && len(list) < limit; i-- {
 			list = append(list, e.history[i])
