--- a/dispatcher/property_test.go
+++ b/dispatcher/property_test.go
@@ -14,7 +14,8 @@
 	"github.com/crocuslb/crocuslb/timer"
 )
 
-// A fixed seed makes runs reproducible; the flag -rapid.seed overrides it.
+// A fixed seed makes the drawn events reproducible; the flag -rapid.seed overrides it. Outcomes may still differ slightly
+// between runs, because the core iterates over maps.
 var _ = flag.Set("rapid.seed", "1")
 
 const (
--- a/dispatcher/simulation_test.go
+++ b/dispatcher/simulation_test.go
@@ -108,7 +108,7 @@
 	return sm
 }
 
-// sortedEntries and sortedSidecars return the processes in a fixed order, so that a seed always gives the same run.
+// sortedEntries and sortedSidecars return the processes in a fixed order, which runs of the same seed require.
 func (sm *simulation) sortedEntries() []*simEntry {
 	var list []*simEntry
 	for _, id := range slices.Sorted(maps.Keys(sm.entries)) {
