--- a/conductor/owner.go
+++ b/conductor/owner.go
@@ -18,197 +18,199 @@
 )
 
 const (
-	// memberTTL is the time without a sign of life after which the store deals an entry's partitions to others.
+	// memberTTL is the time without a heartbeat after which the store assigns an entry's partitions to other entries.
 	memberTTL = 1500 * timer.Millisecond
-	// leaseTime is how long after a successful call an entry holds itself for an owner. The rest of memberTTL covers
-	// clocks that differ in speed and the work until the partitions are given up.
-	leaseTime = 1300 * timer.Millisecond
-	// joinPeriod is the time between two signs of life. Two may fail within the lease.
-	joinPeriod = 400 * time.Millisecond
-	// nudgePause is the pause after another entry gave partitions up, until the store has heard of it, too.
-	nudgePause = 20 * time.Millisecond
-	// joinPause is the pause after a failed sign of life.
-	joinPause = 100 * time.Millisecond
-	// leaseCheck is the period in which the end of the lease is noticed.
-	leaseCheck = 50 * time.Millisecond
-	// writeShare is the share of the store's write calls that records of kept jobs may use.
-	writeShare = 0.6
+	// leaseDuration is how long after sending a successful heartbeat an entry considers itself the owner of its
+	// partitions. The remainder of memberTTL covers clock drift and the time needed to release the partitions.
+	leaseDuration = 1300 * timer.Millisecond
+	// heartbeatPeriod is the time between two heartbeats. Two of them may fail within a lease.
+	heartbeatPeriod = 400 * time.Millisecond
+	// rebalanceDelay is the delay before a heartbeat that follows a release by another entry. It lets the store learn of
+	// the release first.
+	rebalanceDelay = 20 * time.Millisecond
+	// heartbeatRetryDelay is the delay after a failed heartbeat.
+	heartbeatRetryDelay = 100 * time.Millisecond
+	// leaseCheckPeriod is the period at which the lease is checked for expiry.
+	leaseCheckPeriod = 50 * time.Millisecond
+	// writeCallShare is the share of the store's write calls that records of durable jobs may use.
+	writeCallShare = 0.6
 )
 
-// owner owns partitions of the kept jobs as the store deals them, and writes their records. Use start once kept jobs are
-// in use.
-type owner struct {
-	logger log.Interface
-	store  *platform.Store
-	loop   *loop
-	core   *submitter.Submitter
-	member string
-	// budget bounds the writes of all partitions of this entry together.
-	budget budget
-	// nudges asks for a sign of life before its time.
-	nudges chan struct{}
+// partitionOwner owns the partitions of durable jobs that the store assigns to this entry, and writes their records.
+// Call start once durable jobs are in use.
+type partitionOwner struct {
+	logger     log.Interface
+	store      *platform.Store
+	loop       *eventLoop
+	core       *submitter.Submitter
+	memberName string
+	// limiter bounds the write rate of all partitions of this entry together.
+	limiter writeLimiter
+	// heartbeatDue triggers a heartbeat before the period has passed.
+	heartbeatDue chan struct{}
 
-	once       sync.Once
-	end        context.CancelFunc
-	ended      chan struct{} // closed when run has ended
-	generation uint64        // of run
-	// again says that the next sign of life begins a new membership, with new epochs.
-	again atomic.Bool
+	startOnce  sync.Once
+	cancel     context.CancelFunc
+	done       chan struct{} // closed when run returns
+	generation uint64        // last one that the store assigned; owned by run
+	// rejoin makes the next heartbeat start a new membership, with new epochs.
+	rejoin atomic.Bool
 
-	mu      sync.Mutex
-	until   timer.Millis       // end of the lease
-	writers map[uint64]*writer // by partition
+	mu       sync.Mutex
+	leaseEnd timer.Millis
+	writers  map[uint64]*writer // by partition
 }
 
-// start begins to own partitions until ctx ends. Further calls do nothing.
-func (o *owner) start(ctx context.Context) {
-	o.once.Do(func() {
-		ctx, o.end = context.WithCancel(ctx)
-		o.ended = make(chan struct{})
-		o.again.Store(true)
+// start begins to own partitions until ctx is canceled. Further calls do nothing.
+func (o *partitionOwner) start(ctx context.Context) {
+	o.startOnce.Do(func() {
+		ctx, o.cancel = context.WithCancel(ctx)
+		o.done = make(chan struct{})
+		o.rejoin.Store(true)
 		go o.run(ctx)
 	})
 }
 
-// leave hands all partitions over to other entries.
-func (o *owner) leave(ctx context.Context) {
-	o.once.Do(func() {}) // it must not start from now on
-	if o.end == nil {
+// leave hands all partitions over to other entries and leaves the group.
+func (o *partitionOwner) leave(ctx context.Context) {
+	o.startOnce.Do(func() {}) // prevents a later start
+	if o.cancel == nil {
 		return
 	}
-	o.end()
-	<-o.ended
-	o.releaseAll(ctx, false, "the entry stops")
-	if err := o.store.LeaveGroup(ctx, o.member); err != nil {
-		o.logger.WithError(err).Warn("owner: the store was not told that this entry leaves")
+	o.cancel()
+	<-o.done
+	o.releaseAll(ctx, false, "entry is stopping")
+	if err := o.store.LeaveGroup(ctx, o.memberName); err != nil {
+		o.logger.WithError(err).Warn("owner: cannot leave the group")
 	}
 }
 
-func (o *owner) run(ctx context.Context) {
-	defer close(o.ended)
+func (o *partitionOwner) run(ctx context.Context) {
+	defer close(o.done)
 	go o.watchLease(ctx)
 	for ctx.Err() == nil {
-		pause := joinPeriod
-		changed, err := o.join(ctx)
+		delay := heartbeatPeriod
+		changed, err := o.heartbeat(ctx)
 		switch {
 		case err != nil:
-			o.logger.WithError(err).Warn("owner: no answer to the sign of life")
-			pause = joinPause
+			o.logger.WithError(err).Warn("owner: heartbeat failed")
+			delay = heartbeatRetryDelay
 		case changed:
-			pause = 0 // the store waits for this before it deals the partitions to others
+			delay = 0 // the store assigns released partitions only after the next heartbeat
 		}
 		select {
 		case <-ctx.Done():
-		case <-time.After(pause):
-		case <-o.nudges:
-			time.Sleep(nudgePause)
+		case <-time.After(delay):
+		case <-o.heartbeatDue:
+			time.Sleep(rebalanceDelay)
 		}
 	}
 }
 
-// nudge asks for a sign of life soon, because the store may deal partitions to this entry. It never blocks.
-func (o *owner) nudge() {
+// requestHeartbeat triggers an early heartbeat, because the store may assign partitions to this entry. It never blocks.
+func (o *partitionOwner) requestHeartbeat() {
 	select {
-	case o.nudges <- struct{}{}:
+	case o.heartbeatDue <- struct{}{}:
 	default:
 	}
 }
 
-// join sends a sign of life and acts on the answer. changed says that partitions were given up.
-func (o *owner) join(ctx context.Context) (changed bool, err error) {
-	if o.again.Swap(false) {
-		// An earlier life may have been a member under this name. Its epochs must not be used again.
-		o.releaseAll(ctx, true, "a new membership begins")
-		if err := o.store.LeaveGroup(ctx, o.member); err != nil {
-			o.again.Store(true)
+// heartbeat renews the membership and applies the returned assignment. changed reports whether partitions were
+// released.
+func (o *partitionOwner) heartbeat(ctx context.Context) (changed bool, err error) {
+	if o.rejoin.Swap(false) {
+		// A previous run of the process may have been a member under the same name. Its epochs must not be reused.
+		o.releaseAll(ctx, true, "membership restarted")
+		if err := o.store.LeaveGroup(ctx, o.memberName); err != nil {
+			o.rejoin.Store(true)
 			return false, err
 		}
 		o.generation = 0
 	}
 	sent := o.loop.clock.Now()
-	dealt, err := o.store.Join(ctx, o.member, int64(memberTTL), o.generation)
+	assignment, err := o.store.Join(ctx, o.memberName, int64(memberTTL), o.generation)
 	if err != nil {
 		return false, err
 	}
-	if o.leaseOver() { // before the answer came; the core has given its partitions up
-		o.endLease(ctx)
+	if o.leaseExpired() { // expired before the response arrived; the core has released its partitions
+		o.expireLease(ctx)
 		return true, nil
 	}
 	o.mu.Lock()
-	o.until = sent + leaseTime
+	o.leaseEnd = sent + leaseDuration
 	o.mu.Unlock()
-	o.loop.do(ctx, func(now timer.Millis) { o.core.Renew(now, sent+leaseTime) })
-	o.generation = dealt.Generation
-	for _, number := range o.numbers() {
-		if !slices.Contains(dealt.Partitions, number) {
-			o.release(ctx, number, false, "dealt to another entry")
+	o.loop.post(ctx, func(now timer.Millis) { o.core.Renew(now, sent+leaseDuration) })
+	o.generation = assignment.Generation
+	for _, partition := range o.ownedPartitions() {
+		if !slices.Contains(assignment.Partitions, partition) {
+			o.release(ctx, partition, false, "assigned to another entry")
 			changed = true
 		}
 	}
-	for _, number := range dealt.Partitions {
-		o.acquire(ctx, number, dealt.Generation)
+	for _, partition := range assignment.Partitions {
+		o.acquire(ctx, partition, assignment.Generation)
 	}
 	return changed, nil
 }
 
-// watchLease gives all partitions up when the lease ends without a sign of life that the store took.
-func (o *owner) watchLease(ctx context.Context) {
+// watchLease releases all partitions when the lease expires without a successful heartbeat.
+func (o *partitionOwner) watchLease(ctx context.Context) {
 	for ctx.Err() == nil {
 		select {
 		case <-ctx.Done():
 			return
-		case <-time.After(leaseCheck):
+		case <-time.After(leaseCheckPeriod):
 		}
-		if o.leaseOver() {
-			o.endLease(ctx)
+		if o.leaseExpired() {
+			o.expireLease(ctx)
 		}
 	}
 }
 
-// leaseOver reports whether partitions are owned and the lease has ended.
-func (o *owner) leaseOver() bool {
+// leaseExpired reports whether partitions are owned and the lease has expired.
+func (o *partitionOwner) leaseExpired() bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	return len(o.writers) > 0 && o.loop.clock.Now() >= o.until
+	return len(o.writers) > 0 && o.loop.clock.Now() >= o.leaseEnd
 }
 
-// endLease gives all partitions up and begins a new membership.
-func (o *owner) endLease(ctx context.Context) {
-	o.again.Store(true)
-	o.releaseAll(ctx, true, "the lease has ended")
+// expireLease releases all partitions. The next heartbeat starts a new membership.
+func (o *partitionOwner) expireLease(ctx context.Context) {
+	o.rejoin.Store(true)
+	o.releaseAll(ctx, true, "lease expired")
 }
 
-func (o *owner) numbers() []uint64 {
+func (o *partitionOwner) ownedPartitions() []uint64 {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	var numbers []uint64
-	for number := range o.writers {
-		numbers = append(numbers, number)
+	var partitions []uint64
+	for partition := range o.writers {
+		partitions = append(partitions, partition)
 	}
-	slices.Sort(numbers)
-	return numbers
+	slices.Sort(partitions)
+	return partitions
 }
 
-func (o *owner) releaseAll(ctx context.Context, stop bool, reason string) {
-	for _, number := range o.numbers() {
-		o.release(ctx, number, stop, reason)
+func (o *partitionOwner) releaseAll(ctx context.Context, stop bool, reason string) {
+	for _, partition := range o.ownedPartitions() {
+		o.release(ctx, partition, stop, reason)
 	}
 }
 
-// release stops the writer of a partition and tells the core.
-func (o *owner) release(ctx context.Context, number uint64, stop bool, reason string) {
+// release stops the writer of a partition and releases the partition in the core.
+func (o *partitionOwner) release(ctx context.Context, partition uint64, stop bool, reason string) {
 	o.mu.Lock()
-	w := o.writers[number]
-	delete(o.writers, number)
-	o.budget.setShares(len(o.writers))
+	w := o.writers[partition]
+	delete(o.writers, partition)
+	o.limiter.setPartitions(len(o.writers))
 	o.mu.Unlock()
 	if w == nil {
 		return
 	}
-	w.end()
+	w.cancel()
 	done := make(chan struct{})
-	o.loop.do(ctx, func(now timer.Millis) {
-		o.core.Release(now, number, stop, reason)
+	o.loop.post(ctx, func(now timer.Millis) {
+		o.core.Release(now, partition, stop, reason)
 		close(done)
 	})
 	select {
@@ -217,60 +219,60 @@
 	}
 }
 
-// acquire begins to own a partition, unless it is owned already.
-func (o *owner) acquire(ctx context.Context, number, epoch uint64) {
+// acquire starts the writer of a partition, unless the partition is owned already.
+func (o *partitionOwner) acquire(ctx context.Context, partition, epoch uint64) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	if o.writers[number] != nil {
+	if o.writers[partition] != nil {
 		return
 	}
 	if o.writers == nil {
 		o.writers = map[uint64]*writer{}
 	}
-	life, end := context.WithCancel(ctx)
-	w := &writer{owner: o, number: number, epoch: epoch, end: end, wake: make(chan struct{}, 1)}
-	o.writers[number] = w
-	o.budget.setShares(len(o.writers))
-	go w.run(life)
+	writerCtx, cancel := context.WithCancel(ctx)
+	w := &writer{owner: o, partition: partition, epoch: epoch, cancel: cancel, wake: make(chan struct{}, 1)}
+	o.writers[partition] = w
+	o.limiter.setPartitions(len(o.writers))
+	go w.run(writerCtx)
 }
 
-// record hands a record to the writer of its partition. It never blocks; the loop calls it.
-func (o *owner) record(number, epoch uint64, body []byte, done func(now timer.Millis, offset uint64)) {
+// appendRecord queues a record with the writer of its partition. It never blocks and is called by the event loop.
+func (o *partitionOwner) appendRecord(partition, epoch uint64, body []byte, done func(now timer.Millis, offset uint64)) {
 	o.mu.Lock()
-	w := o.writers[number]
+	w := o.writers[partition]
 	o.mu.Unlock()
 	if w == nil || w.epoch != epoch {
-		return // the core is about to be told that the partition is lost
+		return // the release of the partition is on its way to the core
 	}
-	w.add(body, done)
+	w.enqueue(body, done)
 }
 
-// lost takes the refusal of a writer's epoch.
-func (o *owner) lost(ctx context.Context, w *writer, err error) {
-	o.logger.WithError(err).WithFields(log.Fields{"partition": w.number, "epoch": w.epoch}).Warn("owner: partition is lost")
-	o.again.Store(true)
-	o.release(ctx, w.number, true, "the store knows a later owner")
+// onFenced handles the store's rejection of a writer's epoch.
+func (o *partitionOwner) onFenced(ctx context.Context, w *writer, err error) {
+	o.logger.WithError(err).WithFields(log.Fields{"partition": w.partition, "epoch": w.epoch}).Warn("owner: epoch rejected by the store; releasing the partition")
+	o.rejoin.Store(true)
+	o.release(ctx, w.partition, true, "fenced by a later owner")
 }
 
-// replay reads a partition's records.
-func (o *owner) replay(ctx context.Context, number uint64) (archiver.Archive, error) {
-	var a archiver.Archive
+// replay reads all records of a partition. Records that cannot be decoded are logged and skipped.
+func (o *partitionOwner) replay(ctx context.Context, partition uint64) (archiver.Archive, error) {
+	var archive archiver.Archive
 	for from := uint64(0); ; {
-		r, err := o.store.Records(ctx, number, from)
+		page, err := o.store.Records(ctx, partition, from)
 		if err != nil {
-			return a, trace.Wrap(err)
+			return archive, trace.Wrap(err)
 		}
-		for i, body := range r.Bodies {
+		for i, body := range page.Bodies {
 			var err error
-			if panicked := catcher.Catch(func() { err = a.Add(body) }); panicked != nil {
+			if panicked := catcher.Catch(func() { err = archive.Add(body) }); panicked != nil {
 				err = panicked
 			}
 			if err != nil {
-				o.logger.WithError(err).WithFields(log.Fields{"partition": number, "offset": r.From + uint64(i)}).Warn("owner: unreadable record is left out")
+				o.logger.WithError(err).WithFields(log.Fields{"partition": partition, "offset": page.From + uint64(i)}).Warn("owner: skipped a record that cannot be decoded")
 			}
 		}
-		if from = r.Next; from >= r.End {
-			return a, nil
+		if from = page.Next; from >= page.End {
+			return archive, nil
 		}
 	}
 }
