--- a/dispatcher/forward.go
+++ b/dispatcher/forward.go
@@ -7,74 +7,75 @@
 )
 
 type (
-	// forward is a caller's request that another entry is to answer. It is kept until the answer arrives and sent
-	// again when the owner changes, which is safe because submission is idempotent.
+	// forward is a caller's request that was forwarded to the owner of its key. It is kept until the answer arrives and
+	// resent when the owner changes, which is safe because submission is idempotent.
 	forward struct {
 		id       uint64
 		waiter   waiter
 		request  encoder.Request
 		job      encoder.Job
-		deadline timer.Millis // point in time; 0 for none
+		deadline timer.Millis // absolute time; 0 means none
 		hops     uint32
-		session  SessionID // 0 while it waits for a session to the owner
-		retry    timer.Millis
-		// Parts of an answer that does not fit a frame.
-		results []encoder.TaskResult
-		have    []bool
-		missing int
+		session  SessionID // session on which it was sent; 0 while there is none to the owner
+		retryAt  timer.Millis
+		// Parts received of an answer that does not fit into one frame.
+		results  []encoder.TaskResult
+		received []bool
+		missing  int
 	}
 
-	// pass remembers to whom a submission was forwarded, or who owned it when this entry was its witness.
-	pass struct {
-		owner   encoder.Member
-		several bool         // there were other owners before
-		since   timer.Millis // when it came here first
-		at      timer.Millis // since when the submission exists; 0 when it may be older than its arrival here
+	// knownOwner is the owner to which a submission was forwarded, or which sent the key to this entry as its witness.
+	knownOwner struct {
+		owner      encoder.Member
+		multiple   bool         // there were other owners before owner
+		recordedAt timer.Millis // when the key first reached this entry
+		firstSeen  timer.Millis // earliest time at which the submission can have existed; 0 if unknown
 	}
 )
 
-func (c *Core) pass(key string, owner encoder.Member) {
-	p, ok := c.passed[key]
+func (c *Core) recordOwner(key string, owner encoder.Member) {
+	p, ok := c.knownOwners[key]
 	if !ok {
-		p = pass{owner: owner, since: c.now, at: c.firstSeen(key)}
+		p = knownOwner{owner: owner, recordedAt: c.now, firstSeen: c.firstSeen(key)}
 	}
-	p.several = p.several || p.owner != owner
+	p.multiple = p.multiple || p.owner != owner
 	p.owner = owner
-	c.passed[key] = p
+	c.knownOwners[key] = p
 }
 
-// firstSeen returns the time since which a submission that arrives now exists, or 0 when it may be older. A submission
-// that came to another entry before has left a claim, unless the log was hard to reach.
+// firstSeen returns the earliest time at which a submission that arrives now can have existed, or 0 if that is unknown. A
+// submission that reached another entry before has a claim in the log, unless the log was unreachable.
 func (c *Core) firstSeen(key string) timer.Millis {
-	if s := c.jobs[key]; s != nil {
-		return s.first
+	if s := c.submissions[key]; s != nil {
+		return s.firstSeen
 	}
-	if k, ok := c.takeover.keys[key]; ok {
-		return min(k.first, c.now)
+	if k, ok := c.takeover.reportedKeys[key]; ok {
+		return min(k.firstSeen, c.now)
 	}
-	if _, ok := c.kept.byKey[key]; ok || c.takeover.evidence[key] != nil {
+	if _, ok := c.answerCache.byKey[key]; ok || c.takeover.evidence[key] != nil {
 		return 0
 	}
-	readable := c.now-c.confirmed[StreamClaims] <= logSilence && c.now-c.lastOutage > claimSettled
-	if !readable || c.claims.seen.has(c.hash(key)) {
+	claimsCurrent := c.now-c.confirmations[StreamClaims] <= logTimeout && c.now-c.lastOutage > claimRecoveryTime
+	if !claimsCurrent || c.claims.loggedKeys.has(c.hashKey(key)) {
 		return 0
 	}
 	return c.now
 }
 
-// passedBeside reports whether an owner other than m may have got the submission from here.
-func (c *Core) passedBeside(key string, m encoder.Member) bool {
-	p, ok := c.passed[key]
-	return ok && (p.several || p.owner != m)
+// mayHaveOtherOwner reports whether this entry forwarded the submission to an owner other than m, or was its witness for
+// one.
+func (c *Core) mayHaveOtherOwner(key string, m encoder.Member) bool {
+	p, ok := c.knownOwners[key]
+	return ok && (p.multiple || p.owner != m)
 }
 
 func (c *Core) forward(w waiter, r encoder.Request, job encoder.Job, hops uint32) {
-	if len(c.forwards) >= c.settings.MaxJobs || len(c.passed) >= c.settings.MaxKeys {
-		c.answer(w, failure(job.Key, encoder.CodeOverload, encoder.OutcomeUnknown, "too many forwarded requests"))
+	if len(c.forwards) >= c.settings.MaxJobs || len(c.knownOwners) >= c.settings.MaxKeys {
+		c.answer(w, failedAnswer(job.Key, encoder.CodeOverload, encoder.OutcomeUnknown, "too many forwarded requests"))
 		return
 	}
-	c.lastForward++
-	f := &forward{id: c.lastForward, waiter: w, request: r, job: job, hops: hops}
+	c.lastForwardID++
+	f := &forward{id: c.lastForwardID, waiter: w, request: r, job: job, hops: hops}
 	if job.Deadline > 0 {
 		f.deadline = c.now + job.Deadline
 	}
@@ -83,10 +84,11 @@
 	c.sendForward(f)
 }
 
-// sendForward sends the request to the owner, serves it when the owner is this entry by now, or leaves it waiting.
+// sendForward sends the request to the owner of its key. If this entry has become the owner, it serves the request itself;
+// if there is no session to the owner, the request is retried later.
 func (c *Core) sendForward(f *forward) {
 	f.session = 0
-	f.retry = c.now + forwardPeriod
+	f.retryAt = c.now + forwardRetryInterval
 	owner, ok := elector.Owner(c.roster, f.job.Key)
 	if !ok {
 		return
@@ -94,7 +96,7 @@
 	job := f.job
 	if f.deadline != 0 {
 		if f.deadline <= c.now {
-			return // sweepForwards answers it
+			return // tickForwards answers it
 		}
 		job.Deadline = f.deadline - c.now
 	}
@@ -108,43 +110,43 @@
 		return
 	}
 	if f.hops >= maxHops {
-		// The entries disagree on the roster. The request waits here until the next retry.
+		// The entries disagree on the roster. The request is retried after forwardRetryInterval.
 		f.hops = 0
 		return
 	}
 	f.session = p.session()
 	if f.request == encoder.RequestSubmit {
-		c.pass(job.Key, owner.Member)
+		c.recordOwner(job.Key, owner.Member)
 	}
 	c.send(f.session, &encoder.Forward{ID: f.id, Request: f.request, Hops: f.hops + 1, Job: job})
 }
 
-func (c *Core) forwardAnswer(m *encoder.ForwardAnswer) {
+func (c *Core) handleForwardAnswer(m *encoder.ForwardAnswer) {
 	f := c.forwards[m.ID]
 	if f == nil || f.job.Key != m.Answer.Key {
-		c.counters.Ignored++ // an answer that came before, or to another request
+		c.counters.Ignored++ // a duplicate answer, or the answer to another request
 		return
 	}
-	if m.Total != 0 && !f.collect(m) {
+	if m.Total != 0 && !f.addPart(m) {
 		return
 	}
 	delete(c.forwards, f.id)
 	c.answer(f.waiter, m.Answer)
 }
 
-// collect stores a part of an answer. When all parts are there it puts the results into m and returns true. Parts may come
-// in any order, and again after a lost session.
-func (f *forward) collect(m *encoder.ForwardAnswer) bool {
+// addPart stores a part of an answer. When all parts have arrived, it sets the results of m to the complete list and returns
+// true. Parts may arrive in any order, and may be repeated after a session was lost.
+func (f *forward) addPart(m *encoder.ForwardAnswer) bool {
 	if m.Total > encoder.MaxTasks || int(m.First)+len(m.Answer.Results) > int(m.Total) {
-		return false // not an answer that this version sends
+		return false // malformed: this version does not send such an answer
 	}
 	if len(f.results) != int(m.Total) {
-		f.results, f.have, f.missing = make([]encoder.TaskResult, m.Total), make([]bool, m.Total), int(m.Total)
+		f.results, f.received, f.missing = make([]encoder.TaskResult, m.Total), make([]bool, m.Total), int(m.Total)
 	}
 	for i, r := range m.Answer.Results {
 		at := int(m.First) + i
-		if !f.have[at] {
-			f.have[at] = true
+		if !f.received[at] {
+			f.received[at] = true
 			f.missing--
 		}
 		f.results[at] = r
@@ -156,25 +158,25 @@
 	return true
 }
 
-// forwardsLost takes back the requests that were sent on a session that ended.
-func (c *Core) forwardsLost(id SessionID) {
+// handleForwardSessionClosed resends the requests that were sent on a closed session, and drops those received on it.
+func (c *Core) handleForwardSessionClosed(id SessionID) {
 	for _, f := range c.forwards {
 		switch id {
 		case f.waiter.session:
-			delete(c.forwards, f.id) // the peer sends it again on its next session
+			delete(c.forwards, f.id) // the peer resends it on its next session
 		case f.session:
 			c.sendForward(f)
 		}
 	}
 }
 
-func (c *Core) forwardUnsent(id uint64) {
+func (c *Core) forwardNotSent(id uint64) {
 	if f := c.forwards[id]; f != nil {
-		f.session, f.retry = 0, c.now+forwardPeriod
+		f.session, f.retryAt = 0, c.now+forwardRetryInterval
 	}
 }
 
-// retryForwards sends the requests that wait for a session to the given entry.
+// retryForwards sends the requests that are waiting for a session to the given entry.
 func (c *Core) retryForwards(owner string) {
 	for _, f := range c.forwards {
 		if f.session != 0 {
@@ -186,7 +188,7 @@
 	}
 }
 
-// redirectForwards sends requests again whose owner differs under the new roster.
+// redirectForwards resends the requests whose owner changed with the new roster.
 func (c *Core) redirectForwards() {
 	for _, f := range c.forwards {
 		owner, ok := elector.Owner(c.roster, f.job.Key)
@@ -198,31 +200,32 @@
 	}
 }
 
-// sweepForwards answers requests whose deadline has passed and retries the waiting ones. Another entry may have run the
-// job, so the outcome is unknown.
+// tickForwards answers the requests whose deadline has passed and retries those that wait for a session. The outcome of an
+// expired request is unknown, because another entry may have run the job.
 func (c *Core) tickForwards() {
 	for _, f := range c.forwards {
 		switch {
 		case f.deadline != 0 && f.deadline+leaseMargin <= c.now:
 			delete(c.forwards, f.id)
-			c.answer(f.waiter, failure(f.job.Key, encoder.CodeDeadline, encoder.OutcomeUnknown,
+			c.answer(f.waiter, failedAnswer(f.job.Key, encoder.CodeDeadline, encoder.OutcomeUnknown,
 				"the owner of the submission did not answer in time"))
-		case f.session == 0 && f.retry <= c.now:
+		case f.session == 0 && f.retryAt <= c.now:
 			c.sendForward(f)
 		}
 	}
 }
 
-func (c *Core) sweepForwards() {
-	for key, p := range c.passed {
-		if p.since+c.settings.KeyRetention < c.now || p.since+passKept < c.now && c.claims.seen.has(c.hash(key)) {
-			delete(c.passed, key)
+func (c *Core) removeExpiredOwners() {
+	for key, p := range c.knownOwners {
+		if p.recordedAt+c.settings.KeyRetention < c.now ||
+			p.recordedAt+knownOwnerRetention < c.now && c.claims.loggedKeys.has(c.hashKey(key)) {
+			delete(c.knownOwners, key)
 		}
 	}
 }
 
-// witness tells the next owner in line of a key that no other entry knows.
-func (c *Core) witness(key string) {
+// sendWitness sends a key that only this entry knows to the entry that would own it next, its witness.
+func (c *Core) sendWitness(key string) {
 	next, ok := elector.Successor(c.roster, key)
 	if !ok {
 		return
@@ -232,11 +235,11 @@
 	}
 }
 
-// witnessAgain repeats the witness notes for a peer, because those on its former session may be lost.
-func (c *Core) witnessAgain(id string) {
+// resendWitness repeats the Witness messages to a peer, because those on its former session may have been lost.
+func (c *Core) resendWitness(id string) {
 	var keys []string
-	for _, s := range c.jobs {
-		if !s.local || s.state == stateMoved {
+	for _, s := range c.submissions {
+		if !s.receivedHere || s.state == submissionMoved {
 			continue
 		}
 		if next, ok := elector.Successor(c.roster, s.key); ok && next.Member.ID == id {
@@ -244,16 +247,16 @@
 		}
 	}
 	for len(keys) > 0 {
-		n := min(len(keys), keysPerMessage)
+		n := min(len(keys), maxKeysPerMessage)
 		c.send(c.peers[id].session(), &encoder.Witness{Jobs: keys[:n]})
 		keys = keys[n:]
 	}
 }
 
-func (c *Core) witnessed(owner encoder.Member, keys []string) {
+func (c *Core) handleWitness(owner encoder.Member, keys []string) {
 	for _, key := range keys {
-		if len(key) <= c.settings.MaxKey && len(c.passed) < c.settings.MaxKeys {
-			c.pass(key, owner)
+		if len(key) <= c.settings.MaxKeyLength && len(c.knownOwners) < c.settings.MaxKeys {
+			c.recordOwner(key, owner)
 		}
 	}
 }
--- a/dispatcher/freshness.go
+++ b/dispatcher/freshness.go
@@ -6,46 +6,46 @@
 	"github.com/crocuslb/crocuslb/timer"
 )
 
-// domains is what the entry knows of the configuration's failure domains.
-type domains struct {
-	offset      uint64
-	inForce     func(domain string) bool // nil means that all are in force
-	provisional map[string]provisional
-	resolved    map[string]uint64 // configuration offset at which a provisional withdrawal was recorded
+// domainState is the state of the failure domains according to the configuration and provisional withdrawals.
+type domainState struct {
+	offset          uint64
+	inForce         func(domain string) bool // nil means that all domains are in force
+	provisional     map[string]provisionalWithdrawal
+	recordedOffsets map[string]uint64 // configuration offset at which the provisional withdrawal of a domain was found recorded
 }
 
-// provisional is a withdrawal that is obeyed and not recorded yet.
-type provisional struct {
-	author string // "" when a peer told of it
-	since  timer.Millis
-	tag    uint64 // append that records it; 0 for none
-	tried  timer.Millis
+// provisionalWithdrawal is a withdrawal that is in effect but not recorded in the log yet.
+type provisionalWithdrawal struct {
+	author      string // "" if it was reported by a peer
+	startedAt   timer.Millis
+	appendTag   uint64 // tag of the append that records it; 0 if none is in flight
+	lastAttempt timer.Millis
 }
 
-// Confirmed reports an exchange with the log, begun at the given time, after which the entry has every record of the
-// stream.
-func (c *Core) Confirmed(now timer.Millis, stream string, begun timer.Millis) {
+// StreamConfirmed handles a read of the log, begun at the given time, after which the entry has every record of the stream.
+func (c *Core) StreamConfirmed(now timer.Millis, stream string, begun timer.Millis) {
 	c.now = now
-	c.confirmed[stream] = max(c.confirmed[stream], begun)
+	c.confirmations[stream] = max(c.confirmations[stream], begun)
 	if stream == StreamRoster {
-		c.adopt(c.folded)
+		c.adopt(c.foldedRoster)
 	}
 }
 
-// SetConfiguration adopts a configuration. Offset is one more than that of the last record in it.
+// SetConfiguration adopts a configuration. offset is the offset of the last record in it plus 1. An older configuration is
+// ignored.
 func (c *Core) SetConfiguration(now timer.Millis, offset uint64, inForce func(domain string) bool) {
 	c.now = now
-	if offset < c.domains.offset {
+	if offset < c.domainState.offset {
 		return
 	}
-	c.domains.offset, c.domains.inForce = offset, inForce
-	for d := range c.domains.provisional {
+	c.domainState.offset, c.domainState.inForce = offset, inForce
+	for d := range c.domainState.provisional {
 		if inForce != nil && !inForce(d) {
-			c.resolveProvisional(d)
+			c.endProvisional(d)
 		}
 	}
 	c.applyDomains()
-	c.place()
+	c.placeTasks()
 }
 
 func (c *Core) applyDomains() {
@@ -54,37 +54,37 @@
 	}
 }
 
-// inForce reports whether work may start in the domain, provisional withdrawals included.
+// inForce reports whether tasks may start in the domain, taking provisional withdrawals into account.
 func (c *Core) inForce(domain string) bool {
-	if _, ok := c.domains.provisional[domain]; ok {
+	if _, ok := c.domainState.provisional[domain]; ok {
 		return false
 	}
-	return c.domains.inForce == nil || c.domains.inForce(domain)
+	return c.domainState.inForce == nil || c.domainState.inForce(domain)
 }
 
-// confirmedAt is the time at which the entry surely knew the heads of both streams.
-func (c *Core) confirmedAt() timer.Millis {
-	return min(c.confirmed[StreamConfiguration], c.confirmed[StreamRoster])
+// lastConfirmation returns the last time at which the entry is certain to have known the heads of both streams, or 0.
+func (c *Core) lastConfirmation() timer.Millis {
+	return min(c.confirmations[StreamConfiguration], c.confirmations[StreamRoster])
 }
 
-// logReachable is the entry's own report about the log.
+// logReachable reports whether this entry can reach the log.
 func (c *Core) logReachable() bool {
-	return c.confirmedAt() != 0 && c.now-c.confirmedAt() <= logSilence
+	return c.lastConfirmation() != 0 && c.now-c.lastConfirmation() <= logTimeout
 }
 
-// attests reports whether a majority of the roster, this entry included, holds the log for unreachable and nobody
-// knows newer state. Then no change can be accepted, so the entry's state is current.
-func (c *Core) attests() bool {
+// attestsLogOutage reports whether a majority of the roster, this entry included, reports the log as unreachable and no
+// valid report has a newer epoch or configuration. Then no change can be accepted, so this entry's state is current.
+func (c *Core) attestsLogOutage() bool {
 	if !c.joined || c.logReachable() {
 		return false
 	}
 	count := 1
 	for _, e := range c.roster.Entries {
 		p := c.peers[e.Member.ID]
-		if e.Member == c.self || p == nil || !p.valid(c.now, e.Member) {
+		if e.Member == c.self || p == nil || !p.hasValidReport(c.now, e.Member) {
 			continue
 		}
-		if p.report.Epoch > c.roster.Epoch || p.report.ConfigOffset > c.domains.offset {
+		if p.report.Epoch > c.roster.Epoch || p.report.ConfigOffset > c.domainState.offset {
 			return false
 		}
 		if !p.report.LogReachable {
@@ -94,50 +94,51 @@
 	return 2*count > len(c.roster.Entries)
 }
 
-// mayDecide reports whether at least half of the roster, this entry included, reports the log as reachable. Otherwise
-// the rest could attest an outage while this entry changes what is in force.
-func (c *Core) mayDecide() bool {
+// hasLogQuorum reports whether at least half of the roster, this entry included, reports the log as reachable. Without
+// that, the other members could attest a log outage while this entry changes the configuration or the roster.
+func (c *Core) hasLogQuorum() bool {
 	if !c.joined || !c.logReachable() {
 		return false
 	}
-	return c.atLeastHalf(func(p *peer) bool { return p.report.LogReachable })
+	return c.confirmedByHalf(func(p *peer) bool { return p.report.LogReachable })
 }
 
-// accepted reports whether at least half of the roster, this entry included, has reported the configuration offset.
-func (c *Core) accepted(offset uint64) bool {
-	return c.domains.offset >= offset && c.atLeastHalf(func(p *peer) bool { return p.report.ConfigOffset >= offset })
+// isAccepted reports whether at least half of the roster, this entry included, has reported the configuration offset.
+func (c *Core) isAccepted(offset uint64) bool {
+	return c.domainState.offset >= offset && c.confirmedByHalf(func(p *peer) bool { return p.report.ConfigOffset >= offset })
 }
 
-func (c *Core) atLeastHalf(agrees func(p *peer) bool) bool {
+func (c *Core) confirmedByHalf(agrees func(p *peer) bool) bool {
 	if _, ok := elector.Find(c.roster, c.self.ID); !ok {
 		return false
 	}
 	count := 0
 	for _, e := range c.roster.Entries {
 		p := c.peers[e.Member.ID]
-		if e.Member == c.self || p != nil && p.valid(c.now, e.Member) && agrees(p) {
+		if e.Member == c.self || p != nil && p.hasValidReport(c.now, e.Member) && agrees(p) {
 			count++
 		}
 	}
 	return 2*count >= len(c.roster.Entries)
 }
 
-// pong renews a sidecar's freshness lease with what this entry can attest.
-func (c *Core) pong(sc *sidecar, m *encoder.Ping) {
+// sendPong answers a sidecar's ping. It renews the sidecar's freshness lease if the entry's state is confirmed by the log or
+// by an attested log outage.
+func (c *Core) sendPong(sc *sidecar, m *encoder.Ping) {
 	p := &encoder.Pong{
-		Sequence: m.Sequence, Roster: c.roster, ConfigOffset: c.domains.offset,
+		Sequence: m.Sequence, Roster: c.roster, ConfigOffset: c.domainState.offset,
 		DomainInForce: c.inForce(sc.hello.Domain), LogReachable: true,
 	}
 	if m.Epoch == c.roster.Epoch {
 		p.Roster.Entries = nil // the sidecar has them; with 12 entries they would be most of its control traffic
 	}
-	age := c.now - c.confirmedAt()
+	age := c.now - c.lastConfirmation()
 	switch {
-	case c.attests():
+	case c.attestsLogOutage():
 		p.Confirmed, p.LogReachable = true, false
-	case c.confirmedAt() != 0 && age < leaseTime:
+	case c.lastConfirmation() != 0 && age < leaseDuration:
 		p.Confirmed, p.Age = true, age
 	}
-	sc.offset = p.ConfigOffset
+	sc.configOffset = p.ConfigOffset
 	c.send(sc.session, p)
 }
--- a/dispatcher/request.go
+++ b/dispatcher/request.go
@@ -10,7 +10,7 @@
 	"github.com/crocuslb/crocuslb/encoder"
 )
 
-// Submit submits a job and waits for its answer. When ctx ends first the answer is that the job is running.
+// Submit submits a job and waits for its answer. If ctx is done first, the answer has the state running.
 func (e *Entry) Submit(ctx context.Context, job encoder.Job) encoder.Answer {
 	return e.request(ctx, eventSubmit, job)
 }
@@ -20,16 +20,16 @@
 	return e.request(ctx, eventGet, encoder.Job{Key: key})
 }
 
-// Cancel cancels a submission and returns its state after that. Tasks that run may end later.
+// Cancel cancels a submission and returns its state right after the cancellation. Running tasks may end later.
 func (e *Entry) Cancel(ctx context.Context, key string) encoder.Answer {
 	return e.request(ctx, eventCancel, encoder.Job{Key: key})
 }
 
 func (e *Entry) request(ctx context.Context, kind eventKind, job encoder.Job) encoder.Answer {
 	e.init()
-	id := e.requests.Add(1)
+	id := e.lastRequest.Add(1)
 	answer := make(chan encoder.Answer, 1)
-	stopped := failure(job.Key, encoder.CodeUnavailable, encoder.OutcomeUnknown, "the entry has stopped")
+	stopped := failedAnswer(job.Key, encoder.CodeUnavailable, encoder.OutcomeUnknown, "the entry has stopped")
 	if !e.post(event{kind: kind, request: id, job: job, answer: answer}) {
 		return stopped
 	}
@@ -44,8 +44,8 @@
 	}
 }
 
-// call runs a function on the control goroutine and waits for it.
-func (e *Entry) call(ctx context.Context, run func()) error {
+// runOnControlLoop calls a function on the control goroutine and waits for it to return.
+func (e *Entry) runOnControlLoop(ctx context.Context, run func()) error {
 	e.init()
 	done := make(chan struct{})
 	if !e.post(event{kind: eventCall, call: func() { run(); close(done) }}) {
@@ -61,8 +61,8 @@
 	}
 }
 
-// Publish checks an operator's note, appends it to the log and waits until it is accepted. With dryRun it is only
-// checked against the present configuration.
+// Publish checks a configuration change, appends it to the log and waits until it is accepted. With dryRun, the change is
+// only checked against the current configuration.
 func (e *Entry) Publish(ctx context.Context, n configurer.Note, dryRun bool) (Publication, error) {
 	return e.publish(ctx, func() (configurer.Note, string) { return n, "" }, dryRun)
 }
@@ -72,10 +72,10 @@
 	return e.publish(ctx, func() (configurer.Note, string) { return e.domainNote(domain, author, false), domain }, false)
 }
 
-// Return puts a failure domain back into service. A withdrawal that is not recorded yet has to be recorded first.
+// Return returns a failure domain to service. It is refused while the withdrawal is not recorded in the log yet.
 func (e *Entry) Return(ctx context.Context, domain, author string) (Publication, error) {
 	var provisional bool
-	if err := e.call(ctx, func() { _, provisional = e.core.domains.provisional[domain] }); err != nil {
+	if err := e.runOnControlLoop(ctx, func() { _, provisional = e.core.domainState.provisional[domain] }); err != nil {
 		return Publication{State: PublicationUnknown}, err
 	}
 	if provisional {
@@ -86,20 +86,22 @@
 	return e.publish(ctx, func() (configurer.Note, string) { return e.domainNote(domain, author, true), "" }, false)
 }
 
-// publish builds the note on the control goroutine, so that it fits the configuration that it is checked against.
+// publish builds the change on the control goroutine, so that it is based on the configuration that it is checked against.
 func (e *Entry) publish(ctx context.Context, build func() (configurer.Note, string), dryRun bool) (Publication, error) {
-	id := e.requests.Add(1)
+	id := e.lastRequest.Add(1)
 	done := make(chan Publication, 1)
-	err := e.call(ctx, func() {
+	err := e.runOnControlLoop(ctx, func() {
 		n, domain := build()
 		if n.ID == "" {
 			n.ID = appender.NewID()
 		}
-		if len(n.Added)+len(n.Changed)+len(n.Withdrawn) == 0 && (domain != "" || !dryRun) && n.Comment == commentDomain {
-			done <- Publication{Offset: e.snapshot.Offset(), State: PublicationAccepted, Lagging: e.core.lagging(e.snapshot.Offset())}
+		if len(n.Added)+len(n.Changed)+len(n.Withdrawn) == 0 && (domain != "" || !dryRun) && n.Comment == domainChangeComment {
+			done <- Publication{
+				Offset: e.configuration.Offset(), State: PublicationAccepted, Lagging: e.core.lagging(e.configuration.Offset()),
+			}
 			return
 		}
-		if findings := configurer.Check(e.snapshot, n); len(findings) > 0 || dryRun {
+		if findings := configurer.Check(e.configuration, n); len(findings) > 0 || dryRun {
 			p := Publication{State: PublicationRefused, Findings: findings}
 			if len(findings) == 0 {
 				p.State = PublicationAccepted
@@ -107,7 +109,7 @@
 			done <- p
 			return
 		}
-		e.changes[id] = done
+		e.pendingPublications[id] = done
 		e.core.Publish(e.Clock.Now(), id, configurer.AppendNote(nil, n), domain, n.Author)
 	})
 	if err != nil {
@@ -119,21 +121,21 @@
 	case <-e.stopped:
 		return Publication{State: PublicationUnknown}, trace.ConnectionProblem(nil, "entry %s has stopped", e.ID)
 	case <-ctx.Done():
-		_ = e.call(context.WithoutCancel(ctx), func() { delete(e.changes, id) })
+		_ = e.runOnControlLoop(context.WithoutCancel(ctx), func() { delete(e.pendingPublications, id) })
 		return Publication{State: PublicationUnknown}, trace.Wrap(ctx.Err())
 	}
 }
 
-// commentDomain marks notes that change the state of a failure domain.
-const commentDomain = "failure domain"
+// domainChangeComment is the comment of changes that withdraw or return a failure domain.
+const domainChangeComment = "failure domain"
 
 func (e *Entry) domainNote(domain, author string, inForce bool) configurer.Note {
-	s := e.snapshot.WithDomainsOut()
+	s := e.configuration.WithDomainsOut()
 	n := configurer.Note{Base: s.Offset()}
 	if s.DomainInForce(domain) != inForce {
 		n = configurer.Diff(s, s.WithDomain(domain, inForce))
 	}
-	n.Author, n.Comment = author, commentDomain
+	n.Author, n.Comment = author, domainChangeComment
 	return n
 }
 
@@ -146,10 +148,10 @@
 	return configurer.AppendNote(nil, n)
 }
 
-// History returns the last operators' changes that this entry read from the log, the newest first.
-func (e *Entry) History(ctx context.Context, limit int) ([]Change, error) {
-	var list []Change
-	err := e.call(ctx, func() {
+// History returns the latest configuration changes that this entry read from the log, newest first.
+func (e *Entry) History(ctx context.Context, limit int) ([]ConfigurationChange, error) {
+	var list []ConfigurationChange
+	err := e.runOnControlLoop(ctx, func() {
 		for i := len(e.history) - 1; i >= 0 && len(list) < limit; i-- {
 			list = append(list, e.history[i])
 		}
@@ -157,11 +159,11 @@
 	return list, err
 }
 
-// Drain refuses new submissions, hands over those that the entry owns, leaves the roster, and waits until no caller
-// waits here or ctx ends.
+// Drain refuses new submissions, leaves the roster, hands over the submissions that the entry owns, and returns when no
+// caller is waiting at this entry. It returns an error if ctx is done first.
 func (e *Entry) Drain(ctx context.Context) error {
 	done := make(chan struct{})
-	err := e.call(ctx, func() {
+	err := e.runOnControlLoop(ctx, func() {
 		e.drained = done
 		e.core.Drain(e.Clock.Now())
 	})
--- a/dispatcher/takeover.go
+++ b/dispatcher/takeover.go
@@ -10,159 +10,162 @@
 )
 
 const (
-	// takeoverWait is the time after which no sidecar that has not answered can start anything for a former owner:
-	// the validity of a peer's report, the freshness lease and a margin.
-	takeoverWait = reportValid + leaseTime + leaseMargin
-	askAgain     = timer.Second
-	// seenMargin is longer than a claim takes to reach the other entries while the log is reachable.
-	seenMargin = 5 * timer.Second
+	// takeoverTimeout is the time after which a sidecar that has not answered the census can no longer start tasks for a
+	// former owner: the validity of a peer's report, the freshness lease and a margin.
+	takeoverTimeout     = reportValidity + leaseDuration + leaseMargin
+	censusRetryInterval = timer.Second
+	// claimDelayMargin is an upper bound of the time that a claim takes to reach the other entries while the log is
+	// reachable.
+	claimDelayMargin = 5 * timer.Second
 )
 
-// unknownSidecars stands for sidecars that started tasks and that no remaining member of the roster may know.
+// unknownSidecars stands for sidecars that may have started tasks but may be unknown to every remaining member of the
+// roster.
 var unknownSidecars = encoder.Member{ID: "unknown sidecars"}
 
 type (
-	// takeover is the state of the keys that this entry gained and the evidence about them.
+	// takeover is the state of the keys that this entry gained, and the evidence of which of their tasks were started.
 	takeover struct {
-		state    string
-		chain    []encoder.Roster // former rosters under which the keys were not settled yet
-		past     []pastRoster     // former rosters within the retention
-		adopted  timer.Millis
-		majority timer.Millis
-		asked    timer.Millis
-		answered map[encoder.Member]uint64       // sidecar to the epoch of its last complete answer
-		others   map[encoder.Member]timer.Millis // sidecars that peers know, with the time when they were told of
-		reported map[encoder.Member]timer.Millis // sidecars that peers knew, too, by the answers to the peer census
-		missing  map[encoder.Member]timer.Millis // sidecars whose evidence is lost, with the last time they could start
-		stopped  map[encoder.Member]timer.Millis // entries that left the roster at their own request
-		keys     map[string]reportedKey          // keys that peers reported
-		handed   map[string]handed               // submissions that leaving entries handed over
-		evidence map[string]*evidence
+		state            string
+		unsettledRosters []encoder.Roster // former rosters since the ownership of the keys was last settled
+		pastRosters      []pastRoster     // former rosters within the retention
+		adoptedAt        timer.Millis
+		supersededAt     timer.Millis                    // when formerRostersSuperseded first held
+		lastCensus       timer.Millis                    // when the census was last sent to all
+		answeredEpochs   map[encoder.Member]uint64       // sidecars that answered; epoch of the last complete answer
+		peerSidecars     map[encoder.Member]timer.Millis // sidecars known here or to peers; time of the last report
+		reportedSidecars map[encoder.Member]timer.Millis // sidecars in peer census replies; last time with a session
+		missingEvidence  map[encoder.Member]timer.Millis // sidecars without evidence; time of the last possible start
+		leftEntries      map[encoder.Member]timer.Millis // entries that left by their own leave record; time of the leave
+		reportedKeys     map[string]reportedKey          // keys that peers reported
+		handovers        map[string]handoverRecord       // submissions handed over by leaving entries
+		evidence         map[string]*evidence
 	}
 
-	// reportedKey is a key that a peer reported. First is the earliest time at which a peer saw it.
-	reportedKey struct{ first, at timer.Millis }
+	// reportedKey describes a key that a peer reported. firstSeen is the earliest time at which a peer saw it.
+	reportedKey struct{ firstSeen, reportedAt timer.Millis }
 
-	// handed lists the tasks of a submission that its former owner may have started, by index. It started no others.
-	handed struct {
-		at      timer.Millis
-		started []uint32
+	// handoverRecord lists the indices of the tasks of a submission that its former owner may have started. No other tasks
+	// were started.
+	handoverRecord struct {
+		receivedAt timer.Millis
+		started    []uint32
 	}
 
 	pastRoster struct {
-		roster encoder.Roster
-		until  timer.Millis
+		roster     encoder.Roster
+		replacedAt timer.Millis
 	}
 
-	// evidence lists the started tasks of a submission.
+	// evidence lists the tasks of a submission that are known to be started.
 	evidence struct {
-		at    timer.Millis
-		tasks []started
+		updatedAt timer.Millis
+		tasks     []startedTask
 	}
 
-	started struct {
+	startedTask struct {
 		index   uint32
 		status  encoder.Status
-		sidecar *encoder.Member // nil when the former owner told of it
+		sidecar *encoder.Member // nil if reported by the former owner
 		body    []byte
 		reason  string
 	}
 )
 
-// change begins a takeover after the roster prev was replaced. Submissions that another entry owned at any time since
-// are held until the census is done.
-func (c *Core) change(prev encoder.Roster) {
+// beginTakeover begins a takeover after the roster prev was replaced. Submissions that another entry owned at any time since
+// the last settled roster are held until the census is complete.
+func (c *Core) beginTakeover(prev encoder.Roster) {
 	t := &c.takeover
-	t.past = append(t.past, pastRoster{prev, c.now})
-	t.chain = append(t.chain, prev)
-	t.adopted, t.asked = c.now, c.now
+	t.pastRosters = append(t.pastRosters, pastRoster{prev, c.now})
+	t.unsettledRosters = append(t.unsettledRosters, prev)
+	t.adoptedAt, t.lastCensus = c.now, c.now
 	step(takeoverChart, &t.state, eventChange)
 	c.counters.Takeovers++
 	if c.draining && !c.joined {
 		c.handOverAnswers()
 	}
-	for key := range t.handed {
-		if !c.owns(c.roster, key) {
-			delete(t.handed, key)
+	for key := range t.handovers {
+		if !c.isOwner(c.roster, key) {
+			delete(t.handovers, key)
 		}
 	}
-	for _, s := range c.jobs {
-		mine := c.owns(c.roster, s.key)
-		if (!mine || c.gained(s.key)) && s.state != stateEnded {
-			c.move(s)
+	for _, s := range c.submissions {
+		owned := c.isOwner(c.roster, s.key)
+		if (!owned || c.ownedByOther(s.key)) && s.state != submissionEnded {
+			c.moveSubmission(s)
 		}
 	}
 	if !c.joined {
 		return
 	}
 	for _, sc := range c.sidecars {
-		c.askSidecar(sc)
+		c.sendCensus(sc)
 	}
 	for _, p := range c.peers {
-		c.askPeer(p)
+		c.sendPeerCensus(p)
 	}
 	c.tickTakeover()
 }
 
-// gained reports whether another entry or incarnation owned the key since the keys were last settled.
-func (c *Core) gained(key string) bool {
-	for _, r := range c.takeover.chain {
-		if !c.owns(r, key) {
+// ownedByOther reports whether another entry or incarnation has owned the key since ownership was last settled.
+func (c *Core) ownedByOther(key string) bool {
+	for _, r := range c.takeover.unsettledRosters {
+		if !c.isOwner(r, key) {
 			return true
 		}
 	}
 	return false
 }
 
-// settled reports whether this entry may start work for a key that it owns.
-func (c *Core) settled(key string) bool {
-	return c.joined && (len(c.takeover.chain) == 0 || !c.gained(key))
+// isSettled reports whether this entry may start tasks of a key that it owns.
+func (c *Core) isSettled(key string) bool {
+	return c.joined && (len(c.takeover.unsettledRosters) == 0 || !c.ownedByOther(key))
 }
 
-// known reports whether a former owner may have started tasks of the key.
-func (c *Core) known(key string) bool {
-	formerly := false
-	for i := range c.takeover.past {
-		formerly = formerly || !c.owns(c.takeover.past[i].roster, key)
+// formerOwnerMayHaveStarted reports whether a former owner may have started tasks of the key.
+func (c *Core) formerOwnerMayHaveStarted(key string) bool {
+	ownedByOther := false
+	for i := range c.takeover.pastRosters {
+		ownedByOther = ownedByOther || !c.isOwner(c.takeover.pastRosters[i].roster, key)
 	}
-	if !formerly {
+	if !ownedByOther {
 		return false
 	}
-	if c.passedBeside(key, c.self) {
+	if c.mayHaveOtherOwner(key, c.self) {
 		return true
 	}
-	if _, ok := c.takeover.keys[key]; ok || c.takeover.evidence[key] != nil {
+	if _, ok := c.takeover.reportedKeys[key]; ok || c.takeover.evidence[key] != nil {
 		return true
 	}
-	s := c.jobs[key]
-	return c.claims.seen.has(c.hash(key)) || s != nil && s.regained
+	s := c.submissions[key]
+	return c.claims.loggedKeys.has(c.hashKey(key)) || s != nil && s.ownedElsewhere
 }
 
-// complete reports whether every sidecar that can have started tasks of the key has told so. A sidecar that was lost
-// before the key was first seen cannot have started any.
-func (c *Core) complete(key string) bool {
-	passed, ok := c.passed[key]
-	first := passed.at
-	if k, reported := c.takeover.keys[key]; reported && (!ok || k.first < first) {
-		first = k.first
-	}
-	for _, lost := range c.takeover.missing {
-		if lost+seenMargin >= first {
+// hasCompleteEvidence reports whether every sidecar that may have started tasks of the key has answered the census. A
+// sidecar that was lost before the key was first seen cannot have started any.
+func (c *Core) hasCompleteEvidence(key string) bool {
+	owners, ok := c.knownOwners[key]
+	firstSeen := owners.firstSeen
+	if k, reported := c.takeover.reportedKeys[key]; reported && (!ok || k.firstSeen < firstSeen) {
+		firstSeen = k.firstSeen
+	}
+	for _, lastStart := range c.takeover.missingEvidence {
+		if lastStart+claimDelayMargin >= firstSeen {
 			return false
 		}
 	}
 	return true
 }
 
-// move hands the callers of a submission over to its owner. The tasks stay as evidence for the case that the key comes
-// back.
-func (c *Core) move(s *submission) {
-	held := s.state == stateHeld
+// moveSubmission routes the callers of a submission to its new owner. The tasks are kept as evidence in case the key returns
+// to this entry.
+func (c *Core) moveSubmission(s *submission) {
+	held := s.state == submissionHeld
 	if !step(submissionChart, &s.state, eventMove) {
 		return
 	}
 	c.queue.CancelJob(s.key)
-	s.regained, s.moved = true, c.now
+	s.ownedElsewhere, s.movedAt = true, c.now
 	waiters := s.waiters
 	s.waiters = nil
 	job := encoder.Job{Key: s.key, Team: s.team, Tasks: s.specs, Once: s.once}
@@ -170,27 +173,28 @@
 		job.Deadline = max(1, s.deadline-c.now)
 	}
 	if c.draining && !c.joined {
-		// After a removal another entry may have started tasks since, so only a leaver can be certain.
-		c.handOver(s, job, !held && c.left)
+		// After a removal, another entry may have started tasks in the meantime. Only an entry that left by its own leave
+		// record knows all starts.
+		c.handOverSubmission(s, job, !held && c.leftVoluntarily)
 	}
-	if len(waiters) == 0 && c.owns(c.roster, s.key) {
-		waiters = []waiter{{}} // nobody waits, but the job goes on
+	if len(waiters) == 0 && c.isOwner(c.roster, s.key) {
+		waiters = []waiter{{}} // no caller waits, but the job continues
 	}
 	for _, w := range waiters {
 		c.route(w, encoder.RequestSubmit, job, 0)
 	}
 }
 
-func (c *Core) askSidecar(sc *sidecar) {
-	if sc.session == 0 || !c.joined || c.takeover.answered[sc.hello.Member] >= c.roster.Epoch {
+func (c *Core) sendCensus(sc *sidecar) {
+	if sc.session == 0 || !c.joined || c.takeover.answeredEpochs[sc.hello.Member] >= c.roster.Epoch {
 		return
 	}
-	sc.asked = c.roster.Epoch
+	sc.censusEpoch = c.roster.Epoch
 	c.send(sc.session, &encoder.Census{Roster: c.roster})
 }
 
-func (c *Core) askPeer(p *peer) {
-	if _, listed := elector.Find(c.roster, p.member.ID); !listed || !c.joined || p.census >= c.roster.Epoch {
+func (c *Core) sendPeerCensus(p *peer) {
+	if _, listed := elector.Find(c.roster, p.member.ID); !listed || !c.joined || p.censusEpoch >= c.roster.Epoch {
 		return
 	}
 	if id := p.session(); id != 0 {
@@ -198,71 +202,71 @@
 	}
 }
 
-// tickTakeover moves the takeover on when its conditions hold.
+// tickTakeover repeats the census while it is incomplete, and advances the takeover when its conditions hold.
 func (c *Core) tickTakeover() {
 	t := &c.takeover
-	c.sweepTakeover()
-	if t.state == takeoverPartial && len(t.missing) == 0 {
+	c.removeExpiredEvidence()
+	if t.state == takeoverPartial && len(t.missingEvidence) == 0 {
 		step(takeoverChart, &t.state, eventAnswered)
 	}
-	if len(t.chain) == 0 || !c.joined {
+	if len(t.unsettledRosters) == 0 || !c.joined {
 		return
 	}
-	if c.now-t.asked >= askAgain {
-		t.asked = c.now
+	if c.now-t.lastCensus >= censusRetryInterval {
+		t.lastCensus = c.now
 		for _, sc := range c.sidecars {
-			c.askSidecar(sc)
+			c.sendCensus(sc)
 		}
 		for _, p := range c.peers {
-			c.askPeer(p)
+			c.sendPeerCensus(p)
 		}
 	}
-	if t.state == takeoverWaiting && c.leftBehind() && step(takeoverChart, &t.state, eventMajority) {
-		t.majority = c.now
+	if t.state == takeoverWaiting && c.formerRostersSuperseded() && step(takeoverChart, &t.state, eventMajority) {
+		t.supersededAt = c.now
 	}
 	if t.state != takeoverAsking {
 		return
 	}
-	pending, lost := c.unanswered()
+	pending, unanswered := c.unansweredSidecars()
 	switch {
-	case !c.peersAnswered():
+	case !c.allPeersAnswered():
 		return
-	case pending == 0 && len(lost) == 0:
+	case pending == 0 && len(unanswered) == 0:
 		step(takeoverChart, &t.state, eventAnswered)
-	case (pending == 0 || c.now-t.majority >= takeoverWait) && c.confirmed[StreamClaims] >= t.adopted:
+	case (pending == 0 || c.now-t.supersededAt >= takeoverTimeout) && c.confirmations[StreamClaims] >= t.adoptedAt:
 		step(takeoverChart, &t.state, eventExpire)
-		if t.missing == nil {
-			t.missing = map[encoder.Member]timer.Millis{}
+		if t.missingEvidence == nil {
+			t.missingEvidence = map[encoder.Member]timer.Millis{}
 		}
-		for m, at := range lost {
-			t.missing[m] = at
+		for m, at := range unanswered {
+			t.missingEvidence[m] = at
 		}
 	default:
 		return
 	}
-	t.chain = nil
-	for _, s := range c.jobs {
-		if s.state == stateHeld && c.owns(c.roster, s.key) {
+	t.unsettledRosters = nil
+	for _, s := range c.submissions {
+		if s.state == submissionHeld && c.isOwner(c.roster, s.key) {
 			c.admit(s)
 		}
 	}
-	c.place()
+	c.placeTasks()
 }
 
-// leftBehind reports whether at least half of each former roster has reported the roster after it, so that the rest can
-// form no majority that attests a log outage under the former one.
-func (c *Core) leftBehind() bool {
+// formerRostersSuperseded reports whether at least half of each former roster has left or has reported the epoch of the next
+// roster. The rest can then form no majority that attests a log outage under the former roster.
+func (c *Core) formerRostersSuperseded() bool {
 	t := &c.takeover
-	for i, r := range t.chain {
+	for i, r := range t.unsettledRosters {
 		epoch := c.roster.Epoch
-		if i+1 < len(t.chain) {
-			epoch = t.chain[i+1].Epoch
+		if i+1 < len(t.unsettledRosters) {
+			epoch = t.unsettledRosters[i+1].Epoch
 		}
 		count := 0
 		for _, e := range r.Entries {
-			_, stopped := t.stopped[e.Member]
+			_, left := t.leftEntries[e.Member]
 			p := c.peers[e.Member.ID]
-			if e.Member.ID == c.self.ID || stopped || p != nil && p.epoch >= epoch {
+			if e.Member.ID == c.self.ID || left || p != nil && p.highestEpoch >= epoch {
 				count++
 			}
 		}
@@ -273,164 +277,164 @@
 	return true
 }
 
-// unanswered counts the sidecars whose answer has to be awaited, and returns all whose evidence is lacking with the last
-// time at which they can have started a task.
-func (c *Core) unanswered() (pending int, lost map[encoder.Member]timer.Millis) {
+// unansweredSidecars returns the sidecars without evidence, with the last time at which each may have started a task, and
+// the number of those whose answer has to be awaited.
+func (c *Core) unansweredSidecars() (pending int, unanswered map[encoder.Member]timer.Millis) {
 	t := &c.takeover
-	lost = map[encoder.Member]timer.Millis{}
+	unanswered = map[encoder.Member]timer.Millis{}
 	check := func(m encoder.Member, last timer.Millis) {
-		if t.answered[m] < c.roster.Epoch {
-			lost[m] = max(lost[m], last)
+		if t.answeredEpochs[m] < c.roster.Epoch {
+			unanswered[m] = max(unanswered[m], last)
 		}
 	}
 	for _, sc := range c.sidecars {
 		last := c.now
 		if sc.session == 0 {
-			last = sc.down
+			last = sc.disconnectedAt
 		}
 		check(sc.hello.Member, last)
 	}
-	for m, at := range c.gone {
+	for m, at := range c.lostSidecars {
 		check(m, at)
 	}
-	for m, at := range t.others {
+	for m, at := range t.peerSidecars {
 		check(m, at)
 	}
-	if _, doubts := c.doubts(); doubts {
-		for m, at := range t.reported {
+	if _, mayMiss := c.mayMissSidecars(); mayMiss {
+		for m, at := range t.reportedSidecars {
 			check(m, at)
 		}
 	}
-	if last, ok := c.unknown(); ok {
+	if last, ok := c.lastUnknownSidecarStart(); ok {
 		check(unknownSidecars, last)
 	}
-	for m, last := range lost {
-		now := c.sidecars[m.ID]
-		replaced := now != nil && now.hello.Member.Incarnation > m.Incarnation
-		if !replaced && c.now-last < lostWait {
+	for m, last := range unanswered {
+		current := c.sidecars[m.ID]
+		replaced := current != nil && current.hello.Member.Incarnation > m.Incarnation
+		if !replaced && c.now-last < lostSidecarWait {
 			pending++
 		}
 	}
-	return pending, lost
+	return pending, unanswered
 }
 
-// peersAnswered reports whether the other members told the keys and sidecars that they know.
-func (c *Core) peersAnswered() bool {
+// allPeersAnswered reports whether all other members have answered the peer census completely.
+func (c *Core) allPeersAnswered() bool {
 	for _, e := range c.roster.Entries {
-		if p := c.peers[e.Member.ID]; e.Member.ID != c.self.ID && (p == nil || p.census < c.roster.Epoch) {
+		if p := c.peers[e.Member.ID]; e.Member.ID != c.self.ID && (p == nil || p.censusEpoch < c.roster.Epoch) {
 			return false
 		}
 	}
 	return true
 }
 
-// unknown returns the last time at which a sidecar that nobody knows any more can have started tasks under the former
-// rosters. ok is false when there is none: a sidecar accepts starts only when each member knows it, so one member without
-// doubts that remains of each roster knows all of them.
-func (c *Core) unknown() (last timer.Millis, ok bool) {
-	for _, r := range c.takeover.chain {
-		doubt, doubted := c.now, len(r.Entries) > 0
+// lastUnknownSidecarStart returns the last time at which a sidecar that no member knows any more may have started tasks
+// under the former rosters. ok is false if there is no such sidecar: a sidecar accepts starts only if each member knows it,
+// so one remaining member of each roster that is certain to know all sidecars is sufficient.
+func (c *Core) lastUnknownSidecarStart() (last timer.Millis, ok bool) {
+	for _, r := range c.takeover.unsettledRosters {
+		rosterLast, incomplete := c.now, len(r.Entries) > 0
 		for _, e := range r.Entries {
-			now, listed := elector.Find(c.roster, e.Member.ID)
-			if !listed || now.Member != e.Member {
+			current, listed := elector.Find(c.roster, e.Member.ID)
+			if !listed || current.Member != e.Member {
 				continue
 			}
-			at, doubts := c.takeover.missing[unknownSidecars]
+			at, mayMiss := c.takeover.missingEvidence[unknownSidecars]
 			if e.Member != c.self {
 				p := c.peers[e.Member.ID]
-				if p == nil || p.census != c.roster.Epoch {
+				if p == nil || p.censusEpoch != c.roster.Epoch {
 					continue
 				}
-				at, doubts = p.doubted, p.doubts == c.roster.Epoch
+				at, mayMiss = p.lastUnknownSidecarStart, p.incompleteEpoch == c.roster.Epoch
 			}
-			doubt, doubted = min(doubt, at), doubted && doubts
+			rosterLast, incomplete = min(rosterLast, at), incomplete && mayMiss
 		}
-		if doubted {
-			last, ok = max(last, doubt), true
+		if incomplete {
+			last, ok = max(last, rosterLast), true
 		}
 	}
 	return last, ok
 }
 
-// doubts reports whether there may be sidecars that accepted starts under the former rosters and that this entry does
-// not know, and the last time at which they can have started tasks.
-func (c *Core) doubts() (last timer.Millis, ok bool) {
-	for _, r := range c.takeover.chain {
-		if me, listed := elector.Find(r, c.self.ID); len(r.Entries) > 0 && (!listed || me.Member != c.self) {
+// mayMissSidecars reports whether sidecars unknown to this entry may have accepted starts under the former rosters, and the
+// last time at which they may have started tasks.
+func (c *Core) mayMissSidecars() (last timer.Millis, ok bool) {
+	for _, r := range c.takeover.unsettledRosters {
+		if self, listed := elector.Find(r, c.self.ID); len(r.Entries) > 0 && (!listed || self.Member != c.self) {
 			return c.now, true
 		}
 	}
 	if !c.joined {
 		return c.now, true
 	}
-	last, ok = c.takeover.missing[unknownSidecars]
+	last, ok = c.takeover.missingEvidence[unknownSidecars]
 	return last, ok
 }
 
-// lost describes the sidecars whose evidence is missing, for the log.
-func (t *takeover) lost() string {
-	if len(t.missing) == 0 {
+// missingSummary describes the sidecars without evidence for the log line, or returns "".
+func (t *takeover) missingSummary() string {
+	if len(t.missingEvidence) == 0 {
 		return ""
 	}
-	names := make([]string, 0, len(t.missing))
-	for m := range t.missing {
+	names := make([]string, 0, len(t.missingEvidence))
+	for m := range t.missingEvidence {
 		names = append(names, m.ID)
 	}
 	slices.Sort(names)
 	return "; without the evidence of " + strings.Join(names, ", ")
 }
 
-func (c *Core) sweepTakeover() {
+func (c *Core) removeExpiredEvidence() {
 	t := &c.takeover
-	old := c.now - c.settings.KeyRetention
-	for len(t.past) > 0 && t.past[0].until < old {
-		t.past = t.past[1:]
+	cutoff := c.now - c.settings.KeyRetention
+	for len(t.pastRosters) > 0 && t.pastRosters[0].replacedAt < cutoff {
+		t.pastRosters = t.pastRosters[1:]
 	}
-	if c.now != c.lastSweep {
+	if c.now != c.lastCleanup {
 		return
 	}
-	for key, s := range c.jobs {
-		if s.state == stateMoved && s.moved < old && step(submissionChart, &s.state, eventEnd) {
-			delete(c.jobs, key)
-			s.release()
+	for key, s := range c.submissions {
+		if s.state == submissionMoved && s.movedAt < cutoff && step(submissionChart, &s.state, eventEnd) {
+			delete(c.submissions, key)
+			s.detachSidecars()
 		}
 	}
-	for _, list := range []map[encoder.Member]timer.Millis{t.others, t.reported, t.missing, t.stopped} {
+	for _, list := range []map[encoder.Member]timer.Millis{t.peerSidecars, t.reportedSidecars, t.missingEvidence, t.leftEntries} {
 		for m, at := range list {
-			if at < old {
+			if at < cutoff {
 				delete(list, m)
 			}
 		}
 	}
-	for key, k := range t.keys {
-		if k.at < old {
-			delete(t.keys, key)
+	for key, k := range t.reportedKeys {
+		if k.reportedAt < cutoff {
+			delete(t.reportedKeys, key)
 		}
 	}
-	for key, h := range t.handed {
-		if h.at < old {
-			delete(t.handed, key)
+	for key, h := range t.handovers {
+		if h.receivedAt < cutoff {
+			delete(t.handovers, key)
 		}
 	}
 	for key, e := range t.evidence {
-		if e.at < old {
+		if e.updatedAt < cutoff {
 			delete(t.evidence, key)
 		}
 	}
 }
 
-// heard notes a sidecar that a peer has a session to.
-func (t *takeover) heard(m encoder.Member, now timer.Millis) {
-	if t.others == nil {
-		t.others = map[encoder.Member]timer.Millis{}
+// sidecarSeen records a sidecar that this entry or a peer has a session to.
+func (t *takeover) sidecarSeen(m encoder.Member, now timer.Millis) {
+	if t.peerSidecars == nil {
+		t.peerSidecars = map[encoder.Member]timer.Millis{}
 	}
-	t.others[m] = now
+	t.peerSidecars[m] = now
 }
 
-// left notes an entry that has left the roster at its own request and starts nothing any more.
-func (t *takeover) left(m encoder.Member, now timer.Millis) {
-	if t.stopped == nil {
-		t.stopped = map[encoder.Member]timer.Millis{}
+// entryLeft records an entry that left the roster by its own leave record and starts no tasks any more.
+func (t *takeover) entryLeft(m encoder.Member, now timer.Millis) {
+	if t.leftEntries == nil {
+		t.leftEntries = map[encoder.Member]timer.Millis{}
 	}
-	t.stopped[m] = now
+	t.leftEntries[m] = now
 }
