--- a/commander/commands.go
+++ b/commander/commands.go
@@ -6,33 +6,33 @@
 
 // commands lists the subcommands in the order of the overview.
 func commands() []command {
-	limit := loader.Setting{Name: "limit", Unit: loader.UnitCount, Default: "20", Min: 1, Max: 1000, Meaning: "number of notes to show"}
-	key := loader.Setting{Name: "key", Meaning: "idempotency key; a random one when empty"}
-	dryRun := loader.Setting{Name: "dryRun", Unit: loader.UnitSwitch, Default: "false", Meaning: "check the note and show the differences without publishing it"}
-	format := loader.Setting{Name: "format", Default: "text", Meaning: "format of the report: text, json or html", Check: oneOf("text", "json", "html")}
-	entryRules := append(guarded("httpAddress", "address", "advertise"),
-		loader.Rule{Names: []string{"advertise", "address"}, Check: reachable},
-		loader.Rule{Names: []string{"burnShortMs", "burnLongMs"}, Check: windows}, memberRule)
-	sidecarRules := []loader.Rule{{Names: []string{"entries", secret.Name}, Check: remote}, memberRule}
+	limitSetting := loader.Setting{Name: "limit", Unit: loader.UnitCount, Default: "20", Min: 1, Max: 1000, Meaning: "number of notes to show"}
+	keySetting := loader.Setting{Name: "key", Meaning: "idempotency key; a random one when empty"}
+	dryRunSetting := loader.Setting{Name: "dryRun", Unit: loader.UnitSwitch, Default: "false", Meaning: "check the note and show the differences without publishing it"}
+	formatSetting := loader.Setting{Name: "format", Default: "text", Meaning: "format of the report: text, json or html", Check: checkOneOf("text", "json", "html")}
+	entryRules := append(requireSecretAndToken("httpAddress", "address", "advertise"),
+		loader.Rule{Names: []string{"advertise", "address"}, Check: checkAdvertise},
+		loader.Rule{Names: []string{"burnShortMs", "burnLongMs"}, Check: checkBurnWindows}, membershipRule)
+	sidecarRules := []loader.Rule{{Names: []string{"entries", secret.Name}, Check: requireSecretForEntries}, membershipRule}
 	return []command{
 		{name: "entry", summary: "Run an entry, which accepts jobs and places their tasks", settings: entrySettings,
 			rules: entryRules, run: runEntry},
 		{name: "sidecar", summary: "Run a sidecar, which starts tasks on the backend server beside it", settings: sidecarSettings,
 			rules: sidecarRules, run: runSidecar},
 		{name: "demo", summary: "Run a whole installation on loopback, check its promises and end", settings: demoSettings, run: runDemo},
-		{name: "job submit", args: "[FILE]", count: 1, optional: true, summary: "Submit a job from a JSON file or standard input and wait for its answer",
-			settings: with(clientSettings, key), run: submitJob},
-		{name: "job get", args: "KEY", count: 1, summary: "Show the state of a submission", settings: clientSettings, run: getJob},
-		{name: "job cancel", args: "KEY", count: 1, summary: "Cancel a submission", settings: clientSettings, run: cancelJob},
-		{name: "note publish", args: "[FILE]", count: 1, optional: true, summary: "Publish a configuration change from a JSON file or standard input",
-			settings: with(clientSettings, dryRun), run: publishNote},
-		{name: "note history", summary: "Show the newest configuration changes", settings: with(clientSettings, limit), run: showHistory},
-		{name: "domain withdraw", args: "NAME", count: 1, summary: "Withdraw a failure domain from service", settings: with(clientSettings, author), run: withdrawDomain},
-		{name: "domain return", args: "NAME", count: 1, summary: "Return a failure domain to service", settings: with(clientSettings, author), run: returnDomain},
+		{name: "job submit", args: "[FILE]", argCount: 1, optionalArgs: true, summary: "Submit a job from a JSON file or standard input and wait for its answer",
+			settings: withSettings(clientSettings, keySetting), run: submitJob},
+		{name: "job get", args: "KEY", argCount: 1, summary: "Show the state of a submission", settings: clientSettings, run: getJob},
+		{name: "job cancel", args: "KEY", argCount: 1, summary: "Cancel a submission", settings: clientSettings, run: cancelJob},
+		{name: "note publish", args: "[FILE]", argCount: 1, optionalArgs: true, summary: "Publish a configuration change from a JSON file or standard input",
+			settings: withSettings(clientSettings, dryRunSetting), run: publishNote},
+		{name: "note history", summary: "Show the newest configuration changes", settings: withSettings(clientSettings, limitSetting), run: showHistory},
+		{name: "domain withdraw", args: "NAME", argCount: 1, summary: "Withdraw a failure domain from service", settings: withSettings(clientSettings, author), run: withdrawDomain},
+		{name: "domain return", args: "NAME", argCount: 1, summary: "Return a failure domain to service", settings: withSettings(clientSettings, author), run: returnDomain},
 		{name: "status", summary: "Show the state of an entry and of the processes it knows", settings: clientSettings, run: showStatus},
-		{name: "burn", summary: "Show the service-level burn report", settings: with(clientSettings, format), run: showBurn},
-		{name: "settings list", args: "[SUBCOMMAND]", count: 2, optional: true, summary: "List all settings, or those of a subcommand", settings: []loader.Setting{asJSON}, run: listSettings},
-		{name: "settings check", args: "SUBCOMMAND [flags]", summary: "Check the settings of a subcommand without starting it", settings: []loader.Setting{asJSON}},
-		{name: "version", summary: "Show the version", settings: []loader.Setting{asJSON}, run: showVersion},
+		{name: "burn", summary: "Show the service-level burn report", settings: withSettings(clientSettings, formatSetting), run: showBurn},
+		{name: "settings list", args: "[SUBCOMMAND]", argCount: 2, optionalArgs: true, summary: "List all settings, or those of a subcommand", settings: []loader.Setting{jsonOutput}, run: listSettings},
+		{name: "settings check", args: "SUBCOMMAND [flags]", summary: "Check the settings of a subcommand without starting it", settings: []loader.Setting{jsonOutput}},
+		{name: "version", summary: "Show the version", settings: []loader.Setting{jsonOutput}, run: showVersion},
 	}
 }
--- a/commander/demo.go
+++ b/commander/demo.go
@@ -16,114 +16,114 @@
 )
 
 const (
-	demoLimit    = 24 * time.Second // with the drain at the end, the demo takes less than 30 s
-	demoSpan     = 12 * timer.Second
-	demoReady    = 8 * timer.Second
-	demoWithdraw = demoSpan / 3
-	demoReturn   = demoSpan * 2 / 3
-	demoBound    = 3 * timer.Second // longest time from the acceptance of a withdrawal to the last start
-	demoWait     = 15 * timer.Second
-	demoDomain   = "south"
-	demoLast     = 9 // jobs in flight when an entry is drained
+	demoTimeout            = 24 * time.Second // with the drain at the end, the demo takes less than 30 s
+	demoLoadDuration       = 12 * timer.Second
+	demoReadyTimeout       = 8 * timer.Second
+	demoWithdrawTime       = demoLoadDuration / 3
+	demoReturnTime         = demoLoadDuration * 2 / 3
+	demoMaxWithdrawalDelay = 3 * timer.Second // longest time from the acceptance of a withdrawal to the last start
+	demoAnswerTimeout      = 15 * timer.Second
+	demoWithdrawnDomain    = "south"
+	demoDrainJobs          = 9 // jobs in flight when an entry is drained
 )
 
 type (
 	// demo is one run. Points in time are those of the clock.
 	demo struct {
-		layout *layout
-		clock  timer.Clock
-		jobs   []demoJob
-		begun  timer.Millis
-		mu     sync.Mutex
-		calls  []demoCall
+		cluster     *demoCluster
+		clock       timer.Clock
+		jobs        []demoJob
+		loadStart   timer.Millis
+		mu          sync.Mutex
+		submissions []demoSubmission
 
-		withdrawn, accepted timer.Millis
-		returning, returned timer.Millis
-		inForce             timer.Millis // from the request to withdraw until all processes obeyed
-		messages, wasted    float64      // starts, results and refusals per task
-		allMessages         float64      // per task
+		withdrawRequested, withdrawAccepted timer.Millis
+		returnRequested, returnAccepted     timer.Millis
+		propagationTime                     timer.Millis // from the request to withdraw until all processes obeyed
+		taskMessages, wastedMessages        float64      // starts, results and refusals per task
+		allMessages                         float64      // per task
 	}
 
 	// demoCall is one submission of a job and what came back.
-	demoCall struct {
-		job    *demoJob
-		again  bool
-		status int
-		answer encoder.Answer
-		took   timer.Millis
-		err    error
+	demoSubmission struct {
+		job         *demoJob
+		resubmitted bool
+		status      int
+		answer      encoder.Answer
+		elapsed     timer.Millis
+		err         error
 	}
 )
 
-func runDemo(ctx context.Context, c call) int {
-	ctx, cancel := context.WithTimeout(ctx, demoLimit)
+func runDemo(ctx context.Context, c invocation) int {
+	ctx, cancel := context.WithTimeout(ctx, demoTimeout)
 	defer cancel()
-	d := &demo{jobs: demoMix(uint64(c.values.Count("seed")), int(c.values.Count("jobs")), demoEntries, demoSpan)}
+	d := &demo{jobs: generateDemoJobs(uint64(c.values.Count("seed")), int(c.values.Count("jobs")), demoEntries, demoLoadDuration)}
 	var err error
-	if d.layout, err = startLayout(ctx, c.logger()); err != nil {
+	if d.cluster, err = startDemoCluster(ctx, c.logger()); err != nil {
 		return c.fail(err)
 	}
-	if err = d.layout.ready(ctx, demoReady); err == nil {
-		err = d.load(ctx)
+	if err = d.cluster.awaitReady(ctx, demoReadyTimeout); err == nil {
+		err = d.runLoad(ctx)
 	}
 	if err != nil {
-		return c.fail(trace.NewAggregate(err, d.layout.stop()))
+		return c.fail(trace.NewAggregate(err, d.cluster.stop()))
 	}
-	err = d.layout.stop()
-	r := d.report()
+	err = d.cluster.stop()
+	report := d.report()
 	if err != nil {
-		r.broken("a planned stop was not graceful: %v", err)
+		report.addViolation("a planned stop was not graceful: %v", err)
 	}
-	if err := c.showDemo(r); err != nil {
+	if err := c.printDemoReport(report); err != nil {
 		return c.fail(err)
 	}
-	if len(r.Broken) > 0 {
+	if len(report.Violations) > 0 {
 		return ExitFailure
 	}
 	return ExitSuccess
 }
 
 // load submits all jobs, withdraws and returns a failure domain on the way, and drains an entry at the end.
-func (d *demo) load(ctx context.Context) error {
-	d.begun = d.clock.Now()
-	var calls sync.WaitGroup
+func (d *demo) runLoad(ctx context.Context) error {
+	d.loadStart = d.clock.Now()
+	var submissions sync.WaitGroup
 	for i := range d.jobs {
 		j := &d.jobs[i]
-		calls.Go(func() { d.submit(ctx, j, j.entry, j.at, false) })
-		if j.other >= 0 {
-			calls.Go(func() { d.submit(ctx, j, j.other, j.at+j.after, true) })
+		submissions.Go(func() { d.submit(ctx, j, j.entry, j.arrival, false) })
+		if j.resubmitEntry >= 0 {
+			submissions.Go(func() { d.submit(ctx, j, j.resubmitEntry, j.arrival+j.resubmitDelay, true) })
 		}
 	}
-	err := d.decide(ctx)
-	calls.Wait()
+	err := d.withdrawAndReturn(ctx)
+	submissions.Wait()
 	if err != nil {
 		return err
 	}
 	d.countMessages(ctx)
-	return d.drain(ctx)
+	return d.drainEntry(ctx)
 }
 
 // decide withdraws the failure domain and returns it, each through another entry.
-func (d *demo) decide(ctx context.Context) error {
-	d.until(ctx, demoWithdraw)
-	d.withdrawn = d.clock.Now()
-	r, err := d.layout.client(0).Withdraw(ctx, demoDomain, "demo")
+func (d *demo) withdrawAndReturn(ctx context.Context) error {
+	d.sleepUntil(ctx, demoWithdrawTime)
+	d.withdrawRequested = d.clock.Now()
+	r, err := d.cluster.client(0).Withdraw(ctx, demoWithdrawnDomain, "demo")
 	if err != nil {
 		return err
 	}
 	p, err := server.DecodePublication(r.Body)
 	// The answer waits until the withdrawal is in force, so the time of its acceptance is taken from the answer.
-	d.accepted, d.inForce = d.withdrawn+p.Took, p.InForce
+	d.withdrawAccepted, d.propagationTime = d.withdrawRequested+p.Took, p.InForce
 	if err != nil || !p.Accepted {
 		return trace.Errorf("the withdrawal was not accepted: status %d, %s", r.Status, r.Body)
 	}
-	d.until(ctx, demoReturn)
-	d.returning = d.clock.Now()
-	if r, err = d.layout.client(1).Return(ctx, demoDomain, "demo"); err != nil {
+	d.sleepUntil(ctx, demoReturnTime)
+	d.returnRequested = d.clock.Now()
+	if r, err = d.cluster.client(1).Return(ctx, demoWithdrawnDomain, "demo"); err != nil {
 		return err
 	}
 	p, err = server.DecodePublication(r.Body)
-	d.returned = d.returning + p.Took
+	d.returnAccepted = d.returnRequested + p.Took
 	if err != nil || !p.Accepted {
 		return trace.Errorf("the return was not accepted: status %d, %s", r.Status, r.Body)
 	}
@@ -131,41 +131,41 @@
 }
 
 // drain stops the last entry while jobs that were submitted to it are in flight. Each caller must get a whole answer.
-func (d *demo) drain(ctx context.Context) error {
-	last := make([]demoJob, demoLast)
-	var calls sync.WaitGroup
-	for i := range last {
-		last[i] = demoJob{key: fmt.Sprintf("last-%d", i), tasks: []timer.Millis{300, 400}, other: -1}
-		calls.Go(func() { d.submit(ctx, &last[i], demoEntries-1, 0, false) })
-	}
-	d.layout.started(ctx, func(s startRecord) bool { return s.job >= "last-" && s.job < "last-~" }, demoLast)
-	err := d.layout.entries[demoEntries-1].stop()
-	calls.Wait()
+func (d *demo) drainEntry(ctx context.Context) error {
+	jobs := make([]demoJob, demoDrainJobs)
+	var submissions sync.WaitGroup
+	for i := range jobs {
+		jobs[i] = demoJob{key: fmt.Sprintf("last-%d", i), runTimes: []timer.Millis{300, 400}, resubmitEntry: -1}
+		submissions.Go(func() { d.submit(ctx, &jobs[i], demoEntries-1, 0, false) })
+	}
+	d.cluster.awaitStarts(ctx, func(s startRecord) bool { return s.job >= "last-" && s.job < "last-~" }, demoDrainJobs)
+	err := d.cluster.entries[demoEntries-1].stop()
+	submissions.Wait()
 	return err
 }
 
-func (d *demo) submit(ctx context.Context, j *demoJob, entry int, at timer.Millis, again bool) {
-	d.until(ctx, at)
-	c := demoCall{job: j, again: again}
-	body, err := server.EncodeJob(j.job(), demoWait)
+func (d *demo) submit(ctx context.Context, j *demoJob, entry int, at timer.Millis, resubmitted bool) {
+	d.sleepUntil(ctx, at)
+	result := demoSubmission{job: j, resubmitted: resubmitted}
+	body, err := server.EncodeJob(j.encoderJob(), demoAnswerTimeout)
 	if err == nil {
-		begun := d.clock.Now()
+		started := d.clock.Now()
 		var r server.Response
-		r, err = d.layout.client(entry).Submit(ctx, j.key, body)
-		c.took, c.status = d.clock.Now()-begun, r.Status
+		r, err = d.cluster.client(entry).Submit(ctx, j.key, body)
+		result.elapsed, result.status = d.clock.Now()-started, r.Status
 		if err == nil {
-			c.answer, err = server.DecodeAnswer(r.Body)
+			result.answer, err = server.DecodeAnswer(r.Body)
 		}
 	}
-	c.err = err
+	result.err = err
 	d.mu.Lock()
-	d.calls = append(d.calls, c)
+	d.submissions = append(d.submissions, result)
 	d.mu.Unlock()
 }
 
 // until waits for a point of time after the start of the load.
-func (d *demo) until(ctx context.Context, at timer.Millis) {
-	wait := d.begun + at - d.clock.Now()
+func (d *demo) sleepUntil(ctx context.Context, offset timer.Millis) {
+	wait := d.loadStart + offset - d.clock.Now()
 	if wait <= 0 {
 		return
 	}
@@ -176,8 +176,8 @@
 }
 
 // showDemo prints the report as a table or as JSON.
-func (c call) showDemo(r demoReport) error {
-	if c.json() {
+func (c invocation) printDemoReport(r demoReport) error {
+	if c.jsonRequested() {
 		body, err := json.MarshalIndent(r.wire(), "", "  ")
 		if err != nil {
 			return trace.Wrap(err)
@@ -189,7 +189,7 @@
 	for _, row := range r.rows() {
 		_, _ = fmt.Fprintf(w, "%s\t%s\n", row[0], row[1])
 	}
-	for _, b := range r.Broken {
+	for _, b := range r.Violations {
 		_, _ = fmt.Fprintf(w, "BROKEN\t%s\n", b)
 	}
 	return trace.Wrap(w.Flush())
--- a/commander/demolayout.go
+++ b/commander/democluster.go
@@ -24,28 +24,28 @@
 
 // The layout is that of Lyhtyöljy, without the delays between its failure domains.
 const (
-	demoEntries  = 3
-	demoSidecars = 11
-	demoSlots    = 8
-	demoKind     = "sleep"
-	demoDrain    = 4 * timer.Second
-	demoAppend   = 4 * timer.Millisecond // a synced write of the log takes several ms
-	demoPeriod   = 10 * time.Millisecond
+	demoEntries      = 3
+	demoSidecars     = 11
+	demoSlots        = 8
+	demoTaskKind     = "sleep"
+	demoDrainTimeout = 4 * timer.Second
+	demoAppendDelay  = 4 * timer.Millisecond // a synced write of the log takes several ms
+	demoPollInterval = 10 * time.Millisecond
 )
 
 type (
 	// layout is an installation in one process: every part has its own loopback sockets.
-	layout struct {
-		recorder recorder
-		entries  []*part
-		sidecars []*part
-		web      *http.Client
-		token    string
-		cancel   context.CancelFunc
+	demoCluster struct {
+		starts     startRecorder
+		entries    []*demoProcess
+		sidecars   []*demoProcess
+		httpClient *http.Client
+		token      string
+		cancel     context.CancelFunc
 	}
 
 	// part is a running entry or sidecar.
-	part struct {
+	demoProcess struct {
 		process *entryProcess // of entries
 		url     string        // of entries
 		domain  string
@@ -54,16 +54,16 @@
 	}
 )
 
-var demoDomains = [...]string{"north", demoDomain, "west"}
+var demoDomains = [...]string{"north", demoWithdrawnDomain, "west"}
 
-func demoDomainOf(i int) string { return demoDomains[i%len(demoDomains)] }
+func demoDomainAt(i int) string { return demoDomains[i%len(demoDomains)] }
 
 // startLayout starts all parts with keys that are made for this run.
-func startLayout(ctx context.Context, logger *log.Logger) (*layout, error) {
+func startDemoCluster(ctx context.Context, logger *log.Logger) (*demoCluster, error) {
 	ctx, cancel := context.WithCancel(ctx)
-	l := &layout{
+	l := &demoCluster{
 		token: rand.Text(), cancel: cancel,
-		web: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 256}},
+		httpClient: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 256}},
 	}
 	if err := l.start(ctx, logger); err != nil {
 		return nil, trace.NewAggregate(err, l.stop())
@@ -71,39 +71,39 @@
 	return l, nil
 }
 
-func (l *layout) start(ctx context.Context, logger *log.Logger) error {
-	keys, err := messenger.Keys(rand.Text() + rand.Text())
+func (l *demoCluster) start(ctx context.Context, logger *log.Logger) error {
+	tlsConfig, err := messenger.Keys(rand.Text() + rand.Text())
 	if err != nil {
 		return err
 	}
-	platform := &emulator.Log{}
-	platform.Change(func(s *emulator.LogSettings) { s.AppendDelay = demoAppend })
-	logURL, err := emulator.ServeLog(ctx, "127.0.0.1:0", platform)
+	eventLog := &emulator.Log{}
+	eventLog.Change(func(s *emulator.LogSettings) { s.AppendDelay = demoAppendDelay })
+	logURL, err := emulator.ServeLog(ctx, "127.0.0.1:0", eventLog)
 	if err != nil {
 		return err
 	}
-	var addresses []string
+	var quicAddresses []string
 	for i := range demoEntries {
-		address, err := freeAddress(ctx)
+		quicAddress, err := freeAddress(ctx)
 		if err != nil {
 			return err
 		}
-		addresses = append(addresses, address)
+		quicAddresses = append(quicAddresses, quicAddress)
 		p := &entryProcess{
 			Entry: &dispatcher.Entry{
-				ID: fmt.Sprintf("entry-%d", i+1), Listen: address, Domain: demoDomainOf(i), TLS: keys, Logger: logger,
+				ID: fmt.Sprintf("entry-%d", i+1), Listen: quicAddress, Domain: demoDomainAt(i), TLS: tlsConfig, Logger: logger,
 				Log: &appender.Client{URL: logURL, Timeout: timer.Second},
 			},
-			Address: "127.0.0.1:0", Token: l.token, Guarded: true, Drain: demoDrain,
+			HTTPAddress: "127.0.0.1:0", Token: l.token, AllowNonLoopback: true, DrainTimeout: demoDrainTimeout,
 		}
-		web, err := p.start(ctx)
+		httpAddress, err := p.start(ctx)
 		if err != nil {
 			return err
 		}
-		l.entries = append(l.entries, launch(ctx, &part{process: p, url: "http://" + web, domain: p.Entry.Domain}, p.serve))
+		l.entries = append(l.entries, startProcess(ctx, &demoProcess{process: p, url: "http://" + httpAddress, domain: p.Entry.Domain}, p.serve))
 	}
 	for i := range demoSidecars {
-		if err := l.startSidecar(ctx, i, addresses, keys, logger); err != nil {
+		if err := l.startSidecar(ctx, i, quicAddresses, tlsConfig, logger); err != nil {
 			return err
 		}
 	}
@@ -111,25 +111,25 @@
 }
 
 // startSidecar starts a sidecar with its backend server.
-func (l *layout) startSidecar(ctx context.Context, i int, entries []string, keys *tls.Config, logger *log.Logger) error {
-	domain := demoDomainOf(i)
-	backend := &emulator.Backend{Slots: demoSlots, OnStart: l.recorder.in(domain)}
+func (l *demoCluster) startSidecar(ctx context.Context, i int, entries []string, tlsConfig *tls.Config, logger *log.Logger) error {
+	domain := demoDomainAt(i)
+	backend := &emulator.Backend{Slots: demoSlots, OnStart: l.starts.recordDomain(domain)}
 	url, err := backend.Serve(ctx, "127.0.0.1:0")
 	if err != nil {
 		return err
 	}
 	sidecar := &starter.Sidecar{
 		ID: fmt.Sprintf("sidecar-%d", i+1), Domain: domain, Worker: fmt.Sprintf("worker-%d", i+1), Slots: demoSlots,
-		Backend: url, Entries: entries, TLS: keys, Log: logger,
+		Backend: url, Entries: entries, TLS: tlsConfig, Log: logger,
 	}
-	l.sidecars = append(l.sidecars, launch(ctx, &part{domain: domain}, func(ctx context.Context) error {
-		return serveSidecar(ctx, sidecar, demoDrain)
+	l.sidecars = append(l.sidecars, startProcess(ctx, &demoProcess{domain: domain}, func(ctx context.Context) error {
+		return serveSidecar(ctx, sidecar, demoDrainTimeout)
 	}))
 	return nil
 }
 
 // launch starts a part; its context ends when the part is stopped, before that of the layout.
-func launch(ctx context.Context, p *part, serve func(context.Context) error) *part {
+func startProcess(ctx context.Context, p *demoProcess, serve func(context.Context) error) *demoProcess {
 	ctx, p.cancel = context.WithCancel(ctx)
 	p.done = make(chan error, 1)
 	go func() { p.done <- serve(ctx) }()
@@ -137,7 +137,7 @@
 }
 
 // stop ends the part gracefully and waits for it. It may be called again.
-func (p *part) stop() error {
+func (p *demoProcess) stop() error {
 	p.cancel()
 	err := <-p.done
 	p.done <- nil
@@ -145,16 +145,16 @@
 }
 
 // stop ends all parts gracefully, entries last, so that sidecars can deliver results. It may be called again.
-func (l *layout) stop() error {
+func (l *demoCluster) stop() error {
 	defer l.cancel()
 	var errs []error
-	for _, list := range [][]*part{l.sidecars, l.entries} {
-		ended := make(chan error, len(list))
-		for _, p := range list {
-			go func() { ended <- p.stop() }()
+	for _, processes := range [][]*demoProcess{l.sidecars, l.entries} {
+		done := make(chan error, len(processes))
+		for _, p := range processes {
+			go func() { done <- p.stop() }()
 		}
-		for range list {
-			errs = append(errs, <-ended)
+		for range processes {
+			errs = append(errs, <-done)
 		}
 	}
 	return trace.NewAggregate(errs...)
@@ -162,11 +162,11 @@
 
 // ready waits until every entry has joined the roster, knows every sidecar and works. After a first start it works with
 // partial evidence ("partial"), since no member of the former, empty roster can vouch for the sidecars.
-func (l *layout) ready(ctx context.Context, within timer.Millis) error {
-	ctx, cancel := context.WithTimeout(ctx, within.Duration())
+func (l *demoCluster) awaitReady(ctx context.Context, timeout timer.Millis) error {
+	ctx, cancel := context.WithTimeout(ctx, timeout.Duration())
 	defer cancel()
 	for ctx.Err() == nil {
-		waiting := 0
+		notReady := 0
 		for _, e := range l.entries {
 			s := e.process.Entry.Status(ctx)
 			connected := 0
@@ -176,22 +176,22 @@
 				}
 			}
 			if len(s.Roster.Entries) < demoEntries || connected < demoSidecars || s.Takeover != "settled" && s.Takeover != "partial" {
-				waiting++
+				notReady++
 			}
 		}
-		if waiting == 0 {
+		if notReady == 0 {
 			return nil
 		}
-		time.Sleep(demoPeriod)
+		time.Sleep(demoPollInterval)
 	}
-	return trace.LimitExceeded("the entries and sidecars did not find each other within %v", within)
+	return trace.LimitExceeded("the entries and sidecars did not find each other within %v", timeout)
 }
 
 // started waits until n recorded starts match.
-func (l *layout) started(ctx context.Context, match func(startRecord) bool, n int) {
+func (l *demoCluster) awaitStarts(ctx context.Context, match func(startRecord) bool, n int) {
 	for ctx.Err() == nil {
 		found := 0
-		for _, s := range l.recorder.list() {
+		for _, s := range l.starts.snapshot() {
 			if match(s) {
 				found++
 			}
@@ -199,16 +199,16 @@
 		if found >= n {
 			return
 		}
-		time.Sleep(demoPeriod)
+		time.Sleep(demoPollInterval)
 	}
 }
 
-func (l *layout) client(entry int) server.Client {
-	return server.Client{URL: l.entries[entry].url, Token: l.token, HTTP: l.web}
+func (l *demoCluster) client(entry int) server.Client {
+	return server.Client{URL: l.entries[entry].url, Token: l.token, HTTP: l.httpClient}
 }
 
 // slots returns the number of slots in a failure domain.
-func (l *layout) slots(domain string) int {
+func (l *demoCluster) slotCount(domain string) int {
 	n := 0
 	for _, s := range l.sidecars {
 		if s.domain == domain {
@@ -229,16 +229,16 @@
 }
 
 // job returns the job as it is submitted.
-func (j *demoJob) job() encoder.Job {
+func (j *demoJob) encoderJob() encoder.Job {
 	out := encoder.Job{Key: j.key, Team: "demo", Once: j.once}
-	for i, run := range j.tasks {
-		out.Tasks = append(out.Tasks, encoder.JobTask{Kind: demoKind, Payload: j.payload(i), RunTime: run})
+	for i, run := range j.runTimes {
+		out.Tasks = append(out.Tasks, encoder.JobTask{Kind: demoTaskKind, Payload: j.payload(i), RunTime: run})
 	}
 	return out
 }
 
 func (j *demoJob) payload(i int) []byte {
-	return fmt.Appendf(nil, `{"runMs":%d,"echo":%q}`, j.tasks[i], j.result(i))
+	return fmt.Appendf(nil, `{"runMs":%d,"echo":%q}`, j.runTimes[i], j.result(i))
 }
 
 // result is what the backend server answers for the task.
--- a/commander/entry.go
+++ b/commander/entry.go
@@ -24,51 +24,51 @@
 )
 
 const (
-	statusWait   = time.Second
-	obeyPeriod   = 20 * time.Millisecond
-	obeyWait     = 10 * timer.Second
-	obeyWatchers = 8
-	taskReports  = 8192 // 0.27 s of ends at 30,000 tasks/s, while a burn report holds up the reporter
+	statusTimeout             = time.Second
+	propagationPollInterval   = 20 * time.Millisecond
+	propagationObserveTimeout = 10 * timer.Second
+	maxPropagationObservers   = 8
+	taskReportQueueSize       = 8192 // 0.27 s of ends at 30,000 tasks/s, while a burn report holds up the reporter
 )
 
 // entryProcess is an entry with its HTTP interface. Set the exported fields before start.
 type entryProcess struct {
-	Entry       *dispatcher.Entry
-	Address     string // of the HTTP listener
-	Token       string
-	Guarded     bool
-	Connections int
-	Drain       timer.Millis
-	Reporter    reporter.Reporter
+	Entry            *dispatcher.Entry
+	HTTPAddress      string // of the HTTP listener
+	Token            string
+	AllowNonLoopback bool
+	MaxConnections   int
+	DrainTimeout     timer.Millis
+	Reporter         reporter.Reporter
 
-	members  *membership
-	tasks    chan dispatcher.TaskReport
-	unseen   atomic.Uint64 // task reports that found the queue full
-	metrics  reporter.Metrics
-	listener server.Listener
-	leaving  atomic.Bool
-	watchers chan struct{}
-	hurry    context.Context // ends when the drain time is nearly over
-	hurryUp  context.CancelFunc
+	members        *membership
+	reports        chan dispatcher.TaskReport
+	droppedReports atomic.Uint64 // task reports that found the queue full
+	metrics        reporter.Metrics
+	listener       server.Listener
+	draining       atomic.Bool
+	observerSlots  chan struct{}
+	requestsCtx    context.Context // ends when the drain time is nearly over
+	cancelRequests context.CancelFunc
 }
 
-func runEntry(ctx context.Context, c call) int {
+func runEntry(ctx context.Context, c invocation) int {
 	v, logger := c.values, c.logger()
-	keys, err := c.keys()
+	tlsConfig, err := c.tlsConfig()
 	if err != nil {
 		return c.fail(err)
 	}
 	p := &entryProcess{
 		Entry: &dispatcher.Entry{
-			ID: identifier(v.Text("id"), roleEntry), Incarnation: uint64(time.Now().UnixMilli()), Listen: v.Text("address"), Advertise: v.Text("advertise"), Domain: v.Text(domain.Name),
+			ID: idOrRandom(v.Text("id"), roleEntry), Incarnation: uint64(time.Now().UnixMilli()), Listen: v.Text("address"), Advertise: v.Text("advertise"), Domain: v.Text(domain.Name),
 			Log: &appender.Client{URL: v.Text("logUrl"), Timeout: v.Millis("logTimeoutMs")},
-			TLS: keys, Logger: logger,
+			TLS: tlsConfig, Logger: logger,
 		},
-		Address: v.Text("httpAddress"), Token: v.Text(token.Name), Guarded: keys != nil && v.Text(token.Name) != "",
-		Connections: int(v.Count("connections")), Drain: v.Millis(drain.Name),
+		HTTPAddress: v.Text("httpAddress"), Token: v.Text(token.Name), AllowNonLoopback: tlsConfig != nil && v.Text(token.Name) != "",
+		MaxConnections: int(v.Count("connections")), DrainTimeout: v.Millis(drain.Name),
 		Reporter: reporter.Reporter{Objectives: objectives(v)},
 	}
-	if p.members, err = c.startMember(ctx, logger, roleEntry, p.Entry.ID, p.Entry.Incarnation); err != nil {
+	if p.members, err = c.startMembership(ctx, logger, roleEntry, p.Entry.ID, p.Entry.Incarnation); err != nil {
 		return c.fail(err)
 	}
 	defer p.members.stop()
@@ -86,7 +86,7 @@
 }
 
 // keys derives the keys of the sessions between processes, or returns nil without a secret.
-func (c call) keys() (*tls.Config, error) {
+func (c invocation) tlsConfig() (*tls.Config, error) {
 	s := c.values.Text(secret.Name)
 	if s == "" {
 		return nil, nil //nolint:nilnil // no keys is a valid result: the process then stays on loopback
@@ -94,9 +94,9 @@
 	return messenger.Keys(s)
 }
 
-func identifier(id, part string) string {
+func idOrRandom(id, prefix string) string {
 	if id == "" {
-		return part + "-" + strings.ToLower(rand.Text()[:10])
+		return prefix + "-" + strings.ToLower(rand.Text()[:10])
 	}
 	return id
 }
@@ -111,14 +111,14 @@
 
 // start binds the HTTP listener and returns its address.
 func (p *entryProcess) start(ctx context.Context) (string, error) {
-	p.watchers = make(chan struct{}, obeyWatchers)
-	p.hurry, p.hurryUp = context.WithCancel(context.WithoutCancel(ctx))
-	p.tasks = make(chan dispatcher.TaskReport, taskReports)
-	p.Entry.OnTask = p.reportTask
+	p.observerSlots = make(chan struct{}, maxPropagationObservers)
+	p.requestsCtx, p.cancelRequests = context.WithCancel(context.WithoutCancel(ctx))
+	p.reports = make(chan dispatcher.TaskReport, taskReportQueueSize)
+	p.Entry.OnTask = p.enqueueTaskReport
 	p.metrics.Burn(&p.Reporter, p.Entry.Clock)
 	s := &server.Server{
 		Submit: p.submit, Get: p.Entry.Get, Cancel: p.Entry.Cancel,
-		Publish: p.publish, History: p.history, Withdraw: p.withdraw, Return: p.giveBack, Status: p.status,
+		Publish: p.publish, History: p.history, Withdraw: p.withdraw, Return: p.returnDomain, Status: p.status,
 		Burn: func(w io.Writer, format string) error {
 			return p.Reporter.Report(p.Entry.Clock.Now()).Write(w, format)
 		},
@@ -129,51 +129,51 @@
 		return "", err
 	}
 	p.listener = server.Listener{
-		Handler: h, Connections: p.Connections, Guarded: p.Guarded,
+		Handler: h, Connections: p.MaxConnections, Guarded: p.AllowNonLoopback,
 		Report: func(text string) { p.Entry.Logger.Warn("entry: HTTP server: " + text) },
 	}
-	return p.listener.Listen(ctx, p.Address)
+	return p.listener.Listen(ctx, p.HTTPAddress)
 }
 
 // serve runs the entry until ctx ends, and then drains it: new jobs are refused, submissions are handed over, and
 // requests in flight are answered, all within the drain time. Requests that still wait when four fifths of it have passed
 // are answered with "running" rather than cut off.
 func (p *entryProcess) serve(ctx context.Context) error {
-	running, stop := context.WithCancel(context.WithoutCancel(ctx))
+	runCtx, stop := context.WithCancel(context.WithoutCancel(ctx))
 	defer stop()
-	entry, web := make(chan error, 1), make(chan error, 1)
-	go p.observeTasks(running)
-	go func() { entry <- p.Entry.Run(running) }()
-	go func() { web <- p.listener.Serve() }()
+	entryDone, httpDone := make(chan error, 1), make(chan error, 1)
+	go p.observeTaskReports(runCtx)
+	go func() { entryDone <- p.Entry.Run(runCtx) }()
+	go func() { httpDone <- p.listener.Serve() }()
 	var err error
 	select {
-	case err = <-entry:
-		entry <- nil
-	case err = <-web:
-		web <- nil
+	case err = <-entryDone:
+		entryDone <- nil
+	case err = <-httpDone:
+		httpDone <- nil
 	case <-ctx.Done():
-		p.leaving.Store(true)
+		p.draining.Store(true)
 		p.Entry.Logger.Info("entry: draining")
 	}
-	closing, cancel := context.WithTimeout(running, p.Drain.Duration())
+	shutdownCtx, cancel := context.WithTimeout(runCtx, p.DrainTimeout.Duration())
 	defer cancel()
-	draining, cancel := context.WithTimeout(closing, (p.Drain * 4 / 5).Duration())
+	drainCtx, cancel := context.WithTimeout(shutdownCtx, (p.DrainTimeout * 4 / 5).Duration())
 	defer cancel()
 	errs := []error{err}
 	if err == nil {
-		errs = append(errs, p.Entry.Drain(draining))
+		errs = append(errs, p.Entry.Drain(drainCtx))
 	}
-	p.hurryUp()
-	errs = append(errs, p.listener.Shutdown(closing))
+	p.cancelRequests()
+	errs = append(errs, p.listener.Shutdown(shutdownCtx))
 	stop()
-	return trace.NewAggregate(append(errs, <-entry, <-web)...)
+	return trace.NewAggregate(append(errs, <-entryDone, <-httpDone)...)
 }
 
 func (p *entryProcess) submit(ctx context.Context, j encoder.Job) encoder.Answer {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	defer context.AfterFunc(p.hurry, cancel)()
-	begun := p.Entry.Clock.Now()
+	defer context.AfterFunc(p.requestsCtx, cancel)()
+	started := p.Entry.Clock.Now()
 	a := p.Entry.Submit(ctx, j)
 	now := p.Entry.Clock.Now()
 	sent, received := 0, 0
@@ -183,17 +183,17 @@
 	for _, r := range a.Results {
 		received += len(r.Body)
 	}
-	p.metrics.CountJob(a.State.String(), len(j.Tasks), sent, received, now-begun)
-	if judged(a) {
+	p.metrics.CountJob(a.State.String(), len(j.Tasks), sent, received, now-started)
+	if countsForSLO(a) {
 		p.Reporter.Observe(now, reporter.Observation{
-			Response: now - begun, Ideal: ideal(j), Failed: a.State == encoder.JobFailed,
+			Response: now - started, Ideal: idealResponse(j), Failed: a.State == encoder.JobFailed,
 		})
 	}
 	return a
 }
 
 // judged tells whether an answer counts for the service level. Failures that the caller caused do not.
-func judged(a encoder.Answer) bool {
+func countsForSLO(a encoder.Answer) bool {
 	if a.State == encoder.JobComplete {
 		return true
 	}
@@ -206,7 +206,7 @@
 
 // ideal is the response time with free slots for every task and no network: the longest declared run time. It is 0,
 // which means unknown, when a task declares none.
-func ideal(j encoder.Job) timer.Millis {
+func idealResponse(j encoder.Job) timer.Millis {
 	var longest timer.Millis
 	for _, t := range j.Tasks {
 		if t.RunTime == 0 {
@@ -218,16 +218,16 @@
 }
 
 func (p *entryProcess) ready() bool {
-	if p.leaving.Load() {
+	if p.draining.Load() {
 		return false
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), statusWait)
+	ctx, cancel := context.WithTimeout(context.Background(), statusTimeout)
 	defer cancel()
 	return p.Entry.Status(ctx).Joined
 }
 
 func (p *entryProcess) writeMetrics(w io.Writer) {
-	ctx, cancel := context.WithTimeout(context.Background(), statusWait)
+	ctx, cancel := context.WithTimeout(context.Background(), statusTimeout)
 	defer cancel()
 	s := p.Entry.Status(ctx)
 	for name, value := range map[string]int{
@@ -245,12 +245,12 @@
 	} {
 		p.metrics.SetTotal(name, value)
 	}
-	p.members.measure(&p.metrics)
+	p.members.updateMetrics(&p.metrics)
 	for i := 1; i < encoder.MessageTypes; i++ {
 		label := fmt.Sprintf("{type=%q}", encoder.Type(i))
 		p.metrics.SetTotal("crocuslb_sent_messages_total"+label, s.Sent[i])
 		p.metrics.SetTotal("crocuslb_received_messages_total"+label, s.Received[i])
 	}
-	p.metrics.SetTotal("crocuslb_unobserved_tasks_total", p.unseen.Load())
+	p.metrics.SetTotal("crocuslb_unobserved_tasks_total", p.droppedReports.Load())
 	p.metrics.Write(w)
 }
--- a/commander/entry_test.go
+++ b/commander/entry_test.go
@@ -24,7 +24,7 @@
 )
 
 // startEntry runs an entry with a log double until stop is called, and waits until it is ready.
-func startEntry(t *testing.T, drain timer.Millis) (p *entryProcess, c server.Client, stop func() error) {
+func startEntry(t *testing.T, drain timer.Millis) (p *entryProcess, client server.Client, stop func() error) {
 	t.Helper()
 	logs, stopLog := context.WithCancel(context.Background())
 	t.Cleanup(stopLog)
@@ -40,7 +40,7 @@
 		Entry: &dispatcher.Entry{
 			ID: "e1", Listen: listen, Log: &appender.Client{URL: url}, Logger: &log.Logger{Handler: discard.New()},
 		},
-		Address: "127.0.0.1:0", Token: operatorToken, Drain: drain,
+		HTTPAddress: "127.0.0.1:0", Token: operatorToken, DrainTimeout: drain,
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(cancel)
@@ -75,7 +75,7 @@
 
 // A caller whose job outlasts the drain time must get an answer that is true, not a broken connection.
 func TestDrainAnswersEveryRequest(t *testing.T) {
-	p, c, stop := startEntry(t, timer.Second)
+	p, client, stop := startEntry(t, timer.Second)
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	started := make(chan string, 1)
@@ -90,7 +90,7 @@
 	}
 	answered := make(chan result, 1)
 	go func() {
-		r, err := c.Submit(ctx, "k", body)
+		r, err := client.Submit(ctx, "k", body)
 		answered <- result{r, err}
 	}()
 	select {
@@ -106,23 +106,23 @@
 
 // The wiring of the entry: health, notes with their differences and history, and a stop that ends by itself.
 func TestEntryProcess(t *testing.T) {
-	p, c, stop := startEntry(t, 10*timer.Second)
+	p, client, stop := startEntry(t, 10*timer.Second)
 	ctx := context.Background()
 	note := []byte(`{"id":"n1","added":[{"key":"domain/north","value":"out"}]}`)
-	r, err := c.Publish(ctx, note, false)
+	r, err := client.Publish(ctx, note, false)
 	if err != nil {
 		t.Fatal(err)
 	}
 	if got, err := server.DecodePublication(r.Body); err != nil || !got.Accepted || len(got.Differences) != 1 {
 		t.Errorf("got %d %s, %v, want an accepted note with one difference", r.Status, r.Body, err)
 	}
-	if r, err = c.Publish(ctx, note, false); err != nil || r.Status != 409 {
+	if r, err = client.Publish(ctx, note, false); err != nil || r.Status != 409 {
 		t.Errorf("got %d %s, %v for a note without its base, want 409", r.Status, r.Body, err)
 	}
-	if r, err = c.Return(ctx, "north", "me"); err != nil || r.Status != 200 {
+	if r, err = client.Return(ctx, "north", "me"); err != nil || r.Status != 200 {
 		t.Errorf("got %d %s, %v, want an accepted return", r.Status, r.Body, err)
 	}
-	r, err = c.History(ctx, 10)
+	r, err = client.History(ctx, 10)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -152,12 +152,12 @@
 	refused := 0 // a slow machine may let the lease expire
 	_, rest, _ := strings.Cut(b.String(), `crocuslb_received_messages_total{type="refusal"} `)
 	_, err := fmt.Sscan(rest, &refused)
-	const some = `[1-9]\d*`
+	const positive = `[1-9]\d*`
 	for _, tc := range []struct{ series, want string }{
 		{`sent_messages_total{type="start"}`, strconv.Itoa(3 + refused)}, {`received_messages_total{type="result"}`, "3"},
-		{`sent_messages_total{type="census"}`, some}, {`received_messages_total{type="censusReply"}`, some},
-		{`received_messages_total{type="ping"}`, some}, {`sent_messages_total{type="pong"}`, some},
-		{`received_messages_total{type="grant"}`, some}, {`sent_messages_total{type="recall"}`, "0"},
+		{`sent_messages_total{type="census"}`, positive}, {`received_messages_total{type="censusReply"}`, positive},
+		{`received_messages_total{type="ping"}`, positive}, {`sent_messages_total{type="pong"}`, positive},
+		{`received_messages_total{type="grant"}`, positive}, {`sent_messages_total{type="recall"}`, "0"},
 		{`sent_messages_total{type="result"}`, "0"}, {`sent_messages_total{type="handover"}`, "0"},
 	} {
 		if !regexp.MustCompile("crocuslb_"+regexp.QuoteMeta(tc.series)+" "+tc.want+"\n").Match(b.Bytes()) || err != nil {
@@ -170,7 +170,7 @@
 }
 
 // Task ends must blame the worker and the failure domain that burn, and must not change the objectives, which count jobs.
-func TestTaskReportsBlameWorkers(t *testing.T) {
+func TestTaskReportAttribution(t *testing.T) {
 	const done, failed, unknown = encoder.StatusDone, encoder.StatusFailed, encoder.StatusUnknown
 	tests := []struct {
 		name string
@@ -186,18 +186,18 @@
 		{"unknown place", dispatcher.TaskReport{Status: unknown}, "[] [] [] []"},
 	}
 	for _, tc := range tests {
-		p := entryProcess{Entry: &dispatcher.Entry{}, tasks: make(chan dispatcher.TaskReport)}
+		p := entryProcess{Entry: &dispatcher.Entry{}, reports: make(chan dispatcher.TaskReport)}
 		ctx, cancel := context.WithCancel(context.Background())
 		var running sync.WaitGroup
-		running.Go(func() { p.observeTasks(ctx) })
-		p.tasks <- tc.r // it is unbuffered, so the report is observed before ctx is read again
+		running.Go(func() { p.observeTaskReports(ctx) })
+		p.reports <- tc.r // it is unbuffered, so the report is observed before ctx is read again
 		cancel()
 		running.Wait()
-		p.reportTask(tc.r)
+		p.enqueueTaskReport(tc.r)
 		rows := p.Reporter.Report(p.Entry.Clock.Now()).Rows
 		got := fmt.Sprint(rows[0].Domains, rows[0].Workers, rows[1].Domains, rows[1].Workers)
-		if got != tc.want || rows[0].Total+rows[1].Total != 0 || p.unseen.Load() != 1 {
-			t.Errorf("%s: got %s, %d jobs, %d dropped; want %s, none, 1", tc.name, got, rows[0].Total+rows[1].Total, p.unseen.Load(), tc.want)
+		if got != tc.want || rows[0].Total+rows[1].Total != 0 || p.droppedReports.Load() != 1 {
+			t.Errorf("%s: got %s, %d jobs, %d dropped; want %s, none, 1", tc.name, got, rows[0].Total+rows[1].Total, p.droppedReports.Load(), tc.want)
 		}
 	}
 }
--- a/commander/job.go
+++ b/commander/jobcommands.go
@@ -13,10 +13,10 @@
 	"github.com/crocuslb/crocuslb/server"
 )
 
-const maxInput = 4 << 20
+const maxInputSize = 4 << 20
 
 // input reads the file that the first argument names, or standard input.
-func (c call) input() ([]byte, error) {
+func (c invocation) readInput() ([]byte, error) {
 	r := c.Stdin
 	if len(c.args) > 0 && c.args[0] != "-" {
 		f, err := os.Open(c.args[0])
@@ -26,18 +26,18 @@
 		defer func() { _ = f.Close() }()
 		r = f
 	}
-	body, err := io.ReadAll(io.LimitReader(r, maxInput+1))
+	body, err := io.ReadAll(io.LimitReader(r, maxInputSize+1))
 	if err != nil {
 		return nil, trace.Wrap(err)
 	}
-	if len(body) > maxInput {
-		return nil, trace.LimitExceeded("the input is larger than %d bytes", maxInput)
+	if len(body) > maxInputSize {
+		return nil, trace.LimitExceeded("the input is larger than %d bytes", maxInputSize)
 	}
 	return body, nil
 }
 
-func submitJob(ctx context.Context, c call) int {
-	body, err := c.input()
+func submitJob(ctx context.Context, c invocation) int {
+	body, err := c.readInput()
 	if err != nil {
 		return c.fail(err)
 	}
@@ -59,36 +59,36 @@
 		c.errorf("the outcome of submission %s is not known; submit again with -key %s\n", key, key)
 		return c.fail(err)
 	}
-	return c.showAnswer(r)
+	return c.printAnswer(r)
 }
 
-func getJob(ctx context.Context, c call) int {
+func getJob(ctx context.Context, c invocation) int {
 	client, ctx, cancel := c.client(ctx)
 	defer cancel()
 	r, err := client.Get(ctx, c.args[0])
 	if err != nil {
 		return c.fail(err)
 	}
-	return c.showAnswer(r)
+	return c.printAnswer(r)
 }
 
-func cancelJob(ctx context.Context, c call) int {
+func cancelJob(ctx context.Context, c invocation) int {
 	client, ctx, cancel := c.client(ctx)
 	defer cancel()
 	r, err := client.Cancel(ctx, c.args[0])
 	if err != nil {
 		return c.fail(err)
 	}
-	return c.showAnswer(r)
+	return c.printAnswer(r)
 }
 
 // showAnswer prints the answer to a call on a submission. Only 200 and 202 are a success.
-func (c call) showAnswer(r server.Response) int {
+func (c invocation) printAnswer(r server.Response) int {
 	status := ExitSuccess
 	if r.Status != http.StatusOK && r.Status != http.StatusAccepted {
 		status = ExitFailure
 	}
-	if c.json() {
+	if c.jsonRequested() {
 		c.printf("%s\n", r.Body)
 		return status
 	}
@@ -106,7 +106,7 @@
 		c.printf("%s running\n", a.Key)
 	default:
 		c.printf("%s failed (status %d): %s\n", a.Key, r.Status, a.Reason)
-		c.showFindings(r.Body)
+		c.printFindings(r.Body)
 	}
 	return status
 }
--- a/commander/member.go
+++ b/commander/membership.go
@@ -25,7 +25,7 @@
 	memberAddress = loader.Setting{Name: "memberAddress", Unit: loader.UnitAddress, Meaning: "address at which the process takes part in membership (UDP), reached by all other members; membership is off when empty"}
 	memberSeeds   = loader.Setting{Name: "memberSeeds", Unit: loader.UnitAddresses, Meaning: "member addresses of other processes, from which the process learns the others"}
 
-	memberRule = loader.Rule{Names: []string{memberAddress.Name, memberSeeds.Name, secret.Name}, Check: checkMember}
+	membershipRule = loader.Rule{Names: []string{memberAddress.Name, memberSeeds.Name, secret.Name}, Check: checkMembership}
 )
 
 // membership is the failure detection among entries and sidecars; nil when it is off. It is for observation only. An
@@ -41,7 +41,7 @@
 // beginning of the drain, or when stop is called. The incarnation is the one at the start of the process; an entry that
 // rejoins the roster as a newer one stays the same member. The identifier includes the role, because an entry and a
 // sidecar may have the same one.
-func (c call) startMember(ctx context.Context, logger *log.Logger, role, id string, incarnation uint64) (*membership, error) {
+func (c invocation) startMembership(ctx context.Context, logger *log.Logger, role, id string, incarnation uint64) (*membership, error) {
 	address := c.values.Text(memberAddress.Name)
 	if address == "" {
 		return nil, nil //nolint:nilnil // no membership is a valid result: it is off
@@ -91,7 +91,7 @@
 }
 
 // measure sets the metrics of membership; there are none when it is off.
-func (m *membership) measure(to *reporter.Metrics) {
+func (m *membership) updateMetrics(metrics *reporter.Metrics) {
 	if m == nil {
 		return
 	}
@@ -100,20 +100,20 @@
 		counts[u.State]++
 	}
 	for s, n := range counts {
-		to.Set(`crocuslb_members{state="`+s.String()+`"}`, float64(n))
+		metrics.Set(`crocuslb_members{state="`+s.String()+`"}`, float64(n))
 	}
-	to.SetTotal("crocuslb_refused_member_datagrams_total", m.process.Refused())
+	metrics.SetTotal("crocuslb_refused_member_datagrams_total", m.process.Refused())
 }
 
 // checkMember refuses addresses beyond loopback without the secret, and an unspecified address, because the others
 // could not reach it.
-func checkMember(v loader.Values) []loader.Finding {
-	var out []loader.Finding
+func checkMembership(v loader.Values) []loader.Finding {
+	var findings []loader.Finding
 	add := func(s loader.Setting, reason string) {
-		out = append(out, loader.Finding{Place: "-" + s.Name, Reason: reason})
+		findings = append(findings, loader.Finding{Place: "-" + s.Name, Reason: reason})
 	}
-	keyed := v.Text(secret.Name) != ""
-	if !keyed && !v.Loopback(memberAddress.Name) {
+	hasSecret := v.Text(secret.Name) != ""
+	if !hasSecret && !v.Loopback(memberAddress.Name) {
 		add(memberAddress, "an address beyond loopback needs -secret")
 	}
 	if a, err := netip.ParseAddrPort(v.Text(memberAddress.Name)); err == nil && a.Addr().Unmap().IsUnspecified() {
@@ -124,9 +124,9 @@
 		add(memberSeeds, "needs -memberAddress")
 	}
 	for _, text := range seeds {
-		if a, err := netip.ParseAddrPort(text); !keyed && (err != nil || !a.Addr().Unmap().IsLoopback()) {
+		if a, err := netip.ParseAddrPort(text); !hasSecret && (err != nil || !a.Addr().Unmap().IsLoopback()) {
 			add(memberSeeds, text+" is beyond loopback and needs -secret")
 		}
 	}
-	return out
+	return findings
 }
--- a/commander/member_test.go
+++ b/commander/membership_test.go
@@ -16,32 +16,32 @@
 )
 
 // output keeps the log of a process that runs in the test.
-type output struct {
+type logBuffer struct {
 	mu   sync.Mutex
 	text bytes.Buffer
 }
 
-func (o *output) Write(line []byte) (int, error) {
+func (o *logBuffer) Write(line []byte) (int, error) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	return o.text.Write(line)
 }
 
-func (o *output) read() string {
+func (o *logBuffer) contents() string {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	return o.text.String()
 }
 
 // until reads a text until it matches, and returns the first group.
-func until(t *testing.T, read func() string, pattern string) string {
+func waitForMatch(t *testing.T, read func() string, pattern string) string {
 	t.Helper()
-	for limit := time.Now().Add(time.Minute); ; time.Sleep(time.Millisecond) {
+	for deadline := time.Now().Add(time.Minute); ; time.Sleep(time.Millisecond) {
 		text := read()
-		if found := regexp.MustCompile("(?m)" + pattern).FindStringSubmatch(text); found != nil {
-			return found[len(found)-1]
+		if match := regexp.MustCompile("(?m)" + pattern).FindStringSubmatch(text); match != nil {
+			return match[len(match)-1]
 		}
-		if time.Now().After(limit) {
+		if time.Now().After(deadline) {
 			t.Fatalf("got %s, want a match of %q", text, pattern)
 		}
 	}
@@ -49,7 +49,7 @@
 
 // Guards against processes that do not take part in membership, or do not notice or report that another one has ended.
 // An entry and a sidecar have the same identifier, which must not confuse the others.
-func TestMembers(t *testing.T) {
+func TestMembership(t *testing.T) {
 	logURL, err := emulator.ServeLog(t.Context(), "127.0.0.1:0", &emulator.Log{})
 	if err != nil {
 		t.Fatal(err)
@@ -60,17 +60,17 @@
 			t.Fatal(err)
 		}
 	}
-	logs, stops := map[string]*output{}, map[string]func(){}
+	logs, stops := map[string]*logBuffer{}, map[string]func(){}
 	start := func(name, args string) {
 		args = path.Dir(name) + " -id " + path.Base(name) + " -secret 0123456789abcdef0123456789abcdef " + args
 		ctx, cancel := context.WithCancel(t.Context())
-		logs[name] = &output{}
+		logs[name] = &logBuffer{}
 		p := Program{Args: strings.Fields(args), Stdout: io.Discard, Stderr: logs[name]}
 		ended := make(chan int, 1)
 		go func() { ended <- p.Run(ctx) }()
 		stops[name] = func() {
 			if cancel(); <-ended != ExitSuccess {
-				t.Errorf("%s: got a failure, want success: %s", name, logs[name].read())
+				t.Errorf("%s: got a failure, want success: %s", name, logs[name].contents())
 			}
 		}
 	}
@@ -78,30 +78,30 @@
 		" -memberAddress 127.0.0.1:0 -memberSeeds " + addresses[1]
 	start("entry/a", "-httpAddress 127.0.0.1:0 -address "+addresses[0]+" -memberAddress "+addresses[1]+
 		" -logUrl "+logURL+" -token "+operatorToken)
-	url := "http://" + until(t, logs["entry/a"].read, "HTTP interface is listening address=([^ ]*)")
+	url := "http://" + waitForMatch(t, logs["entry/a"].contents, "HTTP interface is listening address=([^ ]*)")
 	start("sidecar/a", sidecar)
 	start("sidecar/b", sidecar)
 	for name, log := range logs {
 		for other := range logs {
 			if other != name {
-				until(t, log.read, "member: "+other+" is alive")
+				waitForMatch(t, log.contents, "member: "+other+" is alive")
 			}
 		}
 	}
 	stops["sidecar/b"]()
-	until(t, logs["entry/a"].read, "member: sidecar/b is dead")
-	until(t, logs["sidecar/a"].read, "member: sidecar/b is dead")
+	waitForMatch(t, logs["entry/a"].contents, "member: sidecar/b is dead")
+	waitForMatch(t, logs["sidecar/a"].contents, "member: sidecar/b is dead")
 	// A pause of the machine may make a live member suspect for a moment, so each view is read until it is right.
 	environ := []string{"CROCUSLB_ENTRY_URL=" + url, "CROCUSLB_TOKEN=" + operatorToken}
-	until(t, func() string { _, text, _ := run(t, "status", environ, ""); return text },
+	waitForMatch(t, func() string { _, text, _ := runProgram(t, "status", environ, ""); return text },
 		`^member +sidecar +a .* alive\nmember +sidecar +b .* dead$`)
-	q, err := http.NewRequestWithContext(t.Context(), http.MethodGet, url+"/metrics", nil)
+	req, err := http.NewRequestWithContext(t.Context(), http.MethodGet, url+"/metrics", nil)
 	if err != nil {
 		t.Fatal(err)
 	}
-	q.Header.Set("Authorization", "Bearer "+operatorToken)
+	req.Header.Set("Authorization", "Bearer "+operatorToken)
 	metrics := func() string {
-		r, err := http.DefaultClient.Do(q)
+		r, err := http.DefaultClient.Do(req)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -112,7 +112,7 @@
 		}
 		return string(body)
 	}
-	until(t, metrics, `members{state="alive"} 1\n.*members{state="dead"} 1\n.*members{state="suspect"} 0$`)
+	waitForMatch(t, metrics, `members{state="alive"} 1\n.*members{state="dead"} 1\n.*members{state="suspect"} 0$`)
 	stops["sidecar/a"]()
 	stops["entry/a"]()
 }
--- a/commander/decision.go
+++ b/commander/operatorcalls.go
@@ -13,32 +13,32 @@
 )
 
 const (
-	historySearched = 1000
+	historySearchLimit = 1000
 	// forceWait is the time in which an accepted change is to be in force everywhere.
-	forceWait = 3 * timer.Second
+	propagationTimeout = 3 * timer.Second
 )
 
 func (p *entryProcess) publish(ctx context.Context, n configurer.Note, dryRun bool) (server.Publication, error) {
-	begun := p.Entry.Clock.Now()
-	differences := p.differences(ctx, n)
+	started := p.Entry.Clock.Now()
+	differences := p.diffNote(ctx, n)
 	d, err := p.Entry.Publish(ctx, n, dryRun)
 	if err != nil {
 		return server.Publication{}, err
 	}
-	out := publication(d, p.Entry.Clock.Now()-begun)
-	out.ID, out.Differences = n.ID, differences
-	if dryRun && out.Accepted {
-		out.Accepted, out.DryRun = false, true
-		return out, nil
+	pub := newPublication(d, p.Entry.Clock.Now()-started)
+	pub.ID, pub.Differences = n.ID, differences
+	if dryRun && pub.Accepted {
+		pub.Accepted, pub.DryRun = false, true
+		return pub, nil
 	}
-	return p.awaitForce(ctx, begun, out), nil
+	return p.awaitPropagation(ctx, started, pub), nil
 }
 
 // differences lists what the note does to each key. The values before come from the notes that the entry has read; a
 // key that was last changed before them has no known value.
-func (p *entryProcess) differences(ctx context.Context, n configurer.Note) []server.Difference {
+func (p *entryProcess) diffNote(ctx context.Context, n configurer.Note) []server.Difference {
 	before := map[string]string{}
-	changes, err := p.Entry.History(ctx, historySearched)
+	changes, err := p.Entry.History(ctx, historySearchLimit)
 	if err == nil {
 		for i := len(changes) - 1; i >= 0; i-- { // oldest first
 			if len(changes[i].Findings) > 0 {
@@ -84,87 +84,87 @@
 }
 
 func (p *entryProcess) withdraw(ctx context.Context, domain, author string) (server.Publication, error) {
-	begun := p.Entry.Clock.Now()
+	started := p.Entry.Clock.Now()
 	d, err := p.Entry.Withdraw(ctx, domain, author)
 	if err != nil {
 		return server.Publication{}, err
 	}
 	if d.State == dispatcher.PublicationAccepted || d.State == dispatcher.PublicationRecorded {
-		p.watch(domain, d.Offset+1)
+		p.observePropagation(domain, d.Offset+1)
 	}
-	return p.decided(ctx, domain, begun, d), nil
+	return p.domainPublication(ctx, domain, started, d), nil
 }
 
-func (p *entryProcess) giveBack(ctx context.Context, domain, author string) (server.Publication, error) {
-	begun := p.Entry.Clock.Now()
+func (p *entryProcess) returnDomain(ctx context.Context, domain, author string) (server.Publication, error) {
+	started := p.Entry.Clock.Now()
 	d, err := p.Entry.Return(ctx, domain, author)
 	if err != nil {
 		return server.Publication{}, err
 	}
-	return p.decided(ctx, domain, begun, d), nil
+	return p.domainPublication(ctx, domain, started, d), nil
 }
 
 // decided returns the answer to a decision on a failure domain, with the number of sidecars that it concerns.
-func (p *entryProcess) decided(ctx context.Context, domain string, begun timer.Millis, d dispatcher.Publication) server.Publication {
-	out := publication(d, p.Entry.Clock.Now()-begun)
-	out.Domain = domain
+func (p *entryProcess) domainPublication(ctx context.Context, domain string, started timer.Millis, d dispatcher.Publication) server.Publication {
+	pub := newPublication(d, p.Entry.Clock.Now()-started)
+	pub.Domain = domain
 	for _, s := range p.Entry.Status(ctx).Sidecars {
 		if s.Domain == domain {
-			out.Sidecars++
+			pub.Sidecars++
 		}
 	}
-	return p.awaitForce(ctx, begun, out)
+	return p.awaitPropagation(ctx, started, pub)
 }
 
 // awaitForce waits a short time until every known process has an accepted change, because operators want to know that
 // rather than the acceptance alone.
-func (p *entryProcess) awaitForce(ctx context.Context, begun timer.Millis, out server.Publication) server.Publication {
-	if !out.Accepted {
-		return out
+func (p *entryProcess) awaitPropagation(ctx context.Context, started timer.Millis, pub server.Publication) server.Publication {
+	if !pub.Accepted {
+		return pub
 	}
-	until := p.Entry.Clock.Now() + forceWait
+	deadline := p.Entry.Clock.Now() + propagationTimeout
 	for {
 		s, now := p.Entry.Status(ctx), p.Entry.Clock.Now()
-		if s.Entry.ID != "" && s.ConfigOffset > out.Offset {
-			out.Lagging = s.Lagging
+		if s.Entry.ID != "" && s.ConfigOffset > pub.Offset {
+			pub.Lagging = s.Lagging
 			if s.Lagging == 0 {
-				out.InForce = now - begun
-				return out
+				pub.InForce = now - started
+				return pub
 			}
 		}
-		if now >= until || ctx.Err() != nil {
-			return out
+		if now >= deadline || ctx.Err() != nil {
+			return pub
 		}
-		time.Sleep(obeyPeriod)
+		time.Sleep(propagationPollInterval)
 	}
 }
 
 // watch observes how long it takes until every connected sidecar of the domain has the configuration offset. At most
 // eight withdrawals are watched at a time.
-func (p *entryProcess) watch(domain string, offset uint64) {
+func (p *entryProcess) observePropagation(domain string, offset uint64) {
 	select {
-	case p.watchers <- struct{}{}:
+	case p.observerSlots <- struct{}{}:
 	default:
 		return
 	}
-	begun := p.Entry.Clock.Now()
+	started := p.Entry.Clock.Now()
 	go func() {
-		defer func() { <-p.watchers }()
-		for p.Entry.Clock.Now()-begun < obeyWait {
-			ctx, cancel := context.WithTimeout(context.Background(), statusWait)
+		defer func() { <-p.observerSlots }()
+		for p.Entry.Clock.Now()-started < propagationObserveTimeout {
+			ctx, cancel := context.WithTimeout(context.Background(), statusTimeout)
 			s := p.Entry.Status(ctx)
 			cancel()
-			if s.Entry.ID != "" && obeyed(s, domain, offset) {
+			if s.Entry.ID != "" && isPropagated(s, domain, offset) {
 				break
 			}
-			time.Sleep(obeyPeriod)
+			time.Sleep(propagationPollInterval)
 		}
 		now := p.Entry.Clock.Now()
-		p.Reporter.ObserveWithdrawal(now, domain, now-begun)
+		p.Reporter.ObserveWithdrawal(now, domain, now-started)
 	}()
 }
 
-func obeyed(s dispatcher.Status, domain string, offset uint64) bool {
+func isPropagated(s dispatcher.Status, domain string, offset uint64) bool {
 	for _, sc := range s.Sidecars {
 		if sc.Domain == domain && sc.Connected && sc.ConfigOffset < offset {
 			return false
@@ -173,9 +173,9 @@
 	return true
 }
 
-func publication(d dispatcher.Publication, took timer.Millis) server.Publication {
-	out := server.Publication{
-		Offset: d.Offset, Lagging: d.Lagging, Took: took,
+func newPublication(d dispatcher.Publication, elapsed timer.Millis) server.Publication {
+	pub := server.Publication{
+		Offset: d.Offset, Lagging: d.Lagging, Took: elapsed,
 		Accepted:    d.State == dispatcher.PublicationAccepted,
 		Recorded:    d.State == dispatcher.PublicationRecorded,
 		Provisional: d.State == dispatcher.PublicationProvisional,
@@ -183,9 +183,9 @@
 		Unknown:     d.State == dispatcher.PublicationUnknown,
 	}
 	for _, f := range d.Findings {
-		out.Findings = append(out.Findings, server.Finding{Place: f.Place, Reason: f.Text})
+		pub.Findings = append(pub.Findings, server.Finding{Place: f.Place, Reason: f.Text})
 	}
-	return out
+	return pub
 }
 
 func (p *entryProcess) status(ctx context.Context) (server.State, error) {
--- a/commander/operator.go
+++ b/commander/operatorcommands.go
@@ -22,7 +22,7 @@
 }
 
 // showFindings prints the findings of a refusal, if it has any.
-func (c call) showFindings(body []byte) {
+func (c invocation) printFindings(body []byte) {
 	var w refusalWire
 	if json.Unmarshal(body, &w) != nil {
 		return
@@ -36,10 +36,10 @@
 }
 
 // operator makes one operators' call. It prints the body with -json, otherwise with show.
-func (c call) operator(ctx context.Context, ask func(server.Client, context.Context) (server.Response, error), show func(body []byte) error) int {
+func (c invocation) callEntry(ctx context.Context, send func(server.Client, context.Context) (server.Response, error), print func(body []byte) error) int {
 	client, ctx, cancel := c.client(ctx)
 	defer cancel()
-	r, err := ask(client, ctx)
+	r, err := send(client, ctx)
 	if err != nil {
 		return c.fail(err)
 	}
@@ -49,7 +49,7 @@
 		status = ExitFailure
 	}
 	switch {
-	case c.json():
+	case c.jsonRequested():
 		c.printf("%s\n", r.Body)
 	case !ok:
 		var w refusalWire
@@ -57,17 +57,17 @@
 			w.Reason = http.StatusText(r.Status)
 		}
 		c.errorf("the entry refused (status %d): %s\n", r.Status, w.Reason)
-		c.showFindings(r.Body)
+		c.printFindings(r.Body)
 	default:
-		if err := show(r.Body); err != nil {
+		if err := print(r.Body); err != nil {
 			return c.fail(err)
 		}
 	}
 	return status
 }
 
-func publishNote(ctx context.Context, c call) int {
-	body, err := c.input()
+func publishNote(ctx context.Context, c invocation) int {
+	body, err := c.readInput()
 	if err != nil {
 		return c.fail(err)
 	}
@@ -77,24 +77,24 @@
 		}
 		return ExitUsage
 	}
-	return c.operator(ctx, func(s server.Client, ctx context.Context) (server.Response, error) {
+	return c.callEntry(ctx, func(s server.Client, ctx context.Context) (server.Response, error) {
 		return s.Publish(ctx, body, c.values.Switch("dryRun"))
-	}, c.showPublication)
+	}, c.printPublication)
 }
 
-func withdrawDomain(ctx context.Context, c call) int {
-	return c.operator(ctx, func(s server.Client, ctx context.Context) (server.Response, error) {
+func withdrawDomain(ctx context.Context, c invocation) int {
+	return c.callEntry(ctx, func(s server.Client, ctx context.Context) (server.Response, error) {
 		return s.Withdraw(ctx, c.args[0], c.values.Text(author.Name))
-	}, c.showPublication)
+	}, c.printPublication)
 }
 
-func returnDomain(ctx context.Context, c call) int {
-	return c.operator(ctx, func(s server.Client, ctx context.Context) (server.Response, error) {
+func returnDomain(ctx context.Context, c invocation) int {
+	return c.callEntry(ctx, func(s server.Client, ctx context.Context) (server.Response, error) {
 		return s.Return(ctx, c.args[0], c.values.Text(author.Name))
-	}, c.showPublication)
+	}, c.printPublication)
 }
 
-func (c call) showPublication(body []byte) error {
+func (c invocation) printPublication(body []byte) error {
 	p, err := server.DecodePublication(body)
 	if err != nil {
 		return err
@@ -125,8 +125,8 @@
 	return nil
 }
 
-func showHistory(ctx context.Context, c call) int {
-	return c.operator(ctx, func(s server.Client, ctx context.Context) (server.Response, error) {
+func showHistory(ctx context.Context, c invocation) int {
+	return c.callEntry(ctx, func(s server.Client, ctx context.Context) (server.Response, error) {
 		return s.History(ctx, int(c.values.Count("limit")))
 	}, func(body []byte) error {
 		records, err := server.DecodeHistory(body)
@@ -152,8 +152,8 @@
 	})
 }
 
-func showStatus(ctx context.Context, c call) int {
-	return c.operator(ctx, server.Client.Status, func(body []byte) error {
+func showStatus(ctx context.Context, c invocation) int {
+	return c.callEntry(ctx, server.Client.Status, func(body []byte) error {
 		s, err := server.DecodeState(body)
 		if err != nil {
 			return err
@@ -178,12 +178,12 @@
 	})
 }
 
-func showBurn(ctx context.Context, c call) int {
+func showBurn(ctx context.Context, c invocation) int {
 	format := c.values.Text("format")
-	if c.json() {
+	if c.jsonRequested() {
 		format = "json"
 	}
-	return c.operator(ctx, func(s server.Client, ctx context.Context) (server.Response, error) {
+	return c.callEntry(ctx, func(s server.Client, ctx context.Context) (server.Response, error) {
 		return s.Burn(ctx, format)
 	}, func(body []byte) error {
 		c.printf("%s", body)
--- a/commander/program.go
+++ b/commander/program.go
@@ -37,18 +37,18 @@
 	}
 
 	command struct {
-		name     string // words separated by a space
-		args     string // names of the arguments in help texts
-		count    int    // number of arguments
-		optional bool   // the arguments may be left out
-		summary  string
-		settings []loader.Setting
-		rules    []loader.Rule
-		run      func(ctx context.Context, c call) int
+		name         string // words separated by a space
+		args         string // names of the arguments in help texts
+		argCount     int    // number of arguments
+		optionalArgs bool   // the arguments may be left out
+		summary      string
+		settings     []loader.Setting
+		rules        []loader.Rule
+		run          func(ctx context.Context, c invocation) int
 	}
 
 	// call is a subcommand with its checked settings and arguments.
-	call struct {
+	invocation struct {
 		*Program
 		values loader.Values
 		args   []string
@@ -57,33 +57,33 @@
 
 // Run executes the subcommand and returns the exit status.
 func (p *Program) Run(ctx context.Context) int {
-	cmd, rest := p.find()
+	cmd, rest := p.findCommand()
 	if cmd == nil {
-		return p.unknown()
+		return p.reportUnknownSubcommand()
 	}
-	set := cmd.set()
+	set := cmd.settingSet()
 	if cmd.name == "settings check" {
-		return p.check(rest)
+		return p.checkSettings(rest)
 	}
 	l := set.Load(rest, p.Environ)
 	if l.Help {
-		p.help(cmd)
+		p.printHelp(cmd)
 		return ExitSuccess
 	}
-	if n := len(l.Args); n != cmd.count && (!cmd.optional || n > cmd.count) {
+	if n := len(l.Args); n != cmd.argCount && (!cmd.optionalArgs || n > cmd.argCount) {
 		l.Findings = append(l.Findings, loader.Finding{
-			Place: "arguments", Reason: fmt.Sprintf("got %d, want %d (usage: crocuslb %s)", n, cmd.count, cmd.usage()),
+			Place: "arguments", Reason: fmt.Sprintf("got %d, want %d (usage: crocuslb %s)", n, cmd.argCount, cmd.usage()),
 		})
 	}
 	if len(l.Findings) > 0 {
 		p.errorf("%s", set.CheckText(l))
 		return ExitUsage
 	}
-	return cmd.run(ctx, call{p, l.Values, l.Args})
+	return cmd.run(ctx, invocation{p, l.Values, l.Args})
 }
 
 // find returns the subcommand with the longest matching name and the arguments after it.
-func (p *Program) find() (*command, []string) {
+func (p *Program) findCommand() (*command, []string) {
 	for words := min(2, len(p.Args)); words > 0; words-- {
 		name := strings.Join(p.Args[:words], " ")
 		for _, c := range commands() {
@@ -96,27 +96,27 @@
 }
 
 // unknown prints the overview. Asking for help is a success, anything else is wrong usage.
-func (p *Program) unknown() int {
+func (p *Program) reportUnknownSubcommand() int {
 	group := ""
 	if len(p.Args) > 0 {
 		group = p.Args[0]
 	}
-	asked := false
+	helpRequested := false
 	for _, a := range p.Args {
-		asked = asked || a == "-h" || a == "-help" || a == "--help" || a == "help"
+		helpRequested = helpRequested || a == "-h" || a == "-help" || a == "--help" || a == "help"
 	}
 	w, status := p.Stderr, ExitUsage
-	if asked {
+	if helpRequested {
 		w, status = p.Stdout, ExitSuccess
 	} else if group != "" {
 		p.errorf("there is no subcommand %q\n", strings.Join(p.Args[:min(2, len(p.Args))], " "))
 	}
-	p.overview(w, group)
+	p.printOverview(w, group)
 	return status
 }
 
 // overview lists the subcommands that begin with group, or all.
-func (p *Program) overview(w io.Writer, group string) {
+func (p *Program) printOverview(w io.Writer, group string) {
 	var matching []command
 	for _, c := range commands() {
 		if strings.HasPrefix(c.name, group+" ") {
@@ -135,16 +135,16 @@
 		"Exit status: 0 success, 1 failure, 2 wrong usage or settings.\n")
 }
 
-func (p *Program) help(c *command) {
+func (p *Program) printHelp(c *command) {
 	_, _ = fmt.Fprintf(p.Stdout, "usage: crocuslb %s [flags]\n\n%s.\n\nsettings (flag, unit, default, variable, meaning):\n%s\n"+
 		"Flags win over variables. Durations are plain numbers in ms, or numbers with ms, s, m or h.\n"+
 		"Exit status: 0 success, 1 failure, 2 wrong usage or settings.\n",
-		c.usage(), c.summary, c.set().Text())
+		c.usage(), c.summary, c.settingSet().Text())
 }
 
 func (c command) usage() string { return strings.TrimSpace(c.name + " " + c.args) }
 
-func (c command) set() loader.Set {
+func (c command) settingSet() loader.Set {
 	return loader.Set{Settings: c.settings, Known: allSettings(), Rules: c.rules}
 }
 
@@ -178,7 +178,7 @@
 }
 
 // logger returns the logger that the settings describe; it writes to standard error.
-func (c call) logger() *log.Logger {
+func (c invocation) logger() *log.Logger {
 	l := &log.Logger{Handler: textHandler(c.Stderr), Level: log.InfoLevel}
 	if c.values.Text(logFormat.Name) == logJSON {
 		l.Handler = jsonhandler.New(c.Stderr)
@@ -206,9 +206,9 @@
 }
 
 // client returns a client of the entry and a context bounded by the timeout.
-func (c call) client(ctx context.Context) (server.Client, context.Context, context.CancelFunc) {
+func (c invocation) client(ctx context.Context) (server.Client, context.Context, context.CancelFunc) {
 	ctx, cancel := context.WithTimeout(ctx, c.values.Millis(timeout.Name).Duration())
 	return server.Client{URL: c.values.Text(entryURL.Name), Token: c.values.Text(token.Name), HTTP: &http.Client{}}, ctx, cancel
 }
 
-func (c call) json() bool { return c.values.Switch(asJSON.Name) }
+func (c invocation) jsonRequested() bool { return c.values.Switch(jsonOutput.Name) }
--- a/commander/program_test.go
+++ b/commander/program_test.go
@@ -20,7 +20,7 @@
 const operatorToken = "0123456789abcdef"
 
 // run calls the program with the fields of args; FILE stands for a file with the given input.
-func run(t *testing.T, args string, environ []string, input string) (status int, stdout, stderr string) {
+func runProgram(t *testing.T, args string, environ []string, input string) (status int, stdout, stderr string) {
 	t.Helper()
 	file := filepath.Join(t.TempDir(), "input.json")
 	if err := os.WriteFile(file, []byte(input), 0o600); err != nil {
@@ -36,7 +36,7 @@
 }
 
 // Scripts depend on the exit status: 2 must mean that nothing was started.
-func TestUsage(t *testing.T) {
+func TestExitStatus(t *testing.T) {
 	tests := []struct {
 		args     string
 		environ  []string
@@ -76,7 +76,7 @@
 	}
 	for _, tc := range tests {
 		t.Run(tc.args, func(t *testing.T) {
-			status, stdout, stderr := run(t, tc.args, tc.environ, "")
+			status, stdout, stderr := runProgram(t, tc.args, tc.environ, "")
 			if status != tc.status || !strings.Contains(stdout+stderr, tc.contains) {
 				t.Errorf("got %d\n%s%s\nwant %d with %q", status, stdout, stderr, tc.status, tc.contains)
 			}
@@ -85,10 +85,10 @@
 }
 
 // Every declaration of every subcommand is sound, and a setting means the same unit wherever it is used.
-func TestDeclarations(t *testing.T) {
+func TestSettingDeclarations(t *testing.T) {
 	units := map[string]string{}
 	for _, c := range commands() {
-		if found := c.set().Declared(); len(found) > 0 {
+		if found := c.settingSet().Declared(); len(found) > 0 {
 			t.Errorf("%s: got %v", c.name, found)
 		}
 		for _, s := range c.settings {
@@ -101,13 +101,13 @@
 		if c.name == "settings check" {
 			continue
 		}
-		if status, stdout, _ := run(t, c.name+" -help", nil, ""); status != 0 || !strings.Contains(stdout, "default") {
+		if status, stdout, _ := runProgram(t, c.name+" -help", nil, ""); status != 0 || !strings.Contains(stdout, "default") {
 			t.Errorf("%s -help: got %d %s", c.name, status, stdout)
 		}
 	}
 }
 
-func TestCalls(t *testing.T) {
+func TestClientSubcommands(t *testing.T) {
 	complete := encoder.Answer{State: encoder.JobComplete, Results: []encoder.TaskResult{{Body: []byte("done")}}}
 	s := &server.Server{
 		Token:  operatorToken,
@@ -143,9 +143,9 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	web := httptest.NewServer(h)
-	defer web.Close()
-	environ := []string{"CROCUSLB_ENTRY_URL=" + web.URL, "CROCUSLB_TOKEN=" + operatorToken}
+	httpServer := httptest.NewServer(h)
+	defer httpServer.Close()
+	environ := []string{"CROCUSLB_ENTRY_URL=" + httpServer.URL, "CROCUSLB_TOKEN=" + operatorToken}
 	job, note := `{"tasks":[{"kind":"k"}]}`, `{"id":"n","added":[{"key":"domain/a","value":"out"}]}`
 	tests := []struct {
 		args, input string
@@ -174,7 +174,7 @@
 	}
 	for _, tc := range tests {
 		t.Run(tc.args, func(t *testing.T) {
-			status, stdout, stderr := run(t, tc.args, environ, tc.input)
+			status, stdout, stderr := runProgram(t, tc.args, environ, tc.input)
 			if status != tc.status || !strings.Contains(stdout+stderr, tc.contains) {
 				t.Errorf("got %d\n%s%s\nwant %d with %q", status, stdout, stderr, tc.status, tc.contains)
 			}
--- a/commander/settings.go
+++ b/commander/settings.go
@@ -12,32 +12,32 @@
 	logText = "text"
 	logJSON = "json"
 
-	minSecret = 32
-	minToken  = 16
-	day       = 24 * 60 * 60 * 1000 // ms
+	minSecretLength = 32
+	minTokenLength  = 16
+	dayMs           = 24 * 60 * 60 * 1000 // ms
 )
 
 var (
-	logLevel  = loader.Setting{Name: "logLevel", Default: "info", Meaning: "least level of log messages: debug, info, warn or error", Check: oneOf("debug", "info", "warn", "error")}
-	logFormat = loader.Setting{Name: "logFormat", Default: logText, Meaning: "format of log messages: text or json", Check: oneOf(logText, logJSON)}
-	secret    = loader.Setting{Name: "secret", Secret: true, Meaning: "secret from which the processes derive their keys, at least 32 characters; without it they listen on loopback only", Check: atLeast(minSecret)}
-	token     = loader.Setting{Name: "token", Secret: true, Meaning: "bearer token of the operators' calls, at least 16 characters; without it they are refused", Check: atLeast(minToken)}
+	logLevel  = loader.Setting{Name: "logLevel", Default: "info", Meaning: "least level of log messages: debug, info, warn or error", Check: checkOneOf("debug", "info", "warn", "error")}
+	logFormat = loader.Setting{Name: "logFormat", Default: logText, Meaning: "format of log messages: text or json", Check: checkOneOf(logText, logJSON)}
+	secret    = loader.Setting{Name: "secret", Secret: true, Meaning: "secret from which the processes derive their keys, at least 32 characters; without it they listen on loopback only", Check: checkMinLength(minSecretLength)}
+	token     = loader.Setting{Name: "token", Secret: true, Meaning: "bearer token of the operators' calls, at least 16 characters; without it they are refused", Check: checkMinLength(minTokenLength)}
 	drain     = loader.Setting{Name: "drainMs", Unit: loader.UnitMillis, Default: "30000", Min: 0, Max: 3_600_000, Meaning: "longest time to finish the work in flight after SIGTERM"}
-	domain    = loader.Setting{Name: "domain", Required: true, Meaning: "failure domain of the worker", Check: word}
+	domain    = loader.Setting{Name: "domain", Required: true, Meaning: "failure domain of the worker", Check: checkWord}
 
-	asJSON   = loader.Setting{Name: "json", Unit: loader.UnitSwitch, Default: "false", Meaning: "answer in JSON"}
-	entryURL = loader.Setting{Name: "entryUrl", Unit: loader.UnitURL, Default: "http://127.0.0.1:7480", Required: true, Meaning: "base URL of an entry or of the load balancer"}
-	timeout  = loader.Setting{Name: "timeoutMs", Unit: loader.UnitMillis, Default: "75000", Min: 1, Max: 3_600_000, Meaning: "longest time for the call"}
-	author   = loader.Setting{Name: "author", Meaning: "author recorded with the decision", Check: word}
+	jsonOutput = loader.Setting{Name: "json", Unit: loader.UnitSwitch, Default: "false", Meaning: "answer in JSON"}
+	entryURL   = loader.Setting{Name: "entryUrl", Unit: loader.UnitURL, Default: "http://127.0.0.1:7480", Required: true, Meaning: "base URL of an entry or of the load balancer"}
+	timeout    = loader.Setting{Name: "timeoutMs", Unit: loader.UnitMillis, Default: "75000", Min: 1, Max: 3_600_000, Meaning: "longest time for the call"}
+	author     = loader.Setting{Name: "author", Meaning: "author recorded with the decision", Check: checkWord}
 
 	entrySettings = []loader.Setting{
-		{Name: "id", Meaning: "identifier of the entry; a random one when empty", Check: word},
+		{Name: "id", Meaning: "identifier of the entry; a random one when empty", Check: checkWord},
 		{Name: "httpAddress", Unit: loader.UnitAddress, Default: "127.0.0.1:7480", Required: true, Meaning: "address of the HTTP listener (TCP)"},
 		{Name: "address", Unit: loader.UnitAddress, Default: "127.0.0.1:7481", Required: true, Meaning: "address of the QUIC listener (UDP)"},
 		{Name: "advertise", Unit: loader.UnitAddress, Meaning: "address at which other processes reach the QUIC listener; the listener's own when empty"},
 		{Name: "logUrl", Unit: loader.UnitURL, Required: true, Meaning: "base URL of the platform's log"},
 		{Name: "logTimeoutMs", Unit: loader.UnitMillis, Default: "1000", Min: 10, Max: 60_000, Meaning: "time after which a call to the log counts as failed"},
-		{Name: domain.Name, Meaning: "failure domain of the entry, for the choice of near sidecars; not known when empty", Check: word},
+		{Name: domain.Name, Meaning: "failure domain of the entry, for the choice of near sidecars; not known when empty", Check: checkWord},
 		{Name: "connections", Unit: loader.UnitCount, Default: "4096", Min: 1, Max: 1_000_000, Meaning: "open HTTP connections at most"},
 		memberAddress, memberSeeds, drain, secret, token, logLevel, logFormat,
 		{Name: "responseRatio", Unit: loader.UnitRatio, Default: "1.10", Min: 1, Max: 1000, Meaning: "objective: response time over ideal at which a job counts as slow"},
@@ -45,14 +45,14 @@
 		{Name: "successTarget", Unit: loader.UnitShare, Default: "0.999", Min: 0.5, Max: 1, Meaning: "objective: share of jobs that do not fail"},
 		{Name: "withdrawalMs", Unit: loader.UnitMillis, Default: "3000", Min: 100, Max: 60_000, Meaning: "objective: time in which a withdrawal is obeyed everywhere"},
 		{Name: "withdrawalTarget", Unit: loader.UnitShare, Default: "0.999", Min: 0.5, Max: 1, Meaning: "objective: share of withdrawals obeyed in time"},
-		{Name: "burnShortMs", Unit: loader.UnitMillis, Default: "300000", Min: 1000, Max: day, Meaning: "short window of the burn report"},
-		{Name: "burnLongMs", Unit: loader.UnitMillis, Default: "3600000", Min: 60_000, Max: 30 * day, Meaning: "long window of the burn report, over which the error budget counts"},
+		{Name: "burnShortMs", Unit: loader.UnitMillis, Default: "300000", Min: 1000, Max: dayMs, Meaning: "short window of the burn report"},
+		{Name: "burnLongMs", Unit: loader.UnitMillis, Default: "3600000", Min: 60_000, Max: 30 * dayMs, Meaning: "long window of the burn report, over which the error budget counts"},
 	}
 
 	sidecarSettings = []loader.Setting{
-		{Name: "id", Meaning: "identifier of the sidecar; a random one when empty", Check: word},
+		{Name: "id", Meaning: "identifier of the sidecar; a random one when empty", Check: checkWord},
 		domain,
-		{Name: "worker", Required: true, Meaning: "name of the worker", Check: word},
+		{Name: "worker", Required: true, Meaning: "name of the worker", Check: checkWord},
 		{Name: "slots", Unit: loader.UnitCount, Default: "8", Min: 1, Max: 4096, Meaning: "tasks that the backend server runs concurrently"},
 		{Name: "memoryMb", Unit: loader.UnitMegabytes, Default: "0", Min: 0, Max: 16 << 20, Meaning: "memory of the worker; 0 when unknown"},
 		{Name: "kinds", Unit: loader.UnitList, Meaning: "kinds of task that the backend server runs; all when empty"},
@@ -61,20 +61,20 @@
 		memberAddress, memberSeeds, drain, secret, logLevel, logFormat,
 	}
 
-	clientSettings = []loader.Setting{entryURL, token, timeout, asJSON}
+	clientSettings = []loader.Setting{entryURL, token, timeout, jsonOutput}
 
 	demoSettings = []loader.Setting{
 		{Name: "seed", Unit: loader.UnitCount, Default: "1", Min: 0, Max: 1 << 53, Meaning: "seed of the job mix"},
 		{Name: "jobs", Unit: loader.UnitCount, Default: "260", Min: 1, Max: 1000, Meaning: "number of jobs"},
-		asJSON, logLevel.WithDefault("error"), logFormat,
+		jsonOutput, logLevel.WithDefault("error"), logFormat,
 	}
 )
 
-func with(settings []loader.Setting, more ...loader.Setting) []loader.Setting {
+func withSettings(settings []loader.Setting, more ...loader.Setting) []loader.Setting {
 	return append(settings[:len(settings):len(settings)], more...)
 }
 
-func oneOf(words ...string) func(string) error {
+func checkOneOf(words ...string) func(string) error {
 	return func(value string) error {
 		for _, w := range words {
 			if value == w {
@@ -86,7 +86,7 @@
 }
 
 // atLeast does not quote the value, because it checks secrets.
-func atLeast(n int) func(string) error {
+func checkMinLength(n int) func(string) error {
 	return func(value string) error {
 		if value != "" && len(value) < n {
 			return trace.BadParameter("has %d characters, want at least %d", len(value), n)
@@ -95,7 +95,7 @@
 	}
 }
 
-func word(value string) error {
+func checkWord(value string) error {
 	if len(value) > 100 || strings.ContainsFunc(value, func(c rune) bool {
 		return (c < 'a' || c > 'z') && (c < 'A' || c > 'Z') && (c < '0' || c > '9') && !strings.ContainsRune("-._", c)
 	}) {
@@ -105,7 +105,7 @@
 }
 
 // guarded refuses listeners beyond loopback when the process lacks keys.
-func guarded(names ...string) []loader.Rule {
+func requireSecretAndToken(names ...string) []loader.Rule {
 	var rules []loader.Rule
 	for _, n := range names {
 		rules = append(rules, loader.Rule{Names: []string{n, secret.Name, token.Name}, Check: func(v loader.Values) []loader.Finding {
@@ -119,7 +119,7 @@
 }
 
 // remote refuses to connect to entries beyond loopback without the secret.
-func remote(v loader.Values) []loader.Finding {
+func requireSecretForEntries(v loader.Values) []loader.Finding {
 	if v.Text(secret.Name) != "" {
 		return nil
 	}
@@ -131,7 +131,7 @@
 	return nil
 }
 
-func windows(v loader.Values) []loader.Finding {
+func checkBurnWindows(v loader.Values) []loader.Finding {
 	if v.Millis("burnShortMs") >= v.Millis("burnLongMs") {
 		return []loader.Finding{{Place: "-burnShortMs", Reason: "must be less than -burnLongMs"}}
 	}
@@ -139,7 +139,7 @@
 }
 
 // reachable refuses to advertise an unspecified address such as 0.0.0.0.
-func reachable(v loader.Values) []loader.Finding {
+func checkAdvertise(v loader.Values) []loader.Finding {
 	a := v.Text("advertise")
 	if a == "" {
 		a = v.Text("address")
--- a/commander/settingscommand.go
+++ b/commander/settingscommand.go
@@ -17,17 +17,17 @@
 	Go       string `json:"go"`
 }
 
-func listSettings(_ context.Context, c call) int {
+func listSettings(_ context.Context, c invocation) int {
 	set := loader.Set{Settings: allSettings()}
 	if len(c.args) > 0 {
-		cmd, rest := (&Program{Args: c.args}).find()
+		cmd, rest := (&Program{Args: c.args}).findCommand()
 		if cmd == nil || len(rest) > 0 {
 			c.errorf("there is no subcommand %q\n", strings.Join(c.args, " "))
 			return ExitUsage
 		}
-		set = cmd.set()
+		set = cmd.settingSet()
 	}
-	if !c.json() {
+	if !c.jsonRequested() {
 		c.printf("%s", set.Text())
 		return ExitSuccess
 	}
@@ -41,27 +41,27 @@
 
 // check loads the settings of another subcommand from the same flags and variables as that one does. The switch -json
 // stands before the subcommand's name; after it, the flag belongs to the subcommand.
-func (p *Program) check(args []string) int {
-	asked := len(args) == 0 || slices.Contains([]string{"-h", "-help", "--help"}, args[0])
-	inJSON := !asked && (args[0] == "-json" || args[0] == "--json")
-	if inJSON {
+func (p *Program) checkSettings(args []string) int {
+	helpRequested := len(args) == 0 || slices.Contains([]string{"-h", "-help", "--help"}, args[0])
+	asJSONOutput := !helpRequested && (args[0] == "-json" || args[0] == "--json")
+	if asJSONOutput {
 		args = args[1:]
 	}
-	cmd, rest := (&Program{Args: args}).find()
-	if cmd == nil || asked {
+	cmd, rest := (&Program{Args: args}).findCommand()
+	if cmd == nil || helpRequested {
 		p.errorf("usage: crocuslb settings check [-json] SUBCOMMAND [flags]\n")
-		if len(args) > 0 && asked {
+		if len(args) > 0 && helpRequested {
 			return ExitSuccess
 		}
 		return ExitUsage
 	}
-	set := cmd.set()
+	set := cmd.settingSet()
 	l := set.Load(rest, p.Environ)
 	status := ExitSuccess
 	if len(l.Findings) > 0 {
 		status = ExitUsage
 	}
-	if !inJSON {
+	if !asJSONOutput {
 		p.printf("%s", set.CheckText(l))
 		return status
 	}
@@ -92,9 +92,9 @@
 	return v
 }
 
-func showVersion(_ context.Context, c call) int {
+func showVersion(_ context.Context, c invocation) int {
 	v := version()
-	if !c.json() {
+	if !c.jsonRequested() {
 		c.printf("crocuslb %s %s %s\n", v.Version, v.Revision, v.Go)
 		return ExitSuccess
 	}
--- a/commander/sidecar.go
+++ b/commander/sidecar.go
@@ -11,18 +11,18 @@
 	"github.com/crocuslb/crocuslb/timer"
 )
 
-func runSidecar(ctx context.Context, c call) int {
+func runSidecar(ctx context.Context, c invocation) int {
 	v, logger := c.values, c.logger()
-	keys, err := c.keys()
+	tlsConfig, err := c.tlsConfig()
 	if err != nil {
 		return c.fail(err)
 	}
 	s := &starter.Sidecar{
-		ID: identifier(v.Text("id"), roleSidecar), Incarnation: uint64(time.Now().UnixMicro()), Domain: v.Text(domain.Name), Worker: v.Text("worker"),
+		ID: idOrRandom(v.Text("id"), roleSidecar), Incarnation: uint64(time.Now().UnixMicro()), Domain: v.Text(domain.Name), Worker: v.Text("worker"),
 		Slots: uint32(v.Count("slots")), MemoryMB: uint64(v.Count("memoryMb")), Kinds: v.List("kinds"),
-		Backend: v.Text("backendUrl"), Entries: v.List("entries"), TLS: keys, Log: logger,
+		Backend: v.Text("backendUrl"), Entries: v.List("entries"), TLS: tlsConfig, Log: logger,
 	}
-	members, err := c.startMember(ctx, logger, roleSidecar, s.ID, s.Incarnation)
+	members, err := c.startMembership(ctx, logger, roleSidecar, s.ID, s.Incarnation)
 	if err != nil {
 		return c.fail(err)
 	}
@@ -37,20 +37,20 @@
 }
 
 // serveSidecar runs s until ctx ends, and then until it is drained or the time for that is over.
-func serveSidecar(ctx context.Context, s *starter.Sidecar, drain timer.Millis) error {
-	running, stop := context.WithCancel(context.WithoutCancel(ctx))
+func serveSidecar(ctx context.Context, s *starter.Sidecar, drainTimeout timer.Millis) error {
+	runCtx, stop := context.WithCancel(context.WithoutCancel(ctx))
 	defer stop()
-	ended := make(chan error, 1)
-	go func() { ended <- s.Run(running) }()
+	done := make(chan error, 1)
+	go func() { done <- s.Run(runCtx) }()
 	select {
-	case err := <-ended:
+	case err := <-done:
 		return err
 	case <-ctx.Done():
 	}
 	s.Log.Info("sidecar: draining")
-	draining, cancel := context.WithTimeout(running, drain.Duration())
+	drainCtx, cancel := context.WithTimeout(runCtx, drainTimeout.Duration())
 	defer cancel()
-	err := s.Drain(draining)
+	err := s.Drain(drainCtx)
 	stop()
-	return trace.NewAggregate(err, <-ended)
+	return trace.NewAggregate(err, <-done)
 }
--- a/commander/taskreport.go
+++ b/commander/taskreport.go
@@ -10,22 +10,22 @@
 
 // reportTask queues a task report. The control goroutine of the entry calls it, so a report that finds the queue full is
 // dropped and counted.
-func (p *entryProcess) reportTask(r dispatcher.TaskReport) {
+func (p *entryProcess) enqueueTaskReport(r dispatcher.TaskReport) {
 	select {
-	case p.tasks <- r:
+	case p.reports <- r:
 	default:
-		p.unseen.Add(1)
+		p.droppedReports.Add(1)
 	}
 }
 
 // observeTasks counts task reports for their workers and failure domains until ctx ends.
-func (p *entryProcess) observeTasks(ctx context.Context) {
+func (p *entryProcess) observeTaskReports(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case r := <-p.tasks:
-			if v, ok := observation(r); ok {
+		case r := <-p.reports:
+			if v, ok := taskObservation(r); ok {
 				p.Reporter.Observe(p.Entry.Clock.Now(), v)
 			}
 		}
@@ -34,7 +34,7 @@
 
 // observation judges a task. It returns false for a task that was asked to stop, whose end says nothing about its worker,
 // and for one that ran at an unknown place.
-func observation(r dispatcher.TaskReport) (reporter.Observation, bool) {
+func taskObservation(r dispatcher.TaskReport) (reporter.Observation, bool) {
 	v := reporter.Observation{
 		Domain: r.Domain, Worker: r.Worker, Response: r.Ran, Ideal: r.Expected, Failed: r.Status != encoder.StatusDone, Task: true,
 	}
--- a/server/client.go
+++ b/server/client.go
@@ -19,7 +19,7 @@
 	"github.com/crocuslb/crocuslb/timer"
 )
 
-const maxResponse = 64 << 20
+const maxResponseSize = 64 << 20
 
 type (
 	// Client calls the HTTP interface of an entry. URL is the entry's base URL.
@@ -63,12 +63,12 @@
 
 // Withdraw withdraws a failure domain from service.
 func (c Client) Withdraw(ctx context.Context, domain, author string) (Response, error) {
-	return c.domain(ctx, domain, "withdraw", author)
+	return c.changeDomain(ctx, domain, "withdraw", author)
 }
 
 // Return returns a failure domain to service.
 func (c Client) Return(ctx context.Context, domain, author string) (Response, error) {
-	return c.domain(ctx, domain, "return", author)
+	return c.changeDomain(ctx, domain, "return", author)
 }
 
 // Status asks for the entry's state.
@@ -81,7 +81,7 @@
 	return c.call(ctx, http.MethodGet, "/v1/burn?format="+url.QueryEscape(format), "", nil)
 }
 
-func (c Client) domain(ctx context.Context, domain, verb, author string) (Response, error) {
+func (c Client) changeDomain(ctx context.Context, domain, verb, author string) (Response, error) {
 	path := "/v1/domains/" + url.PathEscape(domain) + "/" + verb
 	if author != "" {
 		path += "?author=" + url.QueryEscape(author)
@@ -112,12 +112,12 @@
 		return Response{}, trace.ConnectionProblem(err, "%s %s%s failed", method, c.URL, path)
 	}
 	defer func() { _ = resp.Body.Close() }()
-	out, err := io.ReadAll(io.LimitReader(resp.Body, maxResponse+1))
+	out, err := io.ReadAll(io.LimitReader(resp.Body, maxResponseSize+1))
 	if err != nil {
 		return Response{}, trace.ConnectionProblem(err, "the answer to %s %s%s was cut off", method, c.URL, path)
 	}
-	if len(out) > maxResponse {
-		return Response{}, trace.LimitExceeded("the answer to %s %s%s is larger than %d bytes", method, c.URL, path, maxResponse)
+	if len(out) > maxResponseSize {
+		return Response{}, trace.LimitExceeded("the answer to %s %s%s is larger than %d bytes", method, c.URL, path, maxResponseSize)
 	}
 	return Response{Status: resp.StatusCode, Body: out}, nil
 }
@@ -202,19 +202,19 @@
 
 // DecodeHistory reads the answer to History.
 func DecodeHistory(body []byte) ([]Record, error) {
-	var rows []recordWire
-	if err := json.Unmarshal(body, &rows); err != nil {
+	var records []recordWire
+	if err := json.Unmarshal(body, &records); err != nil {
 		return nil, trace.BadParameter("the answer is not valid: %v", err)
 	}
-	out := make([]Record, 0, len(rows))
-	for _, r := range rows {
+	decoded := make([]Record, 0, len(records))
+	for _, r := range records {
 		n, findings := configurer.ParseNote(r.Note)
 		if len(findings) > 0 {
 			return nil, trace.BadParameter("the note at offset %d is not valid: %s", r.Offset, findings[0])
 		}
-		out = append(out, Record{Offset: r.Offset, Refused: r.Refused, Note: n})
+		decoded = append(decoded, Record{Offset: r.Offset, Refused: r.Refused, Note: n})
 	}
-	return out, nil
+	return decoded, nil
 }
 
 // DecodeState reads the answer to Status.
--- a/server/job.go
+++ b/server/job.go
@@ -13,20 +13,20 @@
 )
 
 const (
-	maxBody        = 4 << 20
-	maxReserve     = 64 << 10 // memory that a body takes before it arrives, when its declared length says so
-	maxHeader      = 16 << 10
-	maxTasks       = 1000
-	maxKeyLength   = 200
-	maxNameLength  = 100
-	maxPayload     = 1 << 20
-	maxDeadline    = 24 * 60 * timer.Minute
-	maxRunTime     = 60 * timer.Minute
-	maxMemoryMB    = 16 << 20
-	maxWait        = timer.Minute
-	defaultWait    = 30 * timer.Second
-	maxFindings    = 50
-	maxAnswerFrame = encoder.MaxFrame - 64<<10 // the largest job that fits into one message with its envelope
+	maxBodySize         = 4 << 20
+	maxPreallocatedSize = 64 << 10 // memory that a body takes before it arrives, when its declared length says so
+	maxHeaderSize       = 16 << 10
+	maxTasks            = 1000
+	maxKeyLength        = 200
+	maxNameLength       = 100
+	maxPayloadSize      = 1 << 20
+	maxDeadline         = 24 * 60 * timer.Minute
+	maxRunTime          = 60 * timer.Minute
+	maxMemoryMB         = 16 << 20
+	maxWait             = timer.Minute
+	defaultWait         = 30 * timer.Second
+	maxFindings         = 50
+	maxJobSize          = encoder.MaxFrame - 64<<10 // the largest job that fits into one message with its envelope
 )
 
 const (
@@ -76,101 +76,101 @@
 // DecodeJob reads the body of a submission. It returns all findings; the request is usable only when there are none.
 // A payload is the exact bytes of a JSON string, or of the base64 in payloadBase64.
 func DecodeJob(key string, body []byte) (Request, []Finding) {
-	r := newReader(body)
-	q := Request{Job: encoder.Job{Key: key}, Wait: defaultWait}
-	checkKey(r, &path{name: "Idempotency-Key"}, key)
-	tasks := false
-	r.object(nil, func(name string, at *path) bool {
+	r := newJSONReader(body)
+	req := Request{Job: encoder.Job{Key: key}, Wait: defaultWait}
+	checkKey(r, &fieldPath{name: "Idempotency-Key"}, key)
+	hasTasks := false
+	r.readObject(nil, func(name string, at *fieldPath) bool {
 		switch name {
 		case "team":
-			q.Job.Team = r.text(at, maxNameLength)
-			checkName(r, at, q.Job.Team)
+			req.Job.Team = r.readString(at, maxNameLength)
+			checkName(r, at, req.Job.Team)
 		case "tasks":
-			tasks = true
-			ok := r.array(at, maxTasks, func(at *path) {
-				q.Job.Tasks = append(q.Job.Tasks, decodeTask(r, at))
+			hasTasks = true
+			ok := r.readArray(at, maxTasks, func(at *fieldPath) {
+				req.Job.Tasks = append(req.Job.Tasks, decodeTask(r, at))
 			})
-			if ok && len(q.Job.Tasks) == 0 {
-				r.add(at, "is empty")
+			if ok && len(req.Job.Tasks) == 0 {
+				r.addFinding(at, "is empty")
 			}
 		case "deadlineMs":
-			q.Job.Deadline = timer.Millis(r.number(at, 1, int64(maxDeadline)))
+			req.Job.Deadline = timer.Millis(r.readInt(at, 1, int64(maxDeadline)))
 		case "once":
-			q.Job.Once = r.boolean(at)
+			req.Job.Once = r.readBool(at)
 		case "waitMs":
-			q.Wait = timer.Millis(r.number(at, 0, int64(maxWait)))
+			req.Wait = timer.Millis(r.readInt(at, 0, int64(maxWait)))
 		default:
 			return false
 		}
 		return true
 	})
-	if !tasks && !r.broken {
-		r.add(&path{name: "tasks"}, "is missing")
+	if !hasTasks && !r.stopped {
+		r.addFinding(&fieldPath{name: "tasks"}, "is missing")
 	}
-	if size := jobSize(q.Job); size > maxAnswerFrame {
-		r.add(nil, "the decoded job has %d bytes, at most %d are allowed", size, maxAnswerFrame)
+	if size := encodedJobSizeBound(req.Job); size > maxJobSize {
+		r.addFinding(nil, "the decoded job has %d bytes, at most %d are allowed", size, maxJobSize)
 	}
-	return q, r.findings
+	return req, r.findings
 }
 
-func decodeTask(r *reader, place *path) encoder.JobTask {
+func decodeTask(r *jsonReader, place *fieldPath) encoder.JobTask {
 	var t encoder.JobTask
-	payloads := 0
-	ok := r.object(place, func(name string, at *path) bool {
+	payloadCount := 0
+	ok := r.readObject(place, func(name string, at *fieldPath) bool {
 		switch name {
 		case "kind":
-			t.Kind = r.text(at, maxNameLength)
+			t.Kind = r.readString(at, maxNameLength)
 			checkName(r, at, t.Kind)
 		case "payload":
-			payloads++
-			t.Payload = []byte(r.text(at, maxPayload))
+			payloadCount++
+			t.Payload = []byte(r.readString(at, maxPayloadSize))
 		case "payloadBase64":
-			payloads++
-			t.Payload = r.data(at, maxPayload)
+			payloadCount++
+			t.Payload = r.readBase64(at, maxPayloadSize)
 		case "runMs":
-			t.RunTime = timer.Millis(r.number(at, 0, int64(maxRunTime)))
+			t.RunTime = timer.Millis(r.readInt(at, 0, int64(maxRunTime)))
 		case "memoryMb":
-			t.MemoryMB = uint64(r.number(at, 0, maxMemoryMB))
+			t.MemoryMB = uint64(r.readInt(at, 0, maxMemoryMB))
 		default:
 			return false
 		}
 		return true
 	})
 	if ok && t.Kind == "" {
-		r.add(&path{up: place, name: "kind"}, "is missing")
+		r.addFinding(&fieldPath{parent: place, name: "kind"}, "is missing")
 	}
-	if payloads > 1 {
-		r.add(place, "has more than one payload")
+	if payloadCount > 1 {
+		r.addFinding(place, "has more than one payload")
 	}
 	return t
 }
 
 // checkKey allows characters that need no escaping in a URL path.
-func checkKey(r *reader, at *path, key string) {
+func checkKey(r *jsonReader, place *fieldPath, key string) {
 	switch {
 	case key == "":
-		r.add(at, "is missing")
+		r.addFinding(place, "is missing")
 	case len(key) > maxKeyLength:
-		r.add(at, "is longer than %d bytes", maxKeyLength)
-	case strings.ContainsFunc(key, func(c rune) bool { return !word(c) && c != ':' && c != '~' }):
-		r.add(at, "holds a character other than letters, digits and -._~:")
+		r.addFinding(place, "is longer than %d bytes", maxKeyLength)
+	case strings.ContainsFunc(key, func(c rune) bool { return !isWordChar(c) && c != ':' && c != '~' }):
+		r.addFinding(place, "holds a character other than letters, digits and -._~:")
 	case strings.Trim(key, ".") == "":
-		r.add(at, "consists of dots only")
+		r.addFinding(place, "consists of dots only")
 	}
 }
 
 // checkName allows words that are safe in URL paths, header fields and metric labels.
-func checkName(r *reader, at *path, name string) {
-	if name != "" && (strings.ContainsFunc(name, func(c rune) bool { return !word(c) }) || strings.Trim(name, ".") == "") {
-		r.add(at, "holds a character other than letters, digits and -._")
+func checkName(r *jsonReader, place *fieldPath, name string) {
+	if name != "" && (strings.ContainsFunc(name, func(c rune) bool { return !isWordChar(c) }) || strings.Trim(name, ".") == "") {
+		r.addFinding(place, "holds a character other than letters, digits and -._")
 	}
 }
 
-func word(c rune) bool {
+func isWordChar(c rune) bool {
 	return c >= 'a' && c <= 'z' || c >= 'A' && c <= 'Z' || c >= '0' && c <= '9' || c == '-' || c == '_' || c == '.'
 }
 
-func jobSize(j encoder.Job) int {
+func encodedJobSizeBound(j encoder.Job) int {
 	const perTask = 32 // upper bound of the tags, lengths and numbers of one encoded task
 	size := len(j.Key) + len(j.Team)
 	for _, t := range j.Tasks {
@@ -216,11 +216,11 @@
 // a string, any other as base64.
 func EncodeAnswer(a encoder.Answer) ([]byte, error) {
 	w := answerWire{
-		Key: a.Key, State: name(stateNames[:], int(a.State)), Code: name(codeNames[:], int(a.Code)), Reason: a.Reason,
+		Key: a.Key, State: nameAt(stateNames[:], int(a.State)), Code: nameAt(codeNames[:], int(a.Code)), Reason: a.Reason,
 		RetryAfterMs: int64(a.RetryAfter),
 	}
 	if a.State == encoder.JobFailed {
-		w.Outcome = name(outcomeNames[:], int(a.Outcome))
+		w.Outcome = nameAt(outcomeNames[:], int(a.Outcome))
 		if w.Outcome == "" {
 			w.Outcome = unknown // the only claim that needs no evidence
 		}
@@ -250,7 +250,7 @@
 	return resultWire{BodyBase64: text}
 }
 
-func name(names []string, i int) string {
+func nameAt(names []string, i int) string {
 	if i < len(names) {
 		return names[i]
 	}
--- a/server/object.go
+++ b/server/jsonreader.go
@@ -20,52 +20,52 @@
 
 	// reader walks a JSON document that is valid as a whole and collects findings, at most maxFindings. It keeps
 	// what encoding/json would accept silently: unknown, doubled and differently written names.
-	reader struct {
+	jsonReader struct {
 		body     []byte
-		at       int
+		pos      int
 		findings []Finding
-		broken   bool // nothing more is read
+		stopped  bool // nothing more is read
 	}
 
 	// path is the place of a value. Its text is built only for findings. An item has no name.
-	path struct {
-		up    *path
-		name  string
-		index int
+	fieldPath struct {
+		parent *fieldPath
+		name   string
+		index  int
 	}
 )
 
 // String returns the path as findings show it.
-func (p *path) String() string {
+func (p *fieldPath) String() string {
 	switch {
 	case p == nil:
 		return "body"
-	case p.name == "" && p.up != nil:
-		return p.up.String() + "[" + strconv.Itoa(p.index) + "]"
+	case p.name == "" && p.parent != nil:
+		return p.parent.String() + "[" + strconv.Itoa(p.index) + "]"
 	}
 	name := p.name
 	if len(name) > maxKeyLength {
 		name = name[:maxKeyLength] + "..."
 	}
-	if p.up == nil {
-		return nonEmpty(name)
+	if p.parent == nil {
+		return placeOrBody(name)
 	}
-	return p.up.String() + "." + name
+	return p.parent.String() + "." + name
 }
 
 // newReader returns a reader of body. A body that is not valid UTF-8 is refused as a whole: decoding would replace the
 // invalid bytes and so change a payload.
-func newReader(body []byte) *reader {
-	r := &reader{body: body}
+func newJSONReader(body []byte) *jsonReader {
+	r := &jsonReader{body: body}
 	if !utf8.Valid(body) {
-		r.add(nil, "is not valid UTF-8")
-		r.broken = true
+		r.addFinding(nil, "is not valid UTF-8")
+		r.stopped = true
 		return r
 	}
 	if json.Valid(body) {
 		return r
 	}
-	r.broken = true
+	r.stopped = true
 	var raw json.RawMessage
 	var syntax *json.SyntaxError
 	place, reason := "body", "is not valid JSON"
@@ -76,7 +76,7 @@
 	return r
 }
 
-func (r *reader) add(p *path, format string, args ...any) {
+func (r *jsonReader) addFinding(p *fieldPath, format string, args ...any) {
 	if len(r.findings) < maxFindings {
 		r.findings = append(r.findings, Finding{Place: p.String(), Reason: fmt.Sprintf(format, args...)})
 	}
@@ -84,83 +84,83 @@
 
 // object walks one object and calls field for each member; field must consume the value, or return false when it does
 // not know the name. It returns false when the value is no object; the value is consumed then.
-func (r *reader) object(p *path, field func(name string, p *path) bool) bool {
-	if !r.open(p, '{', "an object") {
+func (r *jsonReader) readObject(p *fieldPath, field func(name string, p *fieldPath) bool) bool {
+	if !r.openDelimiter(p, '{', "an object") {
 		return false
 	}
 	var seen [16]string // names beyond the first 16 are unknown ones, which are findings anyway
-	for n := 0; r.more('}'); n++ {
-		name := fieldName(r.raw())
-		r.peek()
-		r.at++ // the colon
-		member := &path{up: p, name: name}
+	for n := 0; r.hasNext('}'); n++ {
+		name := fieldName(r.rawValue())
+		r.peekByte()
+		r.pos++ // the colon
+		member := &fieldPath{parent: p, name: name}
 		for i := range min(n, len(seen)) {
 			if seen[i] == name {
-				r.add(member, "the field is given twice")
+				r.addFinding(member, "the field is given twice")
 			}
 		}
 		if n < len(seen) {
 			seen[n] = name
 		}
 		if !field(name, member) {
-			r.add(member, "the field is unknown")
-			r.raw()
+			r.addFinding(member, "the field is unknown")
+			r.rawValue()
 		}
 	}
 	return true
 }
 
 // array walks one array and calls item for each element; item must consume the value.
-func (r *reader) array(p *path, limit int, item func(p *path)) bool {
-	if !r.open(p, '[', "an array") {
+func (r *jsonReader) readArray(p *fieldPath, limit int, item func(p *fieldPath)) bool {
+	if !r.openDelimiter(p, '[', "an array") {
 		return false
 	}
-	for i := 0; r.more(']'); i++ {
+	for i := 0; r.hasNext(']'); i++ {
 		if i == limit {
-			r.add(p, "has more than %d items", limit)
-			r.broken = true
+			r.addFinding(p, "has more than %d items", limit)
+			r.stopped = true
 			return false
 		}
-		item(&path{up: p, index: i})
+		item(&fieldPath{parent: p, index: i})
 	}
 	return true
 }
 
 // open consumes the opening delimiter. A value of another kind is consumed and reported.
-func (r *reader) open(p *path, delimiter byte, want string) bool {
-	if r.broken {
+func (r *jsonReader) openDelimiter(p *fieldPath, delimiter byte, want string) bool {
+	if r.stopped {
 		return false
 	}
-	if r.peek() != delimiter {
-		r.add(p, "want %s", want)
-		r.raw()
+	if r.peekByte() != delimiter {
+		r.addFinding(p, "want %s", want)
+		r.rawValue()
 		return false
 	}
-	r.at++
+	r.pos++
 	return true
 }
 
 // more reports whether another member or element follows, and consumes the comma before it or the closing delimiter.
-func (r *reader) more(closing byte) bool {
-	if r.broken {
+func (r *jsonReader) hasNext(closing byte) bool {
+	if r.stopped {
 		return false
 	}
-	switch r.peek() {
+	switch r.peekByte() {
 	case closing:
-		r.at++
+		r.pos++
 		return false
 	case ',':
-		r.at++
+		r.pos++
 	}
 	return true
 }
 
 // peek skips white space and returns the next byte.
-func (r *reader) peek() byte {
+func (r *jsonReader) peekByte() byte {
 	for {
-		switch c := r.body[r.at]; c {
+		switch c := r.body[r.pos]; c {
 		case ' ', '\t', '\r', '\n':
-			r.at++
+			r.pos++
 		default:
 			return c
 		}
@@ -168,45 +168,45 @@
 }
 
 // raw consumes one value and returns its bytes, or nothing when the reader is broken.
-func (r *reader) raw() []byte {
-	if r.broken {
+func (r *jsonReader) rawValue() []byte {
+	if r.stopped {
 		return nil
 	}
 	depth := 0
-	r.peek()
-	begin := r.at
+	r.peekByte()
+	start := r.pos
 	for {
-		switch r.body[r.at] {
+		switch r.body[r.pos] {
 		case '"':
-			r.at = stringEnd(r.body, r.at)
+			r.pos = stringEnd(r.body, r.pos)
 		case '{', '[':
 			depth++
-			r.at++
+			r.pos++
 		case '}', ']':
 			depth--
-			r.at++
+			r.pos++
 		case ' ', '\t', '\r', '\n', ',', ':':
-			r.at++
+			r.pos++
 			continue
 		default:
-			for r.at < len(r.body) && !strings.ContainsRune(" \t\r\n,:{}[]\"", rune(r.body[r.at])) {
-				r.at++
+			for r.pos < len(r.body) && !strings.ContainsRune(" \t\r\n,:{}[]\"", rune(r.body[r.pos])) {
+				r.pos++
 			}
 		}
 		if depth == 0 {
-			return r.body[begin:r.at]
+			return r.body[start:r.pos]
 		}
 	}
 }
 
 // stringEnd returns the position after the string that begins at the given one.
-func stringEnd(body []byte, at int) int {
-	for at++; ; at++ {
-		switch body[at] {
+func stringEnd(body []byte, pos int) int {
+	for pos++; ; pos++ {
+		switch body[pos] {
 		case '\\':
-			at++
+			pos++
 		case '"':
-			return at + 1
+			return pos + 1
 		}
 	}
 }
@@ -242,73 +242,73 @@
 }
 
 // text consumes a string of at most limit bytes. An unpaired surrogate is refused, because decoding replaces it.
-func (r *reader) text(p *path, limit int) string {
-	raw := r.raw()
+func (r *jsonReader) readString(p *fieldPath, limit int) string {
+	raw := r.rawValue()
 	if raw == nil {
 		return ""
 	}
 	if raw[0] != '"' {
-		r.add(p, "want a string")
+		r.addFinding(p, "want a string")
 		return ""
 	}
 	s := unquote(raw)
 	if len(s) > limit {
-		r.add(p, "is longer than %d bytes", limit)
+		r.addFinding(p, "is longer than %d bytes", limit)
 		return ""
 	}
 	const replacement = "\uFFFD"
-	if n := strings.Count(s, replacement); n > 0 {
-		lower := bytes.ToLower(raw)
-		if n > bytes.Count(lower, []byte(replacement))+bytes.Count(lower, []byte(`\ufffd`)) {
-			r.add(p, "holds an unpaired surrogate")
+	if replacements := strings.Count(s, replacement); replacements > 0 {
+		lowered := bytes.ToLower(raw)
+		if replacements > bytes.Count(lowered, []byte(replacement))+bytes.Count(lowered, []byte(`\ufffd`)) {
+			r.addFinding(p, "holds an unpaired surrogate")
 		}
 	}
 	return s
 }
 
 // data consumes a string of base64 that stands for at most limit bytes.
-func (r *reader) data(p *path, limit int) []byte {
-	s := r.text(p, base64.StdEncoding.EncodedLen(limit))
+func (r *jsonReader) readBase64(p *fieldPath, limit int) []byte {
+	s := r.readString(p, base64.StdEncoding.EncodedLen(limit))
 	b, err := base64.StdEncoding.Strict().DecodeString(s)
 	if err != nil {
-		r.add(p, "is not standard base64")
+		r.addFinding(p, "is not standard base64")
 		return nil
 	}
 	if len(b) > limit {
-		r.add(p, "is longer than %d bytes", limit)
+		r.addFinding(p, "is longer than %d bytes", limit)
 		return nil
 	}
 	return b
 }
 
 // number consumes a whole number from low to high.
-func (r *reader) number(p *path, low, high int64) int64 {
-	raw := r.raw()
+func (r *jsonReader) readInt(p *fieldPath, low, high int64) int64 {
+	raw := r.rawValue()
 	if raw == nil {
 		return 0
 	}
 	n, err := strconv.ParseInt(string(raw), 10, 64)
 	switch {
 	case err != nil:
-		r.add(p, "want a whole number from %d to %d", low, high)
+		r.addFinding(p, "want a whole number from %d to %d", low, high)
 		return 0
 	case n < low || n > high:
-		r.add(p, "%d is out of range %d..%d", n, low, high)
+		r.addFinding(p, "%d is out of range %d..%d", n, low, high)
 		return 0
 	}
 	return n
 }
 
 // boolean consumes true or false.
-func (r *reader) boolean(p *path) bool {
-	raw := r.raw()
+func (r *jsonReader) readBool(p *fieldPath) bool {
+	raw := r.rawValue()
 	if raw != nil && string(raw) != "true" && string(raw) != "false" {
-		r.add(p, "want true or false")
+		r.addFinding(p, "want true or false")
 	}
 	return string(raw) == "true"
 }
 
-func nonEmpty(place string) string {
+func placeOrBody(place string) string {
 	if place == "" {
 		return "body"
 	}
--- a/server/listener.go
+++ b/server/listener.go
@@ -16,10 +16,10 @@
 )
 
 const (
-	defaultConnections = 4096
-	readHeaderTimeout  = 5 * timer.Second
-	readTimeout        = 30 * timer.Second
-	idleTimeout        = 2 * timer.Minute
+	defaultMaxConnections = 4096
+	readHeaderTimeout     = 5 * timer.Second
+	readTimeout           = 30 * timer.Second
+	idleTimeout           = 2 * timer.Minute
 	// writeTimeout covers the longest wait for an answer and the time to read the request.
 	writeTimeout = maxWait + readTimeout + 10*timer.Second
 )
@@ -35,8 +35,8 @@
 		// Guarded says that the process has keys. Without keys only loopback addresses are accepted.
 		Guarded bool
 
-		server *http.Server
-		bound  net.Listener
+		server   *http.Server
+		listener net.Listener
 	}
 
 	reportWriter func(text string)
@@ -52,25 +52,25 @@
 		return "", trace.AccessDenied("a process without keys listens on loopback only, not on %s", address)
 	}
 	var lc net.ListenConfig
-	bound, err := lc.Listen(ctx, "tcp", address)
+	listener, err := lc.Listen(ctx, "tcp", address)
 	if err != nil {
 		return "", trace.Wrap(err, "listen on %s", address)
 	}
 	limit := l.Connections
 	if limit <= 0 {
-		limit = defaultConnections
+		limit = defaultMaxConnections
 	}
-	l.bound = netutil.LimitListener(bound, limit)
+	l.listener = netutil.LimitListener(listener, limit)
 	l.server = &http.Server{
-		Handler: l.Handler, MaxHeaderBytes: maxHeader,
+		Handler: l.Handler, MaxHeaderBytes: maxHeaderSize,
 		ReadHeaderTimeout: readHeaderTimeout.Duration(), ReadTimeout: readTimeout.Duration(),
 		WriteTimeout: writeTimeout.Duration(), IdleTimeout: idleTimeout.Duration(),
-		ErrorLog: log.New(reportWriter(l.report), "", 0),
+		ErrorLog: log.New(reportWriter(l.logError), "", 0),
 	}
-	return bound.Addr().String(), nil
+	return listener.Addr().String(), nil
 }
 
-func (l *Listener) report(text string) {
+func (l *Listener) logError(text string) {
 	if l.Report != nil {
 		l.Report(text)
 	}
@@ -84,7 +84,7 @@
 
 // Serve serves until Shutdown is called. It must follow a successful Listen.
 func (l *Listener) Serve() error {
-	if err := l.server.Serve(l.bound); !errors.Is(err, http.ErrServerClosed) {
+	if err := l.server.Serve(l.listener); !errors.Is(err, http.ErrServerClosed) {
 		return trace.Wrap(err)
 	}
 	return nil
--- a/server/note.go
+++ b/server/note.go
@@ -8,7 +8,7 @@
 	"github.com/crocuslb/crocuslb/timer"
 )
 
-const maxHistory = 1000
+const maxHistoryLimit = 1000
 
 type (
 	// Difference is what a note does to one key. Before is empty for an added key, After for a withdrawn one.
@@ -41,7 +41,7 @@
 		Note    configurer.Note
 	}
 
-	domainCall = func(ctx context.Context, domain, author string) (Publication, error)
+	domainFunc = func(ctx context.Context, domain, author string) (Publication, error)
 
 	recordWire struct {
 		Offset  uint64          `json:"offset"`
@@ -74,21 +74,21 @@
 
 // DecodeNote reads a note and returns all findings; the note is usable only when there are none.
 func DecodeNote(body []byte) (configurer.Note, []Finding) {
-	n, found := configurer.ParseNote(body)
-	findings := make([]Finding, 0, len(found))
-	for _, f := range found {
-		findings = append(findings, Finding{Place: nonEmpty(f.Place), Reason: f.Text})
+	n, parsed := configurer.ParseNote(body)
+	findings := make([]Finding, 0, len(parsed))
+	for _, f := range parsed {
+		findings = append(findings, Finding{Place: placeOrBody(f.Place), Reason: f.Text})
 	}
 	return n, findings
 }
 
 // EncodeHistory maps records to a JSON array.
 func EncodeHistory(records []Record) ([]byte, error) {
-	rows := make([]recordWire, 0, len(records))
+	wire := make([]recordWire, 0, len(records))
 	for _, r := range records {
-		rows = append(rows, recordWire{Offset: r.Offset, Refused: r.Refused, Note: configurer.FormatNote(r.Note)})
+		wire = append(wire, recordWire{Offset: r.Offset, Refused: r.Refused, Note: configurer.FormatNote(r.Note)})
 	}
-	return json.Marshal(rows)
+	return json.Marshal(wire)
 }
 
 // EncodePublication maps a publication to JSON. The offset is given only when the log has recorded it.
--- a/server/operators.go
+++ b/server/operators.go
@@ -9,14 +9,14 @@
 	"github.com/kataras/iris/v12"
 )
 
-const defaultHistory = 50
+const defaultHistoryLimit = 50
 
-func (s *Server) publish(c iris.Context) {
+func (s *Server) handlePublish(c iris.Context) {
 	dryRun := false
 	if text := c.URLParam("dryRun"); text != "" {
 		b, err := strconv.ParseBool(text)
 		if err != nil {
-			refuse(c, http.StatusBadRequest, "the request is malformed", []Finding{{"dryRun", "want true or false"}})
+			rejectRequest(c, http.StatusBadRequest, "the request is malformed", []Finding{{"dryRun", "want true or false"}})
 			return
 		}
 		dryRun = b
@@ -27,120 +27,120 @@
 	}
 	n, findings := DecodeNote(body)
 	if len(findings) > 0 {
-		refuse(c, http.StatusBadRequest, "the request is malformed", findings)
+		rejectRequest(c, http.StatusBadRequest, "the request is malformed", findings)
 		return
 	}
 	if s.Publish == nil {
-		refuse(c, http.StatusServiceUnavailable, "the entry takes no configuration changes", nil)
+		rejectRequest(c, http.StatusServiceUnavailable, "the entry takes no configuration changes", nil)
 		return
 	}
 	p, err := s.Publish(c.Request().Context(), n, dryRun)
-	published(c, p, err)
+	writePublication(c, p, err)
 }
 
-func (s *Server) history(c iris.Context) {
-	limit := defaultHistory
+func (s *Server) handleHistory(c iris.Context) {
+	limit := defaultHistoryLimit
 	if text := c.URLParam("limit"); text != "" {
 		n, err := strconv.Atoi(text)
-		if err != nil || n < 1 || n > maxHistory {
-			refuse(c, http.StatusBadRequest, "the request is malformed",
-				[]Finding{{"limit", "want a whole number from 1 to " + strconv.Itoa(maxHistory)}})
+		if err != nil || n < 1 || n > maxHistoryLimit {
+			rejectRequest(c, http.StatusBadRequest, "the request is malformed",
+				[]Finding{{"limit", "want a whole number from 1 to " + strconv.Itoa(maxHistoryLimit)}})
 			return
 		}
 		limit = n
 	}
 	if s.History == nil {
-		refuse(c, http.StatusServiceUnavailable, "the entry has no history", nil)
+		rejectRequest(c, http.StatusServiceUnavailable, "the entry has no history", nil)
 		return
 	}
 	records, err := s.History(c.Request().Context(), limit)
 	if err != nil {
-		failed(c, err)
+		writeError(c, err)
 		return
 	}
 	body, err := EncodeHistory(records)
-	respondJSON(c, body, err)
+	writeJSON(c, body, err)
 }
 
-func (s *Server) withdraw(c iris.Context) { s.domain(c, s.Withdraw) }
-func (s *Server) giveBack(c iris.Context) { s.domain(c, s.Return) }
+func (s *Server) handleWithdraw(c iris.Context) { s.handleDomain(c, s.Withdraw) }
+func (s *Server) handleReturn(c iris.Context)   { s.handleDomain(c, s.Return) }
 
 // domain serves the two calls on failure domains. The optional query parameter author goes into the log record.
-func (s *Server) domain(c iris.Context, call domainCall) {
+func (s *Server) handleDomain(c iris.Context, call domainFunc) {
 	domain, author := c.Params().Get("domain"), c.URLParam("author")
-	r := &reader{}
+	r := &jsonReader{}
 	for _, f := range [][2]string{{"domain", domain}, {"author", author}} {
-		at := &path{name: f[0]}
+		at := &fieldPath{name: f[0]}
 		checkName(r, at, f[1])
 		if len(f[1]) > maxNameLength {
-			r.add(at, "is longer than %d bytes", maxNameLength)
+			r.addFinding(at, "is longer than %d bytes", maxNameLength)
 		}
 	}
 	if len(r.findings) > 0 {
-		refuse(c, http.StatusBadRequest, "the request is malformed", r.findings)
+		rejectRequest(c, http.StatusBadRequest, "the request is malformed", r.findings)
 		return
 	}
 	if call == nil {
-		refuse(c, http.StatusServiceUnavailable, "the entry takes no decisions on failure domains", nil)
+		rejectRequest(c, http.StatusServiceUnavailable, "the entry takes no decisions on failure domains", nil)
 		return
 	}
 	p, err := call(c.Request().Context(), domain, author)
-	published(c, p, err)
+	writePublication(c, p, err)
 }
 
-func (s *Server) status(c iris.Context) {
+func (s *Server) handleStatus(c iris.Context) {
 	if s.Status == nil {
-		refuse(c, http.StatusServiceUnavailable, "the entry has no status", nil)
+		rejectRequest(c, http.StatusServiceUnavailable, "the entry has no status", nil)
 		return
 	}
 	st, err := s.Status(c.Request().Context())
 	if err != nil {
-		failed(c, err)
+		writeError(c, err)
 		return
 	}
 	body, err := EncodeState(st)
-	respondJSON(c, body, err)
+	writeJSON(c, body, err)
 }
 
 // burn answers in the format that the parameter names: text, json (the default) or html.
-func (s *Server) burn(c iris.Context) {
+func (s *Server) handleBurn(c iris.Context) {
 	types := map[string]string{"text": contentText, "json": contentJSON, "html": contentHTML}
 	format := c.URLParamDefault("format", "json")
 	contentType, ok := types[format]
 	if !ok {
-		refuse(c, http.StatusBadRequest, "the request is malformed", []Finding{{"format", "want text, json or html"}})
+		rejectRequest(c, http.StatusBadRequest, "the request is malformed", []Finding{{"format", "want text, json or html"}})
 		return
 	}
 	if s.Burn == nil {
-		refuse(c, http.StatusServiceUnavailable, "the entry has no burn report", nil)
+		rejectRequest(c, http.StatusServiceUnavailable, "the entry has no burn report", nil)
 		return
 	}
 	var b bytes.Buffer
 	if err := s.Burn(&b, format); err != nil {
-		fault(c, err)
+		writeInternalError(c, err)
 		return
 	}
-	write(c, http.StatusOK, contentType, b.Bytes())
+	writeBody(c, http.StatusOK, contentType, b.Bytes())
 }
 
-func (s *Server) metrics(c iris.Context) {
+func (s *Server) handleMetrics(c iris.Context) {
 	var b bytes.Buffer
 	if s.Metrics != nil {
 		s.Metrics(&b)
 	}
-	write(c, http.StatusOK, contentText, b.Bytes())
+	writeBody(c, http.StatusOK, contentText, b.Bytes())
 }
 
 // published answers a decision: 200 when it is accepted or was only checked, 202 when it is obeyed or recorded but not
 // accepted yet, 409 when it is refused, 500 when its outcome is unknown.
-func published(c iris.Context, p Publication, err error) {
+func writePublication(c iris.Context, p Publication, err error) {
 	if err != nil {
-		failed(c, err)
+		writeError(c, err)
 		return
 	}
 	body, err := EncodePublication(p)
 	if err != nil {
-		fault(c, err)
+		writeInternalError(c, err)
 		return
 	}
 	status := http.StatusInternalServerError
@@ -152,30 +152,30 @@
 	case p.Recorded, p.Provisional:
 		status = http.StatusAccepted
 	}
-	write(c, status, contentJSON, body)
+	writeBody(c, status, contentJSON, body)
 }
 
 // failed maps the kinds of errors to status codes. Only errors that surely had no effect say "not run".
-func failed(c iris.Context, err error) {
+func writeError(c iris.Context, err error) {
 	reason := trace.UserMessage(err)
 	switch {
 	case trace.IsBadParameter(err):
-		refuse(c, http.StatusBadRequest, reason, nil)
+		rejectRequest(c, http.StatusBadRequest, reason, nil)
 	case trace.IsCompareFailed(err), trace.IsAlreadyExists(err):
-		refuse(c, http.StatusConflict, reason, nil)
+		rejectRequest(c, http.StatusConflict, reason, nil)
 	case trace.IsNotFound(err):
-		refuse(c, http.StatusNotFound, reason, nil)
+		rejectRequest(c, http.StatusNotFound, reason, nil)
 	case trace.IsLimitExceeded(err):
-		refuse(c, http.StatusServiceUnavailable, reason, nil)
+		rejectRequest(c, http.StatusServiceUnavailable, reason, nil)
 	default:
-		fault(c, err)
+		writeInternalError(c, err)
 	}
 }
 
-func respondJSON(c iris.Context, body []byte, err error) {
+func writeJSON(c iris.Context, body []byte, err error) {
 	if err != nil {
-		fault(c, err)
+		writeInternalError(c, err)
 		return
 	}
-	write(c, http.StatusOK, contentJSON, body)
+	writeBody(c, http.StatusOK, contentJSON, body)
 }
--- a/server/server.go
+++ b/server/server.go
@@ -46,8 +46,8 @@
 		// Publish, History, Withdraw, Return and Status serve operators.
 		Publish  func(ctx context.Context, n configurer.Note, dryRun bool) (Publication, error)
 		History  func(ctx context.Context, limit int) ([]Record, error)
-		Withdraw func(ctx context.Context, domain, author string) (Publication, error)
-		Return   func(ctx context.Context, domain, author string) (Publication, error)
+		Withdraw func(ctx context.Context, handleDomain, author string) (Publication, error)
+		Return   func(ctx context.Context, handleDomain, author string) (Publication, error)
 		Status   func(ctx context.Context) (State, error)
 		// Burn writes the burn report in one of the formats "text", "json" and "html".
 		Burn func(w io.Writer, format string) error
@@ -56,137 +56,137 @@
 		// Ready reports whether the process takes jobs. A nil field means that it does.
 		Ready func() bool
 		// Observe is told about every answered request. It may be nil.
-		Observe func(call string, status int, took timer.Millis)
+		Observe func(call string, handleStatus int, took timer.Millis)
 		Clock   timer.Clock
 		// Token is the bearer token of operators. Without one every operators' call is refused.
 		Token string
 
-		once    sync.Once
-		handler http.Handler
-		failure error
+		buildOnce sync.Once
+		handler   http.Handler
+		buildErr  error
 	}
 )
 
 //go:embed openapi.json
-var description []byte
+var openAPIDocument []byte
 
 // Handler returns the handler of all calls.
 func (s *Server) Handler() (http.Handler, error) {
-	s.once.Do(func() {
+	s.buildOnce.Do(func() {
 		app := iris.New()
 		app.Logger().SetLevel("disable")
 		app.Configure(iris.WithoutStartupLog, iris.WithoutInterruptHandler, iris.WithoutBanner,
 			iris.WithoutPathCorrection, iris.WithFireMethodNotAllowed)
-		s.route(app)
-		s.failure = trace.Wrap(app.Build())
+		s.registerRoutes(app)
+		s.buildErr = trace.Wrap(app.Build())
 		s.handler = app
 	})
-	return s.handler, s.failure
+	return s.handler, s.buildErr
 }
 
-func (s *Server) route(app *iris.Application) {
-	app.Post("/v1/jobs", s.observed("submit", s.submit))
-	app.Get("/v1/jobs/{key:string}", s.observed("get", s.get))
-	app.Delete("/v1/jobs/{key:string}", s.observed("cancel", s.cancel))
-	app.Get("/v1/openapi.json", func(c iris.Context) { write(c, http.StatusOK, contentJSON, description) })
-	app.HandleMany("GET HEAD", "/health", s.health)
+func (s *Server) registerRoutes(app *iris.Application) {
+	app.Post("/v1/jobs", s.observeRequest("submit", s.handleSubmit))
+	app.Get("/v1/jobs/{key:string}", s.observeRequest("get", s.handleGet))
+	app.Delete("/v1/jobs/{key:string}", s.observeRequest("cancel", s.handleCancel))
+	app.Get("/v1/openapi.json", func(c iris.Context) { writeBody(c, http.StatusOK, contentJSON, openAPIDocument) })
+	app.HandleMany("GET HEAD", "/health", s.handleHealth)
 
-	app.Post("/v1/notes", s.observed("publish", s.operator(s.publish)))
-	app.Get("/v1/notes", s.observed("history", s.operator(s.history)))
-	app.Post("/v1/domains/{domain:string}/withdraw", s.observed("withdraw", s.operator(s.withdraw)))
-	app.Post("/v1/domains/{domain:string}/return", s.observed("return", s.operator(s.giveBack)))
-	app.Get("/v1/status", s.observed("status", s.operator(s.status)))
-	app.Get("/v1/burn", s.observed("burn", s.operator(s.burn)))
-	app.Get("/metrics", s.operator(s.metrics))
+	app.Post("/v1/notes", s.observeRequest("publish", s.requireToken(s.handlePublish)))
+	app.Get("/v1/notes", s.observeRequest("history", s.requireToken(s.handleHistory)))
+	app.Post("/v1/domains/{domain:string}/withdraw", s.observeRequest("withdraw", s.requireToken(s.handleWithdraw)))
+	app.Post("/v1/domains/{domain:string}/return", s.observeRequest("return", s.requireToken(s.handleReturn)))
+	app.Get("/v1/status", s.observeRequest("status", s.requireToken(s.handleStatus)))
+	app.Get("/v1/burn", s.observeRequest("burn", s.requireToken(s.handleBurn)))
+	app.Get("/metrics", s.requireToken(s.handleMetrics))
 
 	app.OnErrorCode(http.StatusNotFound, func(c iris.Context) {
-		refuse(c, http.StatusNotFound, "there is no such call", nil)
+		rejectRequest(c, http.StatusNotFound, "there is no such call", nil)
 	})
 	app.OnErrorCode(http.StatusMethodNotAllowed, func(c iris.Context) {
-		refuse(c, http.StatusMethodNotAllowed, "the call does not have this method", nil)
+		rejectRequest(c, http.StatusMethodNotAllowed, "the call does not have this method", nil)
 	})
 }
 
 // observed reports the call's status and duration to Observe.
-func (s *Server) observed(call string, h iris.Handler) iris.Handler {
+func (s *Server) observeRequest(call string, h iris.Handler) iris.Handler {
 	return func(c iris.Context) {
-		begun := s.Clock.Now()
+		started := s.Clock.Now()
 		h(c)
 		if s.Observe != nil {
-			s.Observe(call, c.GetStatusCode(), s.Clock.Now()-begun)
+			s.Observe(call, c.GetStatusCode(), s.Clock.Now()-started)
 		}
 	}
 }
 
 // operator lets only requests with the bearer token pass.
-func (s *Server) operator(h iris.Handler) iris.Handler {
-	want := sha256.Sum256([]byte(s.Token))
+func (s *Server) requireToken(h iris.Handler) iris.Handler {
+	wantHash := sha256.Sum256([]byte(s.Token))
 	return func(c iris.Context) {
 		scheme, token, _ := strings.Cut(c.GetHeader("Authorization"), " ")
-		got := sha256.Sum256([]byte(token))
+		gotHash := sha256.Sum256([]byte(token))
 		// The sums have the same length, so the comparison does not reveal the token's length either.
-		if subtle.ConstantTimeCompare(got[:], want[:]) != 1 || s.Token == "" || !strings.EqualFold(scheme, "Bearer") {
+		if subtle.ConstantTimeCompare(gotHash[:], wantHash[:]) != 1 || s.Token == "" || !strings.EqualFold(scheme, "Bearer") {
 			c.Header("WWW-Authenticate", "Bearer")
-			refuse(c, http.StatusUnauthorized, "the call needs the operators' bearer token", nil)
+			rejectRequest(c, http.StatusUnauthorized, "the call needs the operators' bearer token", nil)
 			return
 		}
 		h(c)
 	}
 }
 
-func (s *Server) health(c iris.Context) {
+func (s *Server) handleHealth(c iris.Context) {
 	if s.Ready != nil && !s.Ready() {
-		write(c, http.StatusServiceUnavailable, contentText, []byte("leaving\n"))
+		writeBody(c, http.StatusServiceUnavailable, contentText, []byte("leaving\n"))
 		return
 	}
-	write(c, http.StatusOK, contentText, []byte("ready\n"))
+	writeBody(c, http.StatusOK, contentText, []byte("ready\n"))
 }
 
-func (s *Server) submit(c iris.Context) {
-	keys := c.Request().Header.Values("Idempotency-Key")
-	if len(keys) > 1 {
-		refuse(c, http.StatusBadRequest, "the request is malformed", []Finding{{"Idempotency-Key", "is given more than once"}})
+func (s *Server) handleSubmit(c iris.Context) {
+	keyHeaders := c.Request().Header.Values("Idempotency-Key")
+	if len(keyHeaders) > 1 {
+		rejectRequest(c, http.StatusBadRequest, "the request is malformed", []Finding{{"Idempotency-Key", "is given more than once"}})
 		return
 	}
 	body, ok := readBody(c)
 	if !ok {
 		return
 	}
-	key := strings.Join(keys, "")
+	key := strings.Join(keyHeaders, "")
 	if n := len(key); n >= 2 && key[0] == '"' && key[n-1] == '"' {
 		key = key[1 : n-1] // the quoted form of the Idempotency-Key draft
 	}
-	q, findings := DecodeJob(key, body)
+	req, findings := DecodeJob(key, body)
 	if len(findings) > 0 {
-		refuse(c, http.StatusBadRequest, "the request is malformed", findings)
+		rejectRequest(c, http.StatusBadRequest, "the request is malformed", findings)
 		return
 	}
 	if s.Submit == nil {
-		refuse(c, http.StatusServiceUnavailable, "the entry takes no jobs", nil)
+		rejectRequest(c, http.StatusServiceUnavailable, "the entry takes no jobs", nil)
 		return
 	}
-	ctx, cancel := context.WithTimeout(c.Request().Context(), q.Wait.Duration())
+	ctx, cancel := context.WithTimeout(c.Request().Context(), req.Wait.Duration())
 	defer cancel()
-	s.answer(c, q.Job.Key, verify(s.Submit(ctx, q.Job), q.Job))
+	s.writeAnswer(c, req.Job.Key, checkAnswer(s.Submit(ctx, req.Job), req.Job))
 }
 
-func (s *Server) get(c iris.Context)    { s.byKey(c, s.Get, Status) }
-func (s *Server) cancel(c iris.Context) { s.byKey(c, s.Cancel, cancelStatus) }
+func (s *Server) handleGet(c iris.Context)    { s.handleByKey(c, s.Get, Status) }
+func (s *Server) handleCancel(c iris.Context) { s.handleByKey(c, s.Cancel, cancelStatus) }
 
-func (s *Server) byKey(c iris.Context, call func(context.Context, string) encoder.Answer, status func(encoder.Answer) int) {
+func (s *Server) handleByKey(c iris.Context, call func(context.Context, string) encoder.Answer, status func(encoder.Answer) int) {
 	key := c.Params().Get("key")
-	r := &reader{}
-	checkKey(r, &path{name: "key"}, key)
+	r := &jsonReader{}
+	checkKey(r, &fieldPath{name: "key"}, key)
 	if len(r.findings) > 0 {
-		refuse(c, http.StatusBadRequest, "the request is malformed", r.findings)
+		rejectRequest(c, http.StatusBadRequest, "the request is malformed", r.findings)
 		return
 	}
 	if call == nil {
-		refuse(c, http.StatusServiceUnavailable, "the entry has no such call", nil)
+		rejectRequest(c, http.StatusServiceUnavailable, "the entry has no such call", nil)
 		return
 	}
 	a := call(c.Request().Context(), key)
-	s.respond(c, key, a, status(a))
+	s.writeAnswerStatus(c, key, a, status(a))
 }
 
 // cancelStatus is 200 as soon as the submission has ended in any way: the call did what it was asked to do.
@@ -197,11 +197,11 @@
 	return Status(a)
 }
 
-func (s *Server) answer(c iris.Context, key string, a encoder.Answer) {
-	s.respond(c, key, a, Status(a))
+func (s *Server) writeAnswer(c iris.Context, key string, a encoder.Answer) {
+	s.writeAnswerStatus(c, key, a, Status(a))
 }
 
-func (s *Server) respond(c iris.Context, key string, a encoder.Answer, status int) {
+func (s *Server) writeAnswerStatus(c iris.Context, key string, a encoder.Answer, status int) {
 	if a.Key == "" {
 		a.Key = key
 	}
@@ -214,17 +214,17 @@
 	}
 	body, err := EncodeAnswer(a)
 	if err != nil {
-		fault(c, err)
+		writeInternalError(c, err)
 		return
 	}
 	if status == http.StatusServiceUnavailable || status == http.StatusTooManyRequests {
 		c.Header("Retry-After", strconv.FormatInt(max(1, (int64(a.RetryAfter)+999)/1000), 10))
 	}
-	write(c, status, contentJSON, body)
+	writeBody(c, status, contentJSON, body)
 }
 
 // verify replaces a complete answer that lacks results; a partial answer never leaves the process.
-func verify(a encoder.Answer, j encoder.Job) encoder.Answer {
+func checkAnswer(a encoder.Answer, j encoder.Job) encoder.Answer {
 	if a.State == encoder.JobComplete && len(a.Results) != len(j.Tasks) || a.State < encoder.JobRunning || a.State > encoder.JobFailed {
 		return encoder.Answer{
 			Key: a.Key, State: encoder.JobFailed, Outcome: encoder.OutcomeUnknown, Code: encoder.CodeUnknown,
@@ -236,34 +236,34 @@
 
 // readBody reads a bounded JSON body. It has answered the request when ok is false.
 func readBody(c iris.Context) (body []byte, ok bool) {
-	if t := c.GetHeader("Content-Type"); t != "" {
-		if media, _, err := mime.ParseMediaType(t); err != nil || media != contentJSON {
-			refuse(c, http.StatusUnsupportedMediaType, "the body must have the type application/json", nil)
+	if contentType := c.GetHeader("Content-Type"); contentType != "" {
+		if media, _, err := mime.ParseMediaType(contentType); err != nil || media != contentJSON {
+			rejectRequest(c, http.StatusUnsupportedMediaType, "the body must have the type application/json", nil)
 			return nil, false
 		}
 	}
-	var read bytes.Buffer
+	var buf bytes.Buffer
 	if n := c.Request().ContentLength; n > 0 {
-		read.Grow(int(min(n, maxReserve)) + bytes.MinRead)
+		buf.Grow(int(min(n, maxPreallocatedSize)) + bytes.MinRead)
 	}
-	_, err := read.ReadFrom(http.MaxBytesReader(c.ResponseWriter(), c.Request().Body, maxBody))
-	var large *http.MaxBytesError
+	_, err := buf.ReadFrom(http.MaxBytesReader(c.ResponseWriter(), c.Request().Body, maxBodySize))
+	var tooLarge *http.MaxBytesError
 	switch {
-	case errors.As(err, &large):
-		refuse(c, http.StatusRequestEntityTooLarge, fmt.Sprintf("the body is larger than %d bytes", maxBody), nil)
+	case errors.As(err, &tooLarge):
+		rejectRequest(c, http.StatusRequestEntityTooLarge, fmt.Sprintf("the body is larger than %d bytes", maxBodySize), nil)
 	case err != nil:
-		refuse(c, http.StatusBadRequest, "the body could not be read", nil)
+		rejectRequest(c, http.StatusBadRequest, "the body could not be read", nil)
 	default:
 		// The read timeout would otherwise end the request's context while the caller waits for the answer. Writers
 		// that have no deadline, as in tests, answer with an error.
 		_ = http.NewResponseController(c.ResponseWriter().Naive()).SetReadDeadline(time.Time{})
-		return read.Bytes(), true
+		return buf.Bytes(), true
 	}
 	return nil, false
 }
 
 // refuse answers a request of which nothing was executed.
-func refuse(c iris.Context, status int, reason string, findings []Finding) {
+func rejectRequest(c iris.Context, status int, reason string, findings []Finding) {
 	w := answerWire{State: "failed", Code: "invalid", Reason: reason, Outcome: notRun}
 	if status == http.StatusServiceUnavailable {
 		w.Code = "unavailable"
@@ -276,16 +276,16 @@
 	if err != nil {
 		body = []byte(`{"state":"failed","outcome":"notRun"}`)
 	}
-	write(c, status, contentJSON, body)
+	writeBody(c, status, contentJSON, body)
 }
 
 // fault answers a request that failed inside the process after it may have had an effect.
-func fault(c iris.Context, err error) {
+func writeInternalError(c iris.Context, err error) {
 	body, _ := json.Marshal(answerWire{State: "failed", Code: unknown, Reason: trace.UserMessage(err), Outcome: unknown})
-	write(c, http.StatusInternalServerError, contentJSON, body)
+	writeBody(c, http.StatusInternalServerError, contentJSON, body)
 }
 
-func write(c iris.Context, status int, contentType string, body []byte) {
+func writeBody(c iris.Context, status int, contentType string, body []byte) {
 	c.StatusCode(status)
 	c.ContentType(contentType)
 	c.Header("Content-Length", strconv.Itoa(len(body)))
--- a/server/server_test.go
+++ b/server/server_test.go
@@ -21,7 +21,7 @@
 
 const testToken = "0123456789abcdef"
 
-func request(t *testing.T, s *Server, method, path, body string, headers ...string) *httptest.ResponseRecorder {
+func sendRequest(t *testing.T, s *Server, method, path, body string, headers ...string) *httptest.ResponseRecorder {
 	t.Helper()
 	h, err := s.Handler()
 	if err != nil {
@@ -38,26 +38,26 @@
 
 // Every malformed request is refused before Submit, with a reason, a place and a true "not run".
 func TestMalformedJobs(t *testing.T) {
-	one := `{"tasks":[{"kind":"k"}]}`
-	tasks := func(task string) string { return `{"tasks":[{"kind":"k"},` + task + `]}` }
+	validBody := `{"tasks":[{"kind":"k"}]}`
+	bodyWithTask := func(task string) string { return `{"tasks":[{"kind":"k"},` + task + `]}` }
 	tests := []struct {
 		name, key, body string
 		status          int
 		place           string // of the first finding
 	}{
-		{"no key", "", one, 400, "Idempotency-Key"},
-		{"long key", strings.Repeat("k", 201), one, 400, "Idempotency-Key"},
-		{"key with slash", "a/b", one, 400, "Idempotency-Key"},
-		{"key of dots", "..", one, 400, "Idempotency-Key"},
-		{"key with line break", "a\x01b", one, 400, "Idempotency-Key"},
+		{"no key", "", validBody, 400, "Idempotency-Key"},
+		{"long key", strings.Repeat("k", 201), validBody, 400, "Idempotency-Key"},
+		{"key with slash", "a/b", validBody, 400, "Idempotency-Key"},
+		{"key of dots", "..", validBody, 400, "Idempotency-Key"},
+		{"key with line break", "a\x01b", validBody, 400, "Idempotency-Key"},
 		{"empty body", "k", ``, 400, "body at byte 0"},
 		{"no JSON", "k", `hello`, 400, "body at byte 1"},
 		{"array", "k", `[]`, 400, "body"},
 		{"null", "k", `null`, 400, "body"},
 		{"cut off", "k", `{"tasks":[{"kind":"k"}`, 400, "body at byte 22"},
-		{"trailing data", "k", one + `{}`, 400, "body at byte 25"},
+		{"trailing data", "k", validBody + `{}`, 400, "body at byte 25"},
 		{"invalid UTF-8", "k", "{\"team\":\"\xff\"}", 400, "body"},
-		{"unpaired surrogate", "k", tasks(`{"kind":"k","payload":"\ud800"}`), 400, "tasks[1].payload"},
+		{"unpaired surrogate", "k", bodyWithTask(`{"kind":"k","payload":"\ud800"}`), 400, "tasks[1].payload"},
 		{"unknown field", "k", `{"tasks":[{"kind":"k"}],"dedline":1}`, 400, "dedline"},
 		{"name in other case", "k", `{"Tasks":[{"kind":"k"}]}`, 400, "Tasks"},
 		{"doubled field", "k", `{"tasks":[{"kind":"k"}],"once":true,"once":false}`, 400, "once"},
@@ -65,26 +65,26 @@
 		{"empty tasks", "k", `{"tasks":[]}`, 400, "tasks"},
 		{"tasks is an object", "k", `{"tasks":{"a":[{}]}}`, 400, "tasks"},
 		{"too many tasks", "k", `{"tasks":[` + strings.Repeat(`{"kind":"k"},`, 1000) + `{"kind":"k"}]}`, 400, "tasks"},
-		{"task is a number", "k", tasks(`7`), 400, "tasks[1]"},
-		{"task without kind", "k", tasks(`{}`), 400, "tasks[1].kind"},
-		{"kind with slash", "k", tasks(`{"kind":"../run"}`), 400, "tasks[1].kind"},
-		{"long kind", "k", tasks(`{"kind":"` + strings.Repeat("k", 101) + `"}`), 400, "tasks[1].kind"},
-		{"unknown field of a task", "k", tasks(`{"kind":"k","x":{"y":[1]}}`), 400, "tasks[1].x"},
-		{"payload is an object", "k", tasks(`{"kind":"k","payload":{}}`), 400, "tasks[1].payload"},
-		{"long payload", "k", tasks(`{"kind":"k","payload":"` + strings.Repeat("p", maxPayload+1) + `"}`), 400, "tasks[1].payload"},
-		{"bad base64", "k", tasks(`{"kind":"k","payloadBase64":"?"}`), 400, "tasks[1].payloadBase64"},
-		{"two payloads", "k", tasks(`{"kind":"k","payload":"a","payloadBase64":"YQ=="}`), 400, "tasks[1]"},
-		{"negative run time", "k", tasks(`{"kind":"k","runMs":-1}`), 400, "tasks[1].runMs"},
-		{"fraction", "k", tasks(`{"kind":"k","runMs":1.5}`), 400, "tasks[1].runMs"},
-		{"number as string", "k", tasks(`{"kind":"k","runMs":"1"}`), 400, "tasks[1].runMs"},
-		{"null number", "k", tasks(`{"kind":"k","runMs":null}`), 400, "tasks[1].runMs"},
-		{"large number", "k", tasks(`{"kind":"k","memoryMb":1e99}`), 400, "tasks[1].memoryMb"},
+		{"task is a number", "k", bodyWithTask(`7`), 400, "tasks[1]"},
+		{"task without kind", "k", bodyWithTask(`{}`), 400, "tasks[1].kind"},
+		{"kind with slash", "k", bodyWithTask(`{"kind":"../run"}`), 400, "tasks[1].kind"},
+		{"long kind", "k", bodyWithTask(`{"kind":"` + strings.Repeat("k", 101) + `"}`), 400, "tasks[1].kind"},
+		{"unknown field of a task", "k", bodyWithTask(`{"kind":"k","x":{"y":[1]}}`), 400, "tasks[1].x"},
+		{"payload is an object", "k", bodyWithTask(`{"kind":"k","payload":{}}`), 400, "tasks[1].payload"},
+		{"long payload", "k", bodyWithTask(`{"kind":"k","payload":"` + strings.Repeat("p", maxPayloadSize+1) + `"}`), 400, "tasks[1].payload"},
+		{"bad base64", "k", bodyWithTask(`{"kind":"k","payloadBase64":"?"}`), 400, "tasks[1].payloadBase64"},
+		{"two payloads", "k", bodyWithTask(`{"kind":"k","payload":"a","payloadBase64":"YQ=="}`), 400, "tasks[1]"},
+		{"negative run time", "k", bodyWithTask(`{"kind":"k","runMs":-1}`), 400, "tasks[1].runMs"},
+		{"fraction", "k", bodyWithTask(`{"kind":"k","runMs":1.5}`), 400, "tasks[1].runMs"},
+		{"number as string", "k", bodyWithTask(`{"kind":"k","runMs":"1"}`), 400, "tasks[1].runMs"},
+		{"null number", "k", bodyWithTask(`{"kind":"k","runMs":null}`), 400, "tasks[1].runMs"},
+		{"large number", "k", bodyWithTask(`{"kind":"k","memoryMb":1e99}`), 400, "tasks[1].memoryMb"},
 		{"no deadline left", "k", `{"tasks":[{"kind":"k"}],"deadlineMs":0}`, 400, "deadlineMs"},
 		{"long wait", "k", `{"tasks":[{"kind":"k"}],"waitMs":60001}`, 400, "waitMs"},
 		{"once is a number", "k", `{"tasks":[{"kind":"k"}],"once":1}`, 400, "once"},
 		{"team with space", "k", `{"tasks":[{"kind":"k"}],"team":"a b"}`, 400, "team"},
 		{"deep nesting", "k", `{"x":` + strings.Repeat("[", 20000) + strings.Repeat("]", 20000) + `}`, 400, "body at byte 10005"},
-		{"large body", "k", `{"x":"` + strings.Repeat("x", maxBody) + `"}`, 413, ""},
+		{"large body", "k", `{"x":"` + strings.Repeat("x", maxBodySize) + `"}`, 413, ""},
 	}
 	for _, tc := range tests {
 		t.Run(tc.name, func(t *testing.T) {
@@ -92,7 +92,7 @@
 				t.Error("got a call of Submit, want none")
 				return encoder.Answer{}
 			}}
-			w := request(t, s, "POST", "/v1/jobs", tc.body, "Idempotency-Key", tc.key)
+			w := sendRequest(t, s, "POST", "/v1/jobs", tc.body, "Idempotency-Key", tc.key)
 			var got answerWire
 			if err := json.Unmarshal(w.Body.Bytes(), &got); err != nil {
 				t.Fatalf("got body %q, want JSON: %v", w.Body, err)
@@ -108,7 +108,7 @@
 }
 
 // Headers that contradict each other or the body make the request malformed as well.
-func TestMalformedHeaders(t *testing.T) {
+func TestRejectMalformedHeaders(t *testing.T) {
 	for _, tc := range []struct {
 		headers []string
 		status  int
@@ -117,7 +117,7 @@
 		{[]string{"Idempotency-Key", "a", "Content-Type", "text/plain"}, 415},
 		{[]string{"Idempotency-Key", "a", "Content-Type", "application/json; charset"}, 415},
 	} {
-		w := request(t, &Server{}, "POST", "/v1/jobs", `{"tasks":[{"kind":"k"}]}`, tc.headers...)
+		w := sendRequest(t, &Server{}, "POST", "/v1/jobs", `{"tasks":[{"kind":"k"}]}`, tc.headers...)
 		if w.Code != tc.status || !strings.Contains(w.Body.String(), `"outcome":"notRun"`) {
 			t.Errorf("%q: got %d %s, want %d and not run", tc.headers, w.Code, w.Body, tc.status)
 		}
@@ -137,7 +137,7 @@
 
 // The read timeout of the listener is shorter than the longest wait. If it stayed in force after the body was read, it
 // would end the request's context, and the caller would get "running" early.
-func TestReadTimeoutEndsWithTheBody(t *testing.T) {
+func TestReadDeadlineClearedAfterBody(t *testing.T) {
 	s := &Server{Submit: func(context.Context, encoder.Job) encoder.Answer { return encoder.Answer{State: encoder.JobRunning} }}
 	h, err := s.Handler()
 	if err != nil {
@@ -152,7 +152,7 @@
 	}
 }
 
-func TestJobReachesSubmit(t *testing.T) {
+func TestSubmitRoundTrip(t *testing.T) {
 	var got encoder.Job
 	s := &Server{Submit: func(ctx context.Context, j encoder.Job) encoder.Answer {
 		got = j
@@ -161,7 +161,7 @@
 		}
 		return encoder.Answer{Key: j.Key, State: encoder.JobComplete, Results: []encoder.TaskResult{{Body: []byte("<é>\n")}, {Body: []byte{0xff}}, {Body: []byte{0}}}}
 	}}
-	w := request(t, s, "POST", "/v1/jobs", `{"team":"t","deadlineMs":5,"once":true,"waitMs":9,"tasks":[
+	w := sendRequest(t, s, "POST", "/v1/jobs", `{"team":"t","deadlineMs":5,"once":true,"waitMs":9,"tasks":[
 		{"kind":"k","payload":"\u00e9","runMs":50,"memoryMb":3},{"kind":"l","payloadBase64":"/w=="},{"kind":"m"}]}`,
 		"Idempotency-Key", `"a.b"`, "Content-Type", "application/json; charset=utf-8")
 	if got.Key != "a.b" || got.Team != "t" || got.Deadline != 5 || !got.Once || len(got.Tasks) != 3 ||
@@ -209,7 +209,7 @@
 	for _, tc := range tests {
 		t.Run(tc.name, func(t *testing.T) {
 			s := &Server{Submit: func(context.Context, encoder.Job) encoder.Answer { return tc.answer }}
-			w := request(t, s, "POST", "/v1/jobs", `{"tasks":[{"kind":"k"}]}`, "Idempotency-Key", "k")
+			w := sendRequest(t, s, "POST", "/v1/jobs", `{"tasks":[{"kind":"k"}]}`, "Idempotency-Key", "k")
 			var got answerWire
 			if err := json.Unmarshal(w.Body.Bytes(), &got); err != nil {
 				t.Fatal(err)
@@ -221,16 +221,16 @@
 	}
 }
 
-func TestCalls(t *testing.T) {
+func TestEndpoints(t *testing.T) {
 	get := func(a encoder.Answer) func(context.Context, string) encoder.Answer {
 		return func(context.Context, string) encoder.Answer { return a }
 	}
 	canceled := encoder.Answer{State: encoder.JobFailed, Code: encoder.CodeCanceled, Outcome: encoder.OutcomeNotRun}
 	note := `{"added":[{"key":"domain/a","value":"out"}]}`
-	decided := func(p Publication, err error) *Server {
+	serverWithPublication := func(p Publication, err error) *Server {
 		return &Server{Publish: func(context.Context, configurer.Note, bool) (Publication, error) { return p, err }}
 	}
-	publish := func(err error) *Server { return decided(Publication{Accepted: true}, err) }
+	serverWithError := func(err error) *Server { return serverWithPublication(Publication{Accepted: true}, err) }
 	tests := []struct {
 		name, method, path, body string
 		server                   *Server
@@ -254,29 +254,29 @@
 		{"burn format", "GET", "/v1/burn?format=pdf", "", &Server{}, "Bearer " + testToken, 400, `"format"`},
 		{"history limit", "GET", "/v1/notes?limit=0", "", &Server{}, "Bearer " + testToken, 400, `"limit"`},
 		{"domain name", "POST", "/v1/domains/a%20b/withdraw", "", &Server{}, "Bearer " + testToken, 400, `"domain"`},
-		{"published", "POST", "/v1/notes", note, publish(nil), "Bearer " + testToken, 200, `"state":"accepted"`},
-		{"recorded", "POST", "/v1/notes", note, decided(Publication{Recorded: true}, nil), "Bearer " + testToken, 202, `"inForce":false`},
-		{"provisional", "POST", "/v1/notes", note, decided(Publication{Provisional: true}, nil), "Bearer " + testToken, 202, `"provisional"`},
-		{"refused", "POST", "/v1/notes", note, decided(Publication{Refused: true, Findings: []Finding{{"log", "down"}}}, nil), "Bearer " + testToken, 409, `"place":"log"`},
-		{"outcome unknown", "POST", "/v1/notes", note, decided(Publication{Unknown: true}, nil), "Bearer " + testToken, 500, `"outcome":"unknown"`},
-		{"dry run", "POST", "/v1/notes?dryRun=x", note, publish(nil), "Bearer " + testToken, 400, `"dryRun"`},
-		{"note in conflict", "POST", "/v1/notes", note, publish(trace.CompareFailed("newer")), "Bearer " + testToken, 409, notRun},
-		{"note without answer", "POST", "/v1/notes", note, publish(trace.ConnectionProblem(nil, "lost")), "Bearer " + testToken, 500, `"outcome":"unknown"`},
-		{"empty note", "POST", "/v1/notes", `{}`, publish(nil), "Bearer " + testToken, 400, "changes nothing"},
-		{"doubled key", "POST", "/v1/notes", `{"added":[{"key":"domain/a","value":"out"}],"withdrawn":["domain/a"]}`, publish(nil), "Bearer " + testToken, 400, `"withdrawn[0]"`},
-		{"unknown field of a note", "POST", "/v1/notes", `{"add":[]}`, publish(nil), "Bearer " + testToken, 400, `"add"`},
+		{"published", "POST", "/v1/notes", note, serverWithError(nil), "Bearer " + testToken, 200, `"state":"accepted"`},
+		{"recorded", "POST", "/v1/notes", note, serverWithPublication(Publication{Recorded: true}, nil), "Bearer " + testToken, 202, `"inForce":false`},
+		{"provisional", "POST", "/v1/notes", note, serverWithPublication(Publication{Provisional: true}, nil), "Bearer " + testToken, 202, `"provisional"`},
+		{"refused", "POST", "/v1/notes", note, serverWithPublication(Publication{Refused: true, Findings: []Finding{{"log", "down"}}}, nil), "Bearer " + testToken, 409, `"place":"log"`},
+		{"outcome unknown", "POST", "/v1/notes", note, serverWithPublication(Publication{Unknown: true}, nil), "Bearer " + testToken, 500, `"outcome":"unknown"`},
+		{"dry run", "POST", "/v1/notes?dryRun=x", note, serverWithError(nil), "Bearer " + testToken, 400, `"dryRun"`},
+		{"note in conflict", "POST", "/v1/notes", note, serverWithError(trace.CompareFailed("newer")), "Bearer " + testToken, 409, notRun},
+		{"note without answer", "POST", "/v1/notes", note, serverWithError(trace.ConnectionProblem(nil, "lost")), "Bearer " + testToken, 500, `"outcome":"unknown"`},
+		{"empty note", "POST", "/v1/notes", `{}`, serverWithError(nil), "Bearer " + testToken, 400, "changes nothing"},
+		{"doubled key", "POST", "/v1/notes", `{"added":[{"key":"domain/a","value":"out"}],"withdrawn":["domain/a"]}`, serverWithError(nil), "Bearer " + testToken, 400, `"withdrawn[0]"`},
+		{"unknown field of a note", "POST", "/v1/notes", `{"add":[]}`, serverWithError(nil), "Bearer " + testToken, 400, `"add"`},
 	}
 	for _, tc := range tests {
 		t.Run(tc.name, func(t *testing.T) {
 			tc.server.Token = testToken
-			w := request(t, tc.server, tc.method, tc.path, tc.body, "Authorization", tc.token, "Idempotency-Key", "k")
+			w := sendRequest(t, tc.server, tc.method, tc.path, tc.body, "Authorization", tc.token, "Idempotency-Key", "k")
 			if w.Code != tc.status || !strings.Contains(w.Body.String(), tc.contains) {
 				t.Errorf("got %d %s, want %d with %s", w.Code, w.Body, tc.status, tc.contains)
 			}
 		})
 	}
 	// A server without a token must not accept the empty one.
-	if w := request(t, &Server{}, "GET", "/v1/status", "", "Authorization", "Bearer "); w.Code != 401 {
+	if w := sendRequest(t, &Server{}, "GET", "/v1/status", "", "Authorization", "Bearer "); w.Code != 401 {
 		t.Errorf("got %d without a token in the settings, want 401", w.Code)
 	}
 }
@@ -321,7 +321,7 @@
 	}
 }
 
-func TestListenerBounds(t *testing.T) {
+func TestListenerLimits(t *testing.T) {
 	for _, tc := range []struct {
 		address string
 		guarded bool
@@ -333,7 +333,7 @@
 			t.Errorf("%s guarded %t: got %v, want success %t", tc.address, tc.guarded, err, tc.ok)
 		}
 		if err == nil {
-			_ = l.bound.Close()
+			_ = l.listener.Close()
 		}
 	}
 	h, err := (&Server{}).Handler()
@@ -354,25 +354,25 @@
 	defer func() { _ = c.Close() }()
 	_ = c.SetDeadline(time.Now().Add(time.Minute)) // only bounds a hanging test
 	_, _ = io.WriteString(c, "GET /health HTTP/1.1\r\nHost: a\r\nX: "+strings.Repeat("x", 64<<10)+"\r\n\r\n")
-	head := make([]byte, 12)
-	if _, err := io.ReadFull(c, head); err != nil || string(head[9:]) != "431" {
-		t.Errorf("got %q, %v for a header of 64 KiB, want status 431", head, err)
+	statusLine := make([]byte, 12)
+	if _, err := io.ReadFull(c, statusLine); err != nil || string(statusLine[9:]) != "431" {
+		t.Errorf("got %q, %v for a header of 64 KiB, want status 431", statusLine, err)
 	}
 }
 
 // The description must not name other calls than the server has.
-func TestDescription(t *testing.T) {
+func TestOpenAPIDocument(t *testing.T) {
 	var d struct {
 		Paths map[string]map[string]any `json:"paths"`
 	}
-	if err := json.Unmarshal(description, &d); err != nil {
+	if err := json.Unmarshal(openAPIDocument, &d); err != nil {
 		t.Fatal(err)
 	}
 	s := &Server{Token: testToken}
 	for path, methods := range d.Paths {
 		for method := range methods {
 			path := strings.NewReplacer("{key}", "k", "{domain}", "d").Replace(path)
-			w := request(t, s, strings.ToUpper(method), path, "")
+			w := sendRequest(t, s, strings.ToUpper(method), path, "")
 			if w.Code == http.StatusNotFound || w.Code == http.StatusMethodNotAllowed {
 				t.Errorf("got %d for %s %s", w.Code, method, path)
 			}
@@ -389,28 +389,28 @@
 		f.Add(seed)
 	}
 	f.Fuzz(func(t *testing.T, body string) {
-		q, findings := DecodeJob("k", []byte(body))
+		req, findings := DecodeJob("k", []byte(body))
 		if len(findings) > maxFindings {
 			t.Fatalf("got %d findings, want at most %d", len(findings), maxFindings)
 		}
 		if len(findings) > 0 {
 			return
 		}
-		if n := len(q.Job.Tasks); n < 1 || n > maxTasks || q.Wait < 0 || q.Wait > maxWait {
-			t.Fatalf("got a job of %d tasks with wait %v", n, q.Wait)
+		if n := len(req.Job.Tasks); n < 1 || n > maxTasks || req.Wait < 0 || req.Wait > maxWait {
+			t.Fatalf("got a job of %d tasks with wait %v", n, req.Wait)
 		}
-		again, err := EncodeJob(q.Job, q.Wait)
+		encoded, err := EncodeJob(req.Job, req.Wait)
 		if err != nil {
 			t.Fatal(err)
 		}
-		if r, findings := DecodeJob("k", again); len(findings) > 0 || len(r.Job.Tasks) != len(q.Job.Tasks) {
+		if decoded, findings := DecodeJob("k", encoded); len(findings) > 0 || len(decoded.Job.Tasks) != len(req.Job.Tasks) {
 			t.Fatalf("got %v when the job is encoded and decoded again", findings)
 		}
 	})
 }
 
 // Operators must be able to tell membership that is off from membership that knows no other process.
-func TestStateMembers(t *testing.T) {
+func TestStateMembersRoundTrip(t *testing.T) {
 	one := MemberState{Role: "entry", ID: "e1", Incarnation: 7, Address: "127.0.0.1:1", State: "suspect"}
 	for _, want := range [][]MemberState{nil, {}, {one}} {
 		body, err := EncodeState(State{Members: want})
