--- a/commander/commands.go
+++ b/commander/commands.go
@@ -4,7 +4,7 @@
 	"github.com/crocuslb/crocuslb/loader"
 )
 
-// commands lists the subcommands in the order of the overview.
+// commands returns the subcommands in the order of the usage overview.
 func commands() []command {
 	limitSetting := loader.Setting{Name: "limit", Unit: loader.UnitCount, Default: "20", Min: 1, Max: 1000, Meaning: "number of notes to show"}
 	keySetting := loader.Setting{Name: "key", Meaning: "idempotency key; a random one when empty"}
@@ -19,7 +19,7 @@
 			rules: entryRules, run: runEntry},
 		{name: "sidecar", summary: "Run a sidecar, which starts tasks on the backend server beside it", settings: sidecarSettings,
 			rules: sidecarRules, run: runSidecar},
-		{name: "demo", summary: "Run a whole installation on loopback, check its promises and end", settings: demoSettings, run: runDemo},
+		{name: "demo", summary: "Run a complete cluster on loopback, verify its guarantees and exit", settings: demoSettings, run: runDemo},
 		{name: "job submit", args: "[FILE]", argCount: 1, optionalArgs: true, summary: "Submit a job from a JSON file or standard input and wait for its answer",
 			settings: withSettings(clientSettings, keySetting), run: submitJob},
 		{name: "job get", args: "KEY", argCount: 1, summary: "Show the state of a submission", settings: clientSettings, run: getJob},
--- a/commander/demo.go
+++ b/commander/demo.go
@@ -16,19 +16,19 @@
 )
 
 const (
-	demoTimeout            = 24 * time.Second // with the drain at the end, the demo takes less than 30 s
+	demoTimeout            = 24 * time.Second // the drain at the end comes on top; the whole demo takes less than 30 s
 	demoLoadDuration       = 12 * timer.Second
 	demoReadyTimeout       = 8 * timer.Second
 	demoWithdrawTime       = demoLoadDuration / 3
 	demoReturnTime         = demoLoadDuration * 2 / 3
-	demoMaxWithdrawalDelay = 3 * timer.Second // longest time from the acceptance of a withdrawal to the last start
+	demoMaxWithdrawalDelay = 3 * timer.Second // longest allowed time from the acceptance of the withdrawal to the last start
 	demoAnswerTimeout      = 15 * timer.Second
 	demoWithdrawnDomain    = "south"
-	demoDrainJobs          = 9 // jobs in flight when an entry is drained
+	demoDrainJobs          = 9 // number of jobs in flight when an entry is drained
 )
 
 type (
-	// demo is one run. Points in time are those of the clock.
+	// demo is the state of one run. Points in time are readings of clock.
 	demo struct {
 		cluster     *demoCluster
 		clock       timer.Clock
@@ -39,12 +39,12 @@
 
 		withdrawRequested, withdrawAccepted timer.Millis
 		returnRequested, returnAccepted     timer.Millis
-		propagationTime                     timer.Millis // from the request to withdraw until all processes obeyed
-		taskMessages, wastedMessages        float64      // starts, results and refusals per task
-		allMessages                         float64      // per task
+		propagationTime                     timer.Millis // from the withdrawal request until all processes had applied it
+		taskMessages, wastedMessages        float64      // messages per task: starts, results and refusals; refused starts alone
+		allMessages                         float64      // messages of all types per task
 	}
 
-	// demoCall is one submission of a job and what came back.
+	// demoSubmission is one submission of a job and its response.
 	demoSubmission struct {
 		job         *demoJob
 		resubmitted bool
@@ -72,7 +72,7 @@
 	err = d.cluster.stop()
 	report := d.report()
 	if err != nil {
-		report.addViolation("a planned stop was not graceful: %v", err)
+		report.addViolation("graceful stop failed: %v", err)
 	}
 	if err := c.printDemoReport(report); err != nil {
 		return c.fail(err)
@@ -83,7 +83,7 @@
 	return ExitSuccess
 }
 
-// load submits all jobs, withdraws and returns a failure domain on the way, and drains an entry at the end.
+// runLoad submits all jobs, withdraws and returns a failure domain meanwhile, and drains an entry at the end.
 func (d *demo) runLoad(ctx context.Context) error {
 	d.loadStart = d.clock.Now()
 	var submissions sync.WaitGroup
@@ -103,7 +103,7 @@
 	return d.drainEntry(ctx)
 }
 
-// decide withdraws the failure domain and returns it, each through another entry.
+// withdrawAndReturn withdraws the failure domain and later returns it through a different entry.
 func (d *demo) withdrawAndReturn(ctx context.Context) error {
 	d.sleepUntil(ctx, demoWithdrawTime)
 	d.withdrawRequested = d.clock.Now()
@@ -112,7 +112,7 @@
 		return err
 	}
 	p, err := server.DecodePublication(r.Body)
-	// The answer waits until the withdrawal is in force, so the time of its acceptance is taken from the answer.
+	// The entry responds only when the withdrawal has been applied, so its response contains the time of acceptance.
 	d.withdrawAccepted, d.propagationTime = d.withdrawRequested+p.Took, p.InForce
 	if err != nil || !p.Accepted {
 		return trace.Errorf("the withdrawal was not accepted: status %d, %s", r.Status, r.Body)
@@ -130,7 +130,7 @@
 	return nil
 }
 
-// drain stops the last entry while jobs that were submitted to it are in flight. Each caller must get a whole answer.
+// drainEntry stops the last entry while jobs submitted to it are in flight. Each caller must receive a complete answer.
 func (d *demo) drainEntry(ctx context.Context) error {
 	jobs := make([]demoJob, demoDrainJobs)
 	var submissions sync.WaitGroup
@@ -163,7 +163,7 @@
 	d.mu.Unlock()
 }
 
-// until waits for a point of time after the start of the load.
+// sleepUntil waits until the given time after the start of the load, or until ctx is done.
 func (d *demo) sleepUntil(ctx context.Context, offset timer.Millis) {
 	wait := d.loadStart + offset - d.clock.Now()
 	if wait <= 0 {
@@ -190,7 +190,7 @@
 		_, _ = fmt.Fprintf(w, "%s\t%s\n", row[0], row[1])
 	}
 	for _, b := range r.Violations {
-		_, _ = fmt.Fprintf(w, "BROKEN\t%s\n", b)
+		_, _ = fmt.Fprintf(w, "VIOLATION\t%s\n", b)
 	}
 	return trace.Wrap(w.Flush())
 }
--- a/commander/demo_test.go
+++ b/commander/demo_test.go
@@ -9,7 +9,8 @@
 	"github.com/crocuslb/crocuslb/timer"
 )
 
-// The ratios of the demo are meaningless when the ideal is wrong, so it is checked against schedules worked out by hand.
+// TestIdealResponses guards against wrong ideal response times, which would make the ratios of the demo meaningless. The
+// expected values were calculated by hand.
 func TestIdealResponses(t *testing.T) {
 	tests := []struct {
 		name   string
@@ -37,7 +38,7 @@
 	}
 }
 
-// Every promise that the demo claims to check must turn into a finding when it is broken.
+// TestReportDetectsViolations guards against violated guarantees that the report of the demo does not list.
 func TestReportDetectsViolations(t *testing.T) {
 	validRun := func() *demo {
 		d := &demo{
@@ -57,7 +58,7 @@
 	tests := []struct {
 		name   string
 		modify func(d *demo)
-		want   string // part of the finding; empty for none
+		want   string // substring of the violations; empty for none
 	}{
 		{"sound", func(*demo) {}, ""},
 		{"started twice", func(d *demo) {
@@ -66,10 +67,10 @@
 		{"late start", func(d *demo) { d.cluster.starts.starts[2].time = 3111 }, "after the withdrawal"},
 		{"not in force", func(d *demo) { d.propagationTime = 0 }, "not in force everywhere"},
 		{"no return", func(d *demo) { d.cluster.starts.starts[3].domain = "west" }, "after its return"},
-		{"no answer", func(d *demo) { d.submissions[0].err = errors.New("cut off") }, "no whole answer"},
+		{"no answer", func(d *demo) { d.submissions[0].err = errors.New("cut off") }, "no complete answer"},
 		{"answer to another", func(d *demo) { d.submissions[0].answer.Key = "b" }, `the answer to "b"`},
 		{"partial answer", func(d *demo) { d.submissions[0].answer.Results = d.submissions[0].answer.Results[:1] }, "complete with 1 results"},
-		{"results mixed up", func(d *demo) { r := d.submissions[0].answer.Results; r[0], r[1] = r[1], r[0] }, "result 0 is"},
+		{"results swapped", func(d *demo) { r := d.submissions[0].answer.Results; r[0], r[1] = r[1], r[0] }, "result 0 is"},
 		{"complete without a start", func(d *demo) { d.cluster.starts.starts[0].job = "c" }, "1 starts for 2 tasks"},
 		{"still running", withAnswer(encoder.Answer{Key: "a", State: encoder.JobRunning}), "no answer within"},
 		{"untrue refusal", withAnswer(encoder.Answer{Key: "a", State: encoder.JobFailed, Outcome: encoder.OutcomeNotRun}), "says not run"},
@@ -81,7 +82,7 @@
 			tc.modify(d)
 			got := strings.Join(d.report().Violations, "\n")
 			if tc.want == "" && got != "" || !strings.Contains(got, tc.want) {
-				t.Errorf("got findings %q, want %q", got, tc.want)
+				t.Errorf("got violations %q, want %q", got, tc.want)
 			}
 		})
 	}
--- a/commander/democluster.go
+++ b/commander/democluster.go
@@ -22,19 +22,19 @@
 	"github.com/crocuslb/crocuslb/timer"
 )
 
-// The layout is that of Lyhtyöljy, without the delays between its failure domains.
+// The size and layout of the cluster are those of the site Lyhtyöljy, without the latency between its failure domains.
 const (
 	demoEntries      = 3
 	demoSidecars     = 11
 	demoSlots        = 8
 	demoTaskKind     = "sleep"
 	demoDrainTimeout = 4 * timer.Second
-	demoAppendDelay  = 4 * timer.Millisecond // a synced write of the log takes several ms
+	demoAppendDelay  = 4 * timer.Millisecond // a synced write to the log takes several ms
 	demoPollInterval = 10 * time.Millisecond
 )
 
 type (
-	// layout is an installation in one process: every part has its own loopback sockets.
+	// demoCluster is a cluster in one process, whose entries and sidecars each have their own loopback sockets.
 	demoCluster struct {
 		starts     startRecorder
 		entries    []*demoProcess
@@ -44,7 +44,7 @@
 		cancel     context.CancelFunc
 	}
 
-	// part is a running entry or sidecar.
+	// demoProcess is a running entry or sidecar of the cluster.
 	demoProcess struct {
 		process *entryProcess // of entries
 		url     string        // of entries
@@ -58,7 +58,7 @@
 
 func demoDomainAt(i int) string { return demoDomains[i%len(demoDomains)] }
 
-// startLayout starts all parts with keys that are made for this run.
+// startDemoCluster starts all entries and sidecars, with a secret and a token generated for this run.
 func startDemoCluster(ctx context.Context, logger *log.Logger) (*demoCluster, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	l := &demoCluster{
@@ -110,7 +110,7 @@
 	return nil
 }
 
-// startSidecar starts a sidecar with its backend server.
+// startSidecar starts a sidecar and its emulated backend server.
 func (l *demoCluster) startSidecar(ctx context.Context, i int, entries []string, tlsConfig *tls.Config, logger *log.Logger) error {
 	domain := demoDomainAt(i)
 	backend := &emulator.Backend{Slots: demoSlots, OnStart: l.starts.recordDomain(domain)}
@@ -128,7 +128,7 @@
 	return nil
 }
 
-// launch starts a part; its context ends when the part is stopped, before that of the layout.
+// startProcess runs serve in a goroutine. Its context is canceled when p is stopped, before that of the cluster.
 func startProcess(ctx context.Context, p *demoProcess, serve func(context.Context) error) *demoProcess {
 	ctx, p.cancel = context.WithCancel(ctx)
 	p.done = make(chan error, 1)
@@ -136,7 +136,7 @@
 	return p
 }
 
-// stop ends the part gracefully and waits for it. It may be called again.
+// stop shuts the process down gracefully and waits for it. It may be called more than once.
 func (p *demoProcess) stop() error {
 	p.cancel()
 	err := <-p.done
@@ -144,7 +144,8 @@
 	return err
 }
 
-// stop ends all parts gracefully, entries last, so that sidecars can deliver results. It may be called again.
+// stop shuts all processes down gracefully, entries last, so that sidecars can deliver results. It may be called more
+// than once.
 func (l *demoCluster) stop() error {
 	defer l.cancel()
 	var errs []error
@@ -160,8 +161,9 @@
 	return trace.NewAggregate(errs...)
 }
 
-// ready waits until every entry has joined the roster, knows every sidecar and works. After a first start it works with
-// partial evidence ("partial"), since no member of the former, empty roster can vouch for the sidecars.
+// awaitReady waits until every entry has joined the roster, is connected to every sidecar and has taken over its keys.
+// The takeover after the first start of a cluster may stay "partial", because the previous roster is empty, and so none
+// of its members can confirm which sidecars exist.
 func (l *demoCluster) awaitReady(ctx context.Context, timeout timer.Millis) error {
 	ctx, cancel := context.WithTimeout(ctx, timeout.Duration())
 	defer cancel()
@@ -187,7 +189,7 @@
 	return trace.LimitExceeded("the entries and sidecars did not find each other within %v", timeout)
 }
 
-// started waits until n recorded starts match.
+// awaitStarts waits until n recorded starts match, or until ctx is done.
 func (l *demoCluster) awaitStarts(ctx context.Context, match func(startRecord) bool, n int) {
 	for ctx.Err() == nil {
 		found := 0
@@ -207,7 +209,7 @@
 	return server.Client{URL: l.entries[entry].url, Token: l.token, HTTP: l.httpClient}
 }
 
-// slots returns the number of slots in a failure domain.
+// slotCount returns the number of slots of a failure domain.
 func (l *demoCluster) slotCount(domain string) int {
 	n := 0
 	for _, s := range l.sidecars {
@@ -218,7 +220,8 @@
 	return n
 }
 
-// freeAddress finds a UDP port on loopback that is free now; the entries need each other's addresses before they listen.
+// freeAddress returns a loopback address with a UDP port that is free now. The sidecars and the other entries need the
+// addresses of the entries before all of those listen.
 func freeAddress(ctx context.Context) (string, error) {
 	var lc net.ListenConfig
 	c, err := lc.ListenPacket(ctx, "udp", "127.0.0.1:0")
@@ -228,7 +231,7 @@
 	return c.LocalAddr().String(), trace.Wrap(c.Close())
 }
 
-// job returns the job as it is submitted.
+// encoderJob returns the job in the form in which it is submitted.
 func (j *demoJob) encoderJob() encoder.Job {
 	out := encoder.Job{Key: j.key, Team: "demo", Once: j.once}
 	for i, run := range j.runTimes {
@@ -241,5 +244,5 @@
 	return fmt.Appendf(nil, `{"runMs":%d,"echo":%q}`, j.runTimes[i], j.result(i))
 }
 
-// result is what the backend server answers for the task.
+// result returns the expected result of the task, which the emulated backend server echoes.
 func (j *demoJob) result(i int) string { return fmt.Sprintf("%s/%d", j.key, i) }
--- a/commander/demojobs.go
+++ b/commander/demojobs.go
@@ -14,7 +14,7 @@
 	demoMinRunTime = 50 * timer.Millisecond
 	demoMaxRunTime = timer.Second
 	demoMaxTasks   = 20
-	// demoAgain is the share of jobs that are submitted again, to another entry.
+	// demoResubmitShare is the share of jobs that are submitted a second time, to another entry.
 	demoResubmitShare = 0.15
 )
 
@@ -25,20 +25,21 @@
 		arrival       timer.Millis
 		runTimes      []timer.Millis
 		once          bool
-		entry         int          // entry that gets the submission
-		resubmitEntry int          // entry that gets it again; -1 for none
+		entry         int          // index of the entry to which the job is submitted
+		resubmitEntry int          // index of the entry to which it is submitted again; -1 for none
 		resubmitDelay timer.Millis // delay of the second submission
 	}
 
-	// outage is the time in which some of the slots start nothing.
+	// outage is a period in which the first slots of the cluster do not start tasks.
 	outage struct {
 		from, to timer.Millis
 		slots    int
 	}
 )
 
-// demoMix returns n jobs that arrive over the span at random times, sorted by arrival. The run times are spread evenly
-// on a logarithmic scale, and most jobs are small. The job in the middle is a non-repeatable one.
+// generateDemoJobs returns n jobs sorted by arrival, which is uniformly distributed over the duration. The run times of
+// tasks follow a log-uniform distribution, and most jobs have few tasks. The middle job is submitted as a once job, whose
+// tasks must not be started again.
 func generateDemoJobs(seed uint64, n, entries int, duration timer.Millis) []demoJob {
 	rng := rand.New(rand.NewPCG(seed, seed))
 	jobs := make([]demoJob, n)
@@ -63,8 +64,8 @@
 	return jobs
 }
 
-// idealResponses returns the response time of each job when one queue in order of arrival feeds all slots without any
-// delay and with complete knowledge of the run times.
+// idealResponses returns the response time of each job under an ideal scheduler: a single FIFO queue feeds all slots
+// without any delay and with complete knowledge of the run times.
 func idealResponses(jobs []demoJob, slots int, withdrawal outage) []timer.Millis {
 	freeAt := make([]timer.Millis, slots)
 	responses := make([]timer.Millis, len(jobs))
@@ -76,7 +77,8 @@
 				if s < withdrawal.slots && at >= withdrawal.from && at < withdrawal.to {
 					at = withdrawal.to
 				}
-				// Slots outside the outage come last and win at equal times, so that the others stay free for it.
+				// Of slots that are free at the same time, the last one is chosen, so that slots that are subject to
+				// the outage, which come first, are used last.
 				if at <= bestStart {
 					bestSlot, bestStart = s, at
 				}
@@ -88,7 +90,7 @@
 	return responses
 }
 
-// quantile returns the q-quantile of values, which it sorts. It is 0 without values.
+// quantile returns the q-quantile of values, or 0 if there are none. It sorts values.
 func quantile(values []float64, q float64) float64 {
 	if len(values) == 0 {
 		return 0
--- a/commander/demoreport.go
+++ b/commander/demoreport.go
@@ -10,7 +10,7 @@
 )
 
 type (
-	// demoReport holds the figures of a run. Broken lists the promises that did not hold.
+	// demoReport is the result of a run. Violations lists the violated guarantees.
 	demoReport struct {
 		Jobs, Complete, Failed, Running, Resubmitted         int
 		Tasks, Starts, StartedTwice, LateStarts              int
@@ -19,7 +19,7 @@
 		ResponseP50, IdealP50                                float64
 		LastStartAfterWithdrawal                             timer.Millis // from the acceptance of the withdrawal to the last start
 		WithdrawalAccepted                                   timer.Millis // time to accept the withdrawal
-		WithdrawalInForce                                    timer.Millis // time until all processes obeyed it
+		WithdrawalInForce                                    timer.Millis // time until all processes had applied the withdrawal
 		FirstStartAfterReturn                                timer.Millis // from the acceptance of the return to the first start
 		AllMessages, TaskMessages, WastedTaskMessages        float64
 		Violations                                           []string
@@ -53,7 +53,7 @@
 	}
 )
 
-// report compares what the callers got with what the backend servers saw.
+// report compares the answers that the callers received with the starts that the backend servers recorded.
 func (d *demo) report() demoReport {
 	r := demoReport{Jobs: len(d.jobs), WithdrawalAccepted: d.withdrawAccepted - d.withdrawRequested, WithdrawalInForce: d.propagationTime}
 	r.AllMessages, r.TaskMessages, r.WastedTaskMessages = d.allMessages, d.taskMessages, d.wastedMessages
@@ -87,7 +87,7 @@
 	}
 }
 
-// checkCalls checks each answer against the job and the starts.
+// checkAnswers compares each answer with the job and with the recorded starts.
 func (d *demo) checkAnswers(r *demoReport, perJob map[string]int) {
 	ideal := map[string]timer.Millis{}
 	responses := idealResponses(d.jobs, demoSidecars*demoSlots, outage{
@@ -103,12 +103,12 @@
 			r.Resubmitted++
 		}
 		if c.err != nil {
-			r.addViolation("%s: the caller got no whole answer: %v", key, c.err)
+			r.addViolation("%s: the caller received no complete answer: %v", key, c.err)
 			continue
 		}
 		switch {
 		case c.answer.Key != key:
-			r.addViolation("%s: the caller got the answer to %q", key, c.answer.Key)
+			r.addViolation("%s: the caller received the answer to %q", key, c.answer.Key)
 		case c.answer.State == encoder.JobComplete:
 			d.checkResults(r, c, perJob[key])
 		case c.answer.State == encoder.JobRunning:
@@ -142,7 +142,7 @@
 	}
 }
 
-// checkResults checks that a complete answer has every result of its own tasks and that all of them started.
+// checkResults checks that a complete answer contains the result of each of its tasks, and that each of them was started.
 func (d *demo) checkResults(r *demoReport, c demoSubmission, started int) {
 	if len(c.answer.Results) != len(c.job.runTimes) || started != len(c.job.runTimes) {
 		r.addViolation("%s: complete with %d results and %d starts for %d tasks", c.job.key, len(c.answer.Results), started, len(c.job.runTimes))
@@ -155,7 +155,8 @@
 	}
 }
 
-// checkDomain looks for starts in the withdrawn failure domain from 3 s after the acceptance to the request to return it.
+// checkWithdrawal checks that no task was started in the withdrawn failure domain between 3 s after the acceptance of the
+// withdrawal and the request to return the domain, and that tasks were started after the return.
 func (d *demo) checkWithdrawal(r *demoReport, starts []startRecord) {
 	for _, s := range starts {
 		switch {
@@ -178,8 +179,8 @@
 	}
 }
 
-// countMessages counts all messages that the entries sent or got from sidecars, and of these the ones that belong to
-// tasks: each start and its result or refusal. It is called before the first entry stops.
+// countMessages counts all messages that the entries exchanged with sidecars, and those that belong to tasks: each start
+// and its result or refusal. It must be called before the first entry stops.
 func (d *demo) countMessages(ctx context.Context) {
 	var started, refused, all uint64
 	for _, e := range d.cluster.entries {
@@ -215,7 +216,7 @@
 		{"messages per task, of all types", fmt.Sprintf("%.3f", r.AllMessages)},
 		{"of these starts, results and refusals per task", fmt.Sprintf("%.3f", r.TaskMessages)},
 		{"of the latter wasted per task", fmt.Sprintf("%.3f", r.WastedTaskMessages)},
-		{"promises broken", strconv.Itoa(len(r.Violations))},
+		{"violations", strconv.Itoa(len(r.Violations))},
 	}
 }
 
--- a/commander/demostarts.go
+++ b/commander/demostarts.go
@@ -8,7 +8,7 @@
 )
 
 type (
-	// recorder notes every start on a backend server, independently of what crocuslb reports.
+	// startRecorder records every start on a backend server, independently of what the entries and sidecars report.
 	startRecorder struct {
 		clock  timer.Clock
 		mu     sync.Mutex
@@ -16,13 +16,13 @@
 	}
 
 	startRecord struct {
-		job, task string // the task is the submission's key and an index
+		job, task string // the task is identified by the key of the submission and an index
 		domain    string
 		time      timer.Millis
 	}
 )
 
-// in returns a function that notes the start of a task in the failure domain.
+// recordDomain returns a callback that records the start of a task in the failure domain.
 func (r *startRecorder) recordDomain(domain string) func(task string) {
 	return func(task string) {
 		job, _, _ := strings.Cut(task, "/")
@@ -32,7 +32,7 @@
 	}
 }
 
-// list returns the starts so far in order of time.
+// snapshot returns the starts so far in chronological order. The caller must not modify them.
 func (r *startRecorder) snapshot() []startRecord {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/commander/entry.go
+++ b/commander/entry.go
@@ -28,13 +28,13 @@
 	propagationPollInterval   = 20 * time.Millisecond
 	propagationObserveTimeout = 10 * timer.Second
 	maxPropagationObservers   = 8
-	taskReportQueueSize       = 8192 // 0.27 s of ends at 30,000 tasks/s, while a burn report holds up the reporter
+	taskReportQueueSize       = 8192 // 0.27 s of finished tasks at 30,000 tasks/s, for the time in which a burn report blocks the reporter
 )
 
-// entryProcess is an entry with its HTTP interface. Set the exported fields before start.
+// entryProcess is an entry with its HTTP API. The exported fields must be set before start is called.
 type entryProcess struct {
 	Entry            *dispatcher.Entry
-	HTTPAddress      string // of the HTTP listener
+	HTTPAddress      string // address of the HTTP listener
 	Token            string
 	AllowNonLoopback bool
 	MaxConnections   int
@@ -43,12 +43,12 @@
 
 	members        *membership
 	reports        chan dispatcher.TaskReport
-	droppedReports atomic.Uint64 // task reports that found the queue full
+	droppedReports atomic.Uint64 // task reports dropped because the queue was full
 	metrics        reporter.Metrics
 	listener       server.Listener
 	draining       atomic.Bool
 	observerSlots  chan struct{}
-	requestsCtx    context.Context // ends when the drain time is nearly over
+	requestsCtx    context.Context // canceled shortly before the drain timeout, so that waiting submissions are answered
 	cancelRequests context.CancelFunc
 }
 
@@ -85,15 +85,17 @@
 	return ExitSuccess
 }
 
-// keys derives the keys of the sessions between processes, or returns nil without a secret.
+// tlsConfig returns the TLS configuration of the sessions between processes, with keys derived from the secret. It
+// returns nil if there is no secret.
 func (c invocation) tlsConfig() (*tls.Config, error) {
 	s := c.values.Text(secret.Name)
 	if s == "" {
-		return nil, nil //nolint:nilnil // no keys is a valid result: the process then stays on loopback
+		return nil, nil //nolint:nilnil // without keys the process listens on loopback only
 	}
 	return messenger.Keys(s)
 }
 
+// idOrRandom returns id, or a random identifier with the prefix if id is empty.
 func idOrRandom(id, prefix string) string {
 	if id == "" {
 		return prefix + "-" + strings.ToLower(rand.Text()[:10])
@@ -109,7 +111,7 @@
 	}
 }
 
-// start binds the HTTP listener and returns its address.
+// start sets up the HTTP API, binds its listener and returns the bound address. It must be called before serve.
 func (p *entryProcess) start(ctx context.Context) (string, error) {
 	p.observerSlots = make(chan struct{}, maxPropagationObservers)
 	p.requestsCtx, p.cancelRequests = context.WithCancel(context.WithoutCancel(ctx))
@@ -135,9 +137,9 @@
 	return p.listener.Listen(ctx, p.HTTPAddress)
 }
 
-// serve runs the entry until ctx ends, and then drains it: new jobs are refused, submissions are handed over, and
-// requests in flight are answered, all within the drain time. Requests that still wait when four fifths of it have passed
-// are answered with "running" rather than cut off.
+// serve runs the entry until ctx is canceled, and then drains it within the drain timeout: new jobs are rejected,
+// submissions are handed over, and requests in flight are answered. Requests that still wait after four fifths of the
+// timeout are answered with "running", because their connections would be closed at the timeout.
 func (p *entryProcess) serve(ctx context.Context) error {
 	runCtx, stop := context.WithCancel(context.WithoutCancel(ctx))
 	defer stop()
@@ -192,7 +194,8 @@
 	return a
 }
 
-// judged tells whether an answer counts for the service level. Failures that the caller caused do not.
+// countsForSLO reports whether an answer counts towards the service-level objectives. Failures caused by the caller do
+// not.
 func countsForSLO(a encoder.Answer) bool {
 	if a.State == encoder.JobComplete {
 		return true
@@ -204,8 +207,8 @@
 	return false
 }
 
-// ideal is the response time with free slots for every task and no network: the longest declared run time. It is 0,
-// which means unknown, when a task declares none.
+// idealResponse returns the response time of a job with a free slot for each task and no network latency, which is the
+// longest declared run time. It returns 0, which means unknown, if a task declares none.
 func idealResponse(j encoder.Job) timer.Millis {
 	var longest timer.Millis
 	for _, t := range j.Tasks {
--- a/commander/entry_test.go
+++ b/commander/entry_test.go
@@ -23,7 +23,7 @@
 	"github.com/crocuslb/crocuslb/timer"
 )
 
-// startEntry runs an entry with a log double until stop is called, and waits until it is ready.
+// startEntry runs an entry with an emulated log until stop is called, and waits until it is ready.
 func startEntry(t *testing.T, drain timer.Millis) (p *entryProcess, client server.Client, stop func() error) {
 	t.Helper()
 	logs, stopLog := context.WithCancel(context.Background())
@@ -59,7 +59,7 @@
 	}
 }
 
-// startSidecar runs a sidecar until ctx ends, and waits until the entry knows it.
+// startSidecar runs a sidecar until ctx is canceled, and waits until the entry knows it.
 func startSidecar(ctx context.Context, t *testing.T, p *entryProcess, backend *emulator.Backend) {
 	t.Helper()
 	url, err := backend.Serve(ctx, "127.0.0.1:0")
@@ -73,7 +73,8 @@
 	}
 }
 
-// A caller whose job outlasts the drain time must get an answer that is true, not a broken connection.
+// TestDrainAnswersEveryRequest guards against closing the connection of a caller whose job outlasts the drain timeout.
+// The caller must be answered with "running".
 func TestDrainAnswersEveryRequest(t *testing.T) {
 	p, client, stop := startEntry(t, timer.Second)
 	ctx, cancel := context.WithCancel(context.Background())
@@ -98,13 +99,14 @@
 	case r := <-answered:
 		t.Fatalf("got %d %s, %v before the task started", r.Status, r.Body, r.err)
 	}
-	_ = stop() // the job that is left over is reported
+	_ = stop() // returns an error about the unfinished job
 	if r := <-answered; r.err != nil || r.Status != 202 {
 		t.Errorf("got %d %s, %v, want 202", r.Status, r.Body, r.err)
 	}
 }
 
-// The wiring of the entry: health, notes with their differences and history, and a stop that ends by itself.
+// TestEntryProcess guards against faults in the wiring of an entry: readiness, notes with their differences and history,
+// and a graceful stop.
 func TestEntryProcess(t *testing.T) {
 	p, client, stop := startEntry(t, 10*timer.Second)
 	ctx := context.Background()
@@ -137,7 +139,8 @@
 	}
 }
 
-// Messages per task are a target, so each message must be counted under its own type, tasks' messages exactly once.
+// TestMessageCounters guards against messages that are counted under another type, or more than once for a task. The
+// number of messages per task is a performance target that is measured with these counters.
 func TestMessageCounters(t *testing.T) {
 	p, _, stop := startEntry(t, timer.Second)
 	ctx, cancel := context.WithCancel(context.Background())
@@ -149,7 +152,7 @@
 	}
 	var b bytes.Buffer
 	p.writeMetrics(&b)
-	refused := 0 // a slow machine may let the lease expire
+	refused := 0 // starts are refused if the lease expires, as it may on a slow machine
 	_, rest, _ := strings.Cut(b.String(), `crocuslb_received_messages_total{type="refusal"} `)
 	_, err := fmt.Sscan(rest, &refused)
 	const positive = `[1-9]\d*`
@@ -169,20 +172,21 @@
 	}
 }
 
-// Task ends must blame the worker and the failure domain that burn, and must not change the objectives, which count jobs.
+// TestTaskReportAttribution guards against slow or failed tasks that are not attributed to their worker and failure
+// domain, and against task reports that change the objectives, which count jobs only.
 func TestTaskReportAttribution(t *testing.T) {
 	const done, failed, unknown = encoder.StatusDone, encoder.StatusFailed, encoder.StatusUnknown
 	tests := []struct {
 		name string
 		r    dispatcher.TaskReport
-		want string // culprits of response and success
+		want string // failure domains and workers that burn the budgets of response and success
 	}{
 		{"good", dispatcher.TaskReport{Domain: "d", Worker: "w", Status: done, Ran: 112, Expected: 100}, "[] [] [] []"},
 		{"slow", dispatcher.TaskReport{Domain: "d", Worker: "w", Status: done, Ran: 113, Expected: 100}, "[{d 1 1 1}] [{w 1 1 1}] [] []"},
 		{"no expectation", dispatcher.TaskReport{Domain: "d", Worker: "w", Status: done, Ran: 113}, "[] [] [] []"},
 		{"failed", dispatcher.TaskReport{Domain: "d", Worker: "w", Status: failed, Ran: 9}, "[] [] [{d 1 1 1}] [{w 1 1 1}]"},
 		{"unknown", dispatcher.TaskReport{Domain: "d", Worker: "w", Status: unknown}, "[] [] [{d 1 1 1}] [{w 1 1 1}]"},
-		{"asked to stop", dispatcher.TaskReport{Domain: "d", Worker: "w", Status: failed, Canceled: true}, "[] [] [] []"},
+		{"canceled", dispatcher.TaskReport{Domain: "d", Worker: "w", Status: failed, Canceled: true}, "[] [] [] []"},
 		{"unknown place", dispatcher.TaskReport{Status: unknown}, "[] [] [] []"},
 	}
 	for _, tc := range tests {
@@ -190,7 +194,7 @@
 		ctx, cancel := context.WithCancel(context.Background())
 		var running sync.WaitGroup
 		running.Go(func() { p.observeTaskReports(ctx) })
-		p.reports <- tc.r // it is unbuffered, so the report is observed before ctx is read again
+		p.reports <- tc.r // the channel is unbuffered, so the report is observed before ctx is checked again
 		cancel()
 		running.Wait()
 		p.enqueueTaskReport(tc.r)
--- a/commander/jobcommands.go
+++ b/commander/jobcommands.go
@@ -15,7 +15,7 @@
 
 const maxInputSize = 4 << 20
 
-// input reads the file that the first argument names, or standard input.
+// readInput reads the file named by the first argument, or standard input if there is none or it is "-".
 func (c invocation) readInput() ([]byte, error) {
 	r := c.Stdin
 	if len(c.args) > 0 && c.args[0] != "-" {
@@ -55,7 +55,7 @@
 	defer cancel()
 	r, err := client.Submit(ctx, key, body)
 	if err != nil {
-		// The key lets the caller ask again for the same submission.
+		// A submission with the same key is idempotent, so the user can safely retry with it.
 		c.errorf("the outcome of submission %s is not known; submit again with -key %s\n", key, key)
 		return c.fail(err)
 	}
@@ -82,7 +82,8 @@
 	return c.printAnswer(r)
 }
 
-// showAnswer prints the answer to a call on a submission. Only 200 and 202 are a success.
+// printAnswer prints the response to a call on a submission and returns the exit status. Only the HTTP statuses 200 and
+// 202 are a success.
 func (c invocation) printAnswer(r server.Response) int {
 	status := ExitSuccess
 	if r.Status != http.StatusOK && r.Status != http.StatusAccepted {
--- a/commander/membership.go
+++ b/commander/membership.go
@@ -28,23 +28,24 @@
 	membershipRule = loader.Rule{Names: []string{memberAddress.Name, memberSeeds.Name, secret.Name}, Check: checkMembership}
 )
 
-// membership is the failure detection among entries and sidecars; nil when it is off. It is for observation only. An
-// entry must not use it for ownership or placement: the census counts the sidecars by their sessions and waits for the
-// freshness leases of those that do not answer. A member that is dead to the watcher may still hold a lease, and one
-// that is alive to it may have no session, so a decision based on it could start a task twice.
+// membership is the failure detector among entries and sidecars; it is nil if membership is off. It is for observation
+// only. An entry must not use it for ownership or placement, because a decision based on it could start a task twice: a
+// member that the failure detector considers dead may still hold a freshness lease, and one that it considers alive may
+// have no session. The census therefore counts sidecars by their sessions, and waits until the freshness leases of those
+// that do not reply have expired.
 type membership struct {
 	process watcher.Process
 	cancel  context.CancelFunc
 }
 
-// startMember starts membership if its address is set. Other processes are told of the leave when ctx ends, which is the
-// beginning of the drain, or when stop is called. The incarnation is the one at the start of the process; an entry that
-// rejoins the roster as a newer one stays the same member. The identifier includes the role, because an entry and a
-// sidecar may have the same one.
+// startMembership starts membership if its address is set. The process announces that it leaves when ctx is canceled,
+// which is the beginning of the drain, or when stop is called. The incarnation is that of the process start; an entry
+// that rejoins the roster with a newer incarnation remains the same member. The member identifier includes the role,
+// because an entry and a sidecar may have the same identifier.
 func (c invocation) startMembership(ctx context.Context, logger *log.Logger, role, id string, incarnation uint64) (*membership, error) {
 	address := c.values.Text(memberAddress.Name)
 	if address == "" {
-		return nil, nil //nolint:nilnil // no membership is a valid result: it is off
+		return nil, nil //nolint:nilnil // a nil membership is valid: it is off
 	}
 	m := &membership{process: watcher.Process{
 		Core:   watcher.Core{Self: watcher.Member{ID: role + "/" + id, Incarnation: incarnation}, Seed: rand.Uint64()},
@@ -63,7 +64,7 @@
 	return m, nil
 }
 
-// stop tells other processes of the leave, unless that has happened, and waits for the end.
+// stop announces that the process leaves, unless it has done so already, and waits until membership has stopped.
 func (m *membership) stop() {
 	if m != nil {
 		m.cancel()
@@ -71,7 +72,7 @@
 	}
 }
 
-// states returns the other members in the order of their identifiers, or nil when membership is off.
+// states returns the other members sorted by role and identifier, or nil if membership is off.
 func (m *membership) states() []server.MemberState {
 	if m == nil {
 		return nil
@@ -90,7 +91,7 @@
 	return out
 }
 
-// measure sets the metrics of membership; there are none when it is off.
+// updateMetrics updates the metrics of membership, if it is on.
 func (m *membership) updateMetrics(metrics *reporter.Metrics) {
 	if m == nil {
 		return
@@ -105,8 +106,8 @@
 	metrics.SetTotal("crocuslb_refused_member_datagrams_total", m.process.Refused())
 }
 
-// checkMember refuses addresses beyond loopback without the secret, and an unspecified address, because the others
-// could not reach it.
+// checkMembership rejects addresses beyond loopback if there is no secret, and an unspecified member address, because
+// other members could not reach it.
 func checkMembership(v loader.Values) []loader.Finding {
 	var findings []loader.Finding
 	add := func(s loader.Setting, reason string) {
--- a/commander/membership_test.go
+++ b/commander/membership_test.go
@@ -15,7 +15,7 @@
 	"github.com/crocuslb/crocuslb/emulator"
 )
 
-// output keeps the log of a process that runs in the test.
+// logBuffer collects the log of a process that runs in the test. It is safe for concurrent use.
 type logBuffer struct {
 	mu   sync.Mutex
 	text bytes.Buffer
@@ -33,7 +33,7 @@
 	return o.text.String()
 }
 
-// until reads a text until it matches, and returns the first group.
+// waitForMatch calls read until its text matches the pattern, and returns the last group of the match.
 func waitForMatch(t *testing.T, read func() string, pattern string) string {
 	t.Helper()
 	for deadline := time.Now().Add(time.Minute); ; time.Sleep(time.Millisecond) {
@@ -47,8 +47,8 @@
 	}
 }
 
-// Guards against processes that do not take part in membership, or do not notice or report that another one has ended.
-// An entry and a sidecar have the same identifier, which must not confuse the others.
+// TestMembership guards against processes that do not take part in membership, or that do not detect or report that
+// another process has stopped. An entry and a sidecar have the same identifier, and must be told apart by their role.
 func TestMembership(t *testing.T) {
 	logURL, err := emulator.ServeLog(t.Context(), "127.0.0.1:0", &emulator.Log{})
 	if err != nil {
@@ -91,7 +91,7 @@
 	stops["sidecar/b"]()
 	waitForMatch(t, logs["entry/a"].contents, "member: sidecar/b is dead")
 	waitForMatch(t, logs["sidecar/a"].contents, "member: sidecar/b is dead")
-	// A pause of the machine may make a live member suspect for a moment, so each view is read until it is right.
+	// A pause of the machine may make a live member suspect for a moment, so each output is polled until it is correct.
 	environ := []string{"CROCUSLB_ENTRY_URL=" + url, "CROCUSLB_TOKEN=" + operatorToken}
 	waitForMatch(t, func() string { _, text, _ := runProgram(t, "status", environ, ""); return text },
 		`^member +sidecar +a .* alive\nmember +sidecar +b .* dead$`)
--- a/commander/operatorcalls.go
+++ b/commander/operatorcalls.go
@@ -34,8 +34,8 @@
 	return p.awaitPropagation(ctx, started, pub), nil
 }
 
-// differences lists what the note does to each key. The values before come from the notes that the entry has read; a
-// key that was last changed before them has no known value.
+// diffNote returns the change of each key by the note. The previous values are taken from the newest notes that the
+// entry has read; a key that was last changed before those has no known previous value.
 func (p *entryProcess) diffNote(ctx context.Context, n configurer.Note) []server.Difference {
 	before := map[string]string{}
 	changes, err := p.Entry.History(ctx, historySearchLimit)
@@ -104,7 +104,7 @@
 	return p.domainPublication(ctx, domain, started, d), nil
 }
 
-// decided returns the answer to a decision on a failure domain, with the number of sidecars that it concerns.
+// domainPublication returns the result of withdrawing or returning a failure domain, with the number of its sidecars.
 func (p *entryProcess) domainPublication(ctx context.Context, domain string, started timer.Millis, d dispatcher.Publication) server.Publication {
 	pub := newPublication(d, p.Entry.Clock.Now()-started)
 	pub.Domain = domain
@@ -116,8 +116,8 @@
 	return p.awaitPropagation(ctx, started, pub)
 }
 
-// awaitForce waits a short time until every known process has an accepted change, because operators want to know that
-// rather than the acceptance alone.
+// awaitPropagation waits up to propagationTimeout until every known process has applied an accepted change, because
+// operators need to know that rather than the acceptance alone.
 func (p *entryProcess) awaitPropagation(ctx context.Context, started timer.Millis, pub server.Publication) server.Publication {
 	if !pub.Accepted {
 		return pub
@@ -139,8 +139,8 @@
 	}
 }
 
-// watch observes how long it takes until every connected sidecar of the domain has the configuration offset. At most
-// eight withdrawals are watched at a time.
+// observePropagation measures in the background how long it takes until every connected sidecar of the domain has
+// reached the configuration offset. It does nothing if maxPropagationObservers withdrawals are being observed already.
 func (p *entryProcess) observePropagation(domain string, offset uint64) {
 	select {
 	case p.observerSlots <- struct{}{}:
@@ -164,6 +164,7 @@
 	}()
 }
 
+// isPropagated reports whether every connected sidecar of the domain has reached the configuration offset.
 func isPropagated(s dispatcher.Status, domain string, offset uint64) bool {
 	for _, sc := range s.Sidecars {
 		if sc.Domain == domain && sc.Connected && sc.ConfigOffset < offset {
--- a/commander/operatorcommands.go
+++ b/commander/operatorcommands.go
@@ -21,7 +21,7 @@
 	} `json:"findings"`
 }
 
-// showFindings prints the findings of a refusal, if it has any.
+// printFindings prints the outcome and the findings of an error response, if it has any.
 func (c invocation) printFindings(body []byte) {
 	var w refusalWire
 	if json.Unmarshal(body, &w) != nil {
@@ -35,8 +35,9 @@
 	}
 }
 
-// operator makes one operators' call. It prints the body with -json, otherwise with show.
-func (c invocation) callEntry(ctx context.Context, send func(server.Client, context.Context) (server.Response, error), print func(body []byte) error) int {
+// callEntry sends a request to the operator API and returns the exit status. It prints the response body as it is with
+// -json, and with printBody otherwise.
+func (c invocation) callEntry(ctx context.Context, send func(server.Client, context.Context) (server.Response, error), printBody func(body []byte) error) int {
 	client, ctx, cancel := c.client(ctx)
 	defer cancel()
 	r, err := send(client, ctx)
@@ -56,10 +57,10 @@
 		if json.Unmarshal(r.Body, &w) != nil {
 			w.Reason = http.StatusText(r.Status)
 		}
-		c.errorf("the entry refused (status %d): %s\n", r.Status, w.Reason)
+		c.errorf("the entry rejected the request (status %d): %s\n", r.Status, w.Reason)
 		c.printFindings(r.Body)
 	default:
-		if err := print(r.Body); err != nil {
+		if err := printBody(r.Body); err != nil {
 			return c.fail(err)
 		}
 	}
@@ -111,7 +112,7 @@
 	case p.DryRun:
 		c.printf("dry run, nothing published\n")
 	case p.Provisional:
-		c.printf("in force, not yet recorded; %d processes do not obey it yet (%v)\n", p.Lagging, p.Took)
+		c.printf("in force, not yet recorded; %d processes have not applied it yet (%v)\n", p.Lagging, p.Took)
 	case p.Accepted && p.Lagging == 0:
 		c.printf("accepted at offset %d after %v, in force everywhere after %v\n", p.Offset, p.Took, p.InForce)
 	case p.Accepted:
--- a/commander/program.go
+++ b/commander/program.go
@@ -1,4 +1,4 @@
-// Package commander holds the subcommands of the crocuslb binary.
+// Package commander implements the subcommands of the crocuslb binary.
 package commander
 
 import (
@@ -18,16 +18,16 @@
 )
 
 const (
-	// ExitSuccess is the exit status of a subcommand that did its work.
+	// ExitSuccess is the exit status of a subcommand that succeeded.
 	ExitSuccess = 0
 	// ExitFailure is the exit status of a subcommand that failed.
 	ExitFailure = 1
-	// ExitUsage is the exit status for wrong usage or settings; nothing was started.
+	// ExitUsage is the exit status for wrong usage or invalid settings. Nothing was started.
 	ExitUsage = 2
 )
 
 type (
-	// Program is one call of the binary. Args excludes the program's name; Environ holds NAME=value pairs.
+	// Program is one invocation of the binary. Args excludes the program name; Environ holds NAME=value pairs.
 	Program struct {
 		Args    []string
 		Environ []string
@@ -38,16 +38,16 @@
 
 	command struct {
 		name         string // words separated by a space
-		args         string // names of the arguments in help texts
-		argCount     int    // number of arguments
-		optionalArgs bool   // the arguments may be left out
+		args         string // argument names in help texts
+		argCount     int    // number of positional arguments
+		optionalArgs bool   // the arguments may be omitted
 		summary      string
 		settings     []loader.Setting
 		rules        []loader.Rule
 		run          func(ctx context.Context, c invocation) int
 	}
 
-	// call is a subcommand with its checked settings and arguments.
+	// invocation is the invocation of a subcommand, with its validated settings and positional arguments.
 	invocation struct {
 		*Program
 		values loader.Values
@@ -82,7 +82,7 @@
 	return cmd.run(ctx, invocation{p, l.Values, l.Args})
 }
 
-// find returns the subcommand with the longest matching name and the arguments after it.
+// findCommand returns the subcommand with the longest matching name and the remaining arguments, or nil if none matches.
 func (p *Program) findCommand() (*command, []string) {
 	for words := min(2, len(p.Args)); words > 0; words-- {
 		name := strings.Join(p.Args[:words], " ")
@@ -95,7 +95,7 @@
 	return nil, nil
 }
 
-// unknown prints the overview. Asking for help is a success, anything else is wrong usage.
+// reportUnknownSubcommand prints the overview and returns the exit status, which is a success only if help was requested.
 func (p *Program) reportUnknownSubcommand() int {
 	group := ""
 	if len(p.Args) > 0 {
@@ -115,7 +115,7 @@
 	return status
 }
 
-// overview lists the subcommands that begin with group, or all.
+// printOverview lists the subcommands of a group, such as "job", or all subcommands if there is no such group.
 func (p *Program) printOverview(w io.Writer, group string) {
 	var matching []command
 	for _, c := range commands() {
@@ -148,7 +148,7 @@
 	return loader.Set{Settings: c.settings, Known: allSettings(), Rules: c.rules}
 }
 
-// allSettings returns every setting of every subcommand once, in the order of the subcommands.
+// allSettings returns the distinct settings of all subcommands, in the order of the subcommands.
 func allSettings() []loader.Setting {
 	var all []loader.Setting
 	seen := map[string]bool{}
@@ -171,13 +171,13 @@
 	_, _ = fmt.Fprintf(p.Stdout, format, args...)
 }
 
-// fail prints the error and returns the exit status of a failure.
+// fail prints the error and returns ExitFailure.
 func (p *Program) fail(err error) int {
 	p.errorf("%s\n", trace.UserMessage(err))
 	return ExitFailure
 }
 
-// logger returns the logger that the settings describe; it writes to standard error.
+// logger returns a logger configured by the settings. It writes to standard error.
 func (c invocation) logger() *log.Logger {
 	l := &log.Logger{Handler: textHandler(c.Stderr), Level: log.InfoLevel}
 	if c.values.Text(logFormat.Name) == logJSON {
@@ -189,8 +189,8 @@
 	return l
 }
 
-// textHandler writes one line per message, without the colors of the library's text handler, which are not wanted in
-// files.
+// textHandler returns a log handler that writes one line per message. Unlike the text handler of the library it uses no
+// colors, which would be unreadable in log files.
 func textHandler(w io.Writer) log.Handler {
 	var mu sync.Mutex
 	return log.HandlerFunc(func(e *log.Entry) error {
@@ -205,7 +205,7 @@
 	})
 }
 
-// client returns a client of the entry and a context bounded by the timeout.
+// client returns a client of the entry and a context with the timeout of the settings.
 func (c invocation) client(ctx context.Context) (server.Client, context.Context, context.CancelFunc) {
 	ctx, cancel := context.WithTimeout(ctx, c.values.Millis(timeout.Name).Duration())
 	return server.Client{URL: c.values.Text(entryURL.Name), Token: c.values.Text(token.Name), HTTP: &http.Client{}}, ctx, cancel
--- a/commander/program_test.go
+++ b/commander/program_test.go
@@ -19,7 +19,8 @@
 
 const operatorToken = "0123456789abcdef"
 
-// run calls the program with the fields of args; FILE stands for a file with the given input.
+// runProgram runs the program with the arguments in args, separated by spaces. FILE is replaced by the name of a file
+// with the given input, which is also the standard input.
 func runProgram(t *testing.T, args string, environ []string, input string) (status int, stdout, stderr string) {
 	t.Helper()
 	file := filepath.Join(t.TempDir(), "input.json")
@@ -35,7 +36,7 @@
 	return status, out.String(), errs.String()
 }
 
-// Scripts depend on the exit status: 2 must mean that nothing was started.
+// TestExitStatus guards against wrong exit statuses, on which scripts depend: 2 must mean that nothing was started.
 func TestExitStatus(t *testing.T) {
 	tests := []struct {
 		args     string
@@ -84,7 +85,8 @@
 	}
 }
 
-// Every declaration of every subcommand is sound, and a setting means the same unit wherever it is used.
+// TestSettingDeclarations guards against invalid declarations of settings, and against a setting that has different units
+// in different subcommands.
 func TestSettingDeclarations(t *testing.T) {
 	units := map[string]string{}
 	for _, c := range commands() {
--- a/commander/settings.go
+++ b/commander/settings.go
@@ -85,7 +85,8 @@
 	}
 }
 
-// atLeast does not quote the value, because it checks secrets.
+// checkMinLength returns a check that a value, if given, has at least n characters. The error does not quote the value,
+// because it is a secret.
 func checkMinLength(n int) func(string) error {
 	return func(value string) error {
 		if value != "" && len(value) < n {
@@ -104,7 +105,7 @@
 	return nil
 }
 
-// guarded refuses listeners beyond loopback when the process lacks keys.
+// requireSecretAndToken returns rules that reject listener addresses beyond loopback if there is no secret or no token.
 func requireSecretAndToken(names ...string) []loader.Rule {
 	var rules []loader.Rule
 	for _, n := range names {
@@ -118,7 +119,7 @@
 	return rules
 }
 
-// remote refuses to connect to entries beyond loopback without the secret.
+// requireSecretForEntries rejects addresses of entries beyond loopback if there is no secret.
 func requireSecretForEntries(v loader.Values) []loader.Finding {
 	if v.Text(secret.Name) != "" {
 		return nil
@@ -138,7 +139,7 @@
 	return nil
 }
 
-// reachable refuses to advertise an unspecified address such as 0.0.0.0.
+// checkAdvertise rejects an advertised address that is unspecified, such as 0.0.0.0.
 func checkAdvertise(v loader.Values) []loader.Finding {
 	a := v.Text("advertise")
 	if a == "" {
--- a/commander/settingscommand.go
+++ b/commander/settingscommand.go
@@ -39,8 +39,8 @@
 	return ExitSuccess
 }
 
-// check loads the settings of another subcommand from the same flags and variables as that one does. The switch -json
-// stands before the subcommand's name; after it, the flag belongs to the subcommand.
+// checkSettings checks the settings of another subcommand, loaded from the same flags and variables as by that
+// subcommand. The flag -json must precede the name of the subcommand; after the name it belongs to the subcommand.
 func (p *Program) checkSettings(args []string) int {
 	helpRequested := len(args) == 0 || slices.Contains([]string{"-h", "-help", "--help"}, args[0])
 	asJSONOutput := !helpRequested && (args[0] == "-json" || args[0] == "--json")
@@ -73,7 +73,7 @@
 	return status
 }
 
-// version reads the version from the build information.
+// version returns the version in the build information of the binary.
 func version() versionWire {
 	v := versionWire{Version: "unknown"}
 	info, ok := debug.ReadBuildInfo()
--- a/commander/sidecar.go
+++ b/commander/sidecar.go
@@ -36,7 +36,7 @@
 	return ExitSuccess
 }
 
-// serveSidecar runs s until ctx ends, and then until it is drained or the time for that is over.
+// serveSidecar runs s until ctx is canceled, and then drains it for at most drainTimeout.
 func serveSidecar(ctx context.Context, s *starter.Sidecar, drainTimeout timer.Millis) error {
 	runCtx, stop := context.WithCancel(context.WithoutCancel(ctx))
 	defer stop()
--- a/commander/taskreport.go
+++ b/commander/taskreport.go
@@ -8,8 +8,8 @@
 	"github.com/crocuslb/crocuslb/reporter"
 )
 
-// reportTask queues a task report. The control goroutine of the entry calls it, so a report that finds the queue full is
-// dropped and counted.
+// enqueueTaskReport queues a task report. It is called by the control goroutine of the entry and must not block, so a
+// report is dropped and counted if the queue is full.
 func (p *entryProcess) enqueueTaskReport(r dispatcher.TaskReport) {
 	select {
 	case p.reports <- r:
@@ -18,7 +18,8 @@
 	}
 }
 
-// observeTasks counts task reports for their workers and failure domains until ctx ends.
+// observeTaskReports passes queued task reports to the reporter, which counts them by worker and failure domain, until
+// ctx is canceled.
 func (p *entryProcess) observeTaskReports(ctx context.Context) {
 	for {
 		select {
@@ -32,8 +33,8 @@
 	}
 }
 
-// observation judges a task. It returns false for a task that was asked to stop, whose end says nothing about its worker,
-// and for one that ran at an unknown place.
+// taskObservation converts a task report into an observation. It returns false for a canceled task, whose end says
+// nothing about its worker, and for a task whose worker and failure domain are both unknown.
 func taskObservation(r dispatcher.TaskReport) (reporter.Observation, bool) {
 	v := reporter.Observation{
 		Domain: r.Domain, Worker: r.Worker, Response: r.Ran, Ideal: r.Expected, Failed: r.Status != encoder.StatusDone, Task: true,
--- a/server/client.go
+++ b/server/client.go
@@ -22,26 +22,27 @@
 const maxResponseSize = 64 << 20
 
 type (
-	// Client calls the HTTP interface of an entry. URL is the entry's base URL.
+	// Client is a client of the HTTP API of an entry. URL is the base URL of the entry. Token is the bearer token of
+	// operators; it is sent unless empty. A nil HTTP means http.DefaultClient.
 	Client struct {
 		URL   string
 		Token string
 		HTTP  *http.Client
 	}
 
-	// Response is the answer to a call: its status and body.
+	// Response is the HTTP status and body of a response.
 	Response struct {
 		Status int
 		Body   []byte
 	}
 )
 
-// Submit submits the JSON body of a job under a key.
+// Submit submits a job, given as a JSON body, under an idempotency key.
 func (c Client) Submit(ctx context.Context, key string, body []byte) (Response, error) {
 	return c.call(ctx, http.MethodPost, "/v1/jobs", key, body)
 }
 
-// Get asks for the state of a submission.
+// Get requests the state of a submission.
 func (c Client) Get(ctx context.Context, key string) (Response, error) {
 	return c.call(ctx, http.MethodGet, "/v1/jobs/"+url.PathEscape(key), "", nil)
 }
@@ -51,12 +52,12 @@
 	return c.call(ctx, http.MethodDelete, "/v1/jobs/"+url.PathEscape(key), "", nil)
 }
 
-// Publish publishes the JSON body of a note, or only checks it.
+// Publish publishes a note, given as a JSON body. With dryRun the note is only checked.
 func (c Client) Publish(ctx context.Context, body []byte, dryRun bool) (Response, error) {
 	return c.call(ctx, http.MethodPost, "/v1/notes?dryRun="+strconv.FormatBool(dryRun), "", body)
 }
 
-// History asks for the newest notes.
+// History requests the newest notes, at most limit.
 func (c Client) History(ctx context.Context, limit int) (Response, error) {
 	return c.call(ctx, http.MethodGet, "/v1/notes?limit="+strconv.Itoa(limit), "", nil)
 }
@@ -71,12 +72,12 @@
 	return c.changeDomain(ctx, domain, "return", author)
 }
 
-// Status asks for the entry's state.
+// Status requests the state of the entry.
 func (c Client) Status(ctx context.Context) (Response, error) {
 	return c.call(ctx, http.MethodGet, "/v1/status", "", nil)
 }
 
-// Burn asks for the burn report as text, json or html.
+// Burn requests the error-budget burn report. The format is text, json or html.
 func (c Client) Burn(ctx context.Context, format string) (Response, error) {
 	return c.call(ctx, http.MethodGet, "/v1/burn?format="+url.QueryEscape(format), "", nil)
 }
@@ -114,15 +115,15 @@
 	defer func() { _ = resp.Body.Close() }()
 	out, err := io.ReadAll(io.LimitReader(resp.Body, maxResponseSize+1))
 	if err != nil {
-		return Response{}, trace.ConnectionProblem(err, "the answer to %s %s%s was cut off", method, c.URL, path)
+		return Response{}, trace.ConnectionProblem(err, "reading the response to %s %s%s failed", method, c.URL, path)
 	}
 	if len(out) > maxResponseSize {
-		return Response{}, trace.LimitExceeded("the answer to %s %s%s is larger than %d bytes", method, c.URL, path, maxResponseSize)
+		return Response{}, trace.LimitExceeded("the response to %s %s%s is larger than %d bytes", method, c.URL, path, maxResponseSize)
 	}
 	return Response{Status: resp.StatusCode, Body: out}, nil
 }
 
-// EncodeJob maps a job to the JSON body of a submission. Payloads go as base64, which keeps every byte.
+// EncodeJob encodes a job as the JSON body of a submission. Payloads are encoded as base64, which preserves every byte.
 func EncodeJob(j encoder.Job, wait timer.Millis) ([]byte, error) {
 	type taskWire struct {
 		Kind          string `json:"kind"`
@@ -143,11 +144,12 @@
 	return json.Marshal(w)
 }
 
-// DecodeAnswer reads an answer to a call on a submission. It refuses a body that is cut off or inconsistent.
+// DecodeAnswer decodes the response to a call on a submission. It returns an error if the body is truncated or
+// inconsistent.
 func DecodeAnswer(body []byte) (encoder.Answer, error) {
 	var w answerWire
 	if err := json.Unmarshal(body, &w); err != nil {
-		return encoder.Answer{}, trace.BadParameter("the answer is not valid: %v", err)
+		return encoder.Answer{}, trace.BadParameter("the answer is not valid JSON: %v", err)
 	}
 	a := encoder.Answer{
 		Key: w.Key, State: encoder.JobState(slices.Index(stateNames[1:], w.State) + 1), Reason: w.Reason,
@@ -174,11 +176,12 @@
 	return a, nil
 }
 
-// DecodePublication reads the answer to a note or to a decision on a failure domain.
+// DecodePublication decodes the response to the publication of a note, or to the withdrawal or return of a failure
+// domain.
 func DecodePublication(body []byte) (Publication, error) {
 	var w publicationWire
 	if err := json.Unmarshal(body, &w); err != nil {
-		return Publication{}, trace.BadParameter("the answer is not valid: %v", err)
+		return Publication{}, trace.BadParameter("the publication is not valid JSON: %v", err)
 	}
 	p := Publication{
 		ID: w.ID, DryRun: w.State == "dryRun", Accepted: w.State == "accepted", Recorded: w.State == "recorded",
@@ -200,11 +203,11 @@
 	return p, nil
 }
 
-// DecodeHistory reads the answer to History.
+// DecodeHistory decodes the response to History.
 func DecodeHistory(body []byte) ([]Record, error) {
 	var records []recordWire
 	if err := json.Unmarshal(body, &records); err != nil {
-		return nil, trace.BadParameter("the answer is not valid: %v", err)
+		return nil, trace.BadParameter("the history is not valid JSON: %v", err)
 	}
 	decoded := make([]Record, 0, len(records))
 	for _, r := range records {
@@ -217,11 +220,11 @@
 	return decoded, nil
 }
 
-// DecodeState reads the answer to Status.
+// DecodeState decodes the response to Status.
 func DecodeState(body []byte) (State, error) {
 	var w stateWire
 	if err := json.Unmarshal(body, &w); err != nil {
-		return State{}, trace.BadParameter("the answer is not valid: %v", err)
+		return State{}, trace.BadParameter("the state is not valid JSON: %v", err)
 	}
 	s := State{
 		ID: w.ID, Incarnation: w.Incarnation, Version: w.Version, Epoch: w.Epoch, ConfigOffset: w.ConfigOffset,
--- a/server/job.go
+++ b/server/job.go
@@ -14,7 +14,7 @@
 
 const (
 	maxBodySize         = 4 << 20
-	maxPreallocatedSize = 64 << 10 // memory that a body takes before it arrives, when its declared length says so
+	maxPreallocatedSize = 64 << 10 // limit of the buffer allocated for a declared Content-Length
 	maxHeaderSize       = 16 << 10
 	maxTasks            = 1000
 	maxKeyLength        = 200
@@ -26,7 +26,7 @@
 	maxWait             = timer.Minute
 	defaultWait         = 30 * timer.Second
 	maxFindings         = 50
-	maxJobSize          = encoder.MaxFrame - 64<<10 // the largest job that fits into one message with its envelope
+	maxJobSize          = encoder.MaxFrame - 64<<10 // largest job that fits into one message with its envelope
 )
 
 const (
@@ -36,7 +36,7 @@
 )
 
 type (
-	// Request is a decoded submission. Wait is how long the caller waits for the answer.
+	// Request is a decoded submission. Wait is the time for which the caller waits for the answer.
 	Request struct {
 		Job  encoder.Job
 		Wait timer.Millis
@@ -73,8 +73,8 @@
 	stateNames   = [...]string{"", "running", "complete", "failed"}
 )
 
-// DecodeJob reads the body of a submission. It returns all findings; the request is usable only when there are none.
-// A payload is the exact bytes of a JSON string, or of the base64 in payloadBase64.
+// DecodeJob decodes the body of a submission. It returns at most maxFindings findings; the request is valid only if
+// there are none. A payload is either the UTF-8 text of the JSON string payload or the decoded base64 of payloadBase64.
 func DecodeJob(key string, body []byte) (Request, []Finding) {
 	r := newJSONReader(body)
 	req := Request{Job: encoder.Job{Key: key}, Wait: defaultWait}
@@ -145,7 +145,7 @@
 	return t
 }
 
-// checkKey allows characters that need no escaping in a URL path.
+// checkKey accepts only characters that need no escaping in a URL path.
 func checkKey(r *jsonReader, place *fieldPath, key string) {
 	switch {
 	case key == "":
@@ -159,7 +159,7 @@
 	}
 }
 
-// checkName allows words that are safe in URL paths, header fields and metric labels.
+// checkName accepts only names that are safe in URL paths, header fields and metric labels. It accepts an empty name.
 func checkName(r *jsonReader, place *fieldPath, name string) {
 	if name != "" && (strings.ContainsFunc(name, func(c rune) bool { return !isWordChar(c) }) || strings.Trim(name, ".") == "") {
 		r.addFinding(place, "holds a character other than letters, digits and -._")
@@ -170,6 +170,7 @@
 	return c >= 'a' && c <= 'z' || c >= 'A' && c <= 'Z' || c >= '0' && c <= '9' || c == '-' || c == '_' || c == '.'
 }
 
+// encodedJobSizeBound returns an upper bound of the encoded size of a job.
 func encodedJobSizeBound(j encoder.Job) int {
 	const perTask = 32 // upper bound of the tags, lengths and numbers of one encoded task
 	size := len(j.Key) + len(j.Team)
@@ -179,8 +180,8 @@
 	return size
 }
 
-// Status returns the HTTP status of an answer. A status that promises "not run" (4xx, 503) is used only for answers
-// whose outcome says so.
+// Status returns the HTTP status of an answer. A status that implies that no task ran (4xx, 503) is used only for
+// answers with the outcome "not run".
 func Status(a encoder.Answer) int {
 	switch a.State {
 	case encoder.JobComplete:
@@ -212,8 +213,8 @@
 	return http.StatusInternalServerError
 }
 
-// EncodeAnswer maps an answer to JSON. Results are included only in complete answers. A result that is text is given as
-// a string, any other as base64.
+// EncodeAnswer encodes an answer as JSON. Results are included only in complete answers. Results that are text are
+// encoded as strings, all others as base64.
 func EncodeAnswer(a encoder.Answer) ([]byte, error) {
 	w := answerWire{
 		Key: a.Key, State: nameAt(stateNames[:], int(a.State)), Code: nameAt(codeNames[:], int(a.Code)), Reason: a.Reason,
@@ -222,24 +223,25 @@
 	if a.State == encoder.JobFailed {
 		w.Outcome = nameAt(outcomeNames[:], int(a.Outcome))
 		if w.Outcome == "" {
-			w.Outcome = unknown // the only claim that needs no evidence
+			w.Outcome = unknown // nothing is known about the tasks, so neither "ran" nor "not run" may be claimed
 		}
 	}
 	if a.State == encoder.JobComplete {
 		w.Results = make([]resultWire, 0, len(a.Results))
-		texts := make([]string, len(a.Results)) // the results point into it, which saves one allocation for each
+		texts := make([]string, len(a.Results)) // backing array for the Body pointers, which saves one allocation per result
 		for i, t := range a.Results {
 			w.Results = append(w.Results, encodeResult(t.Body, &texts[i]))
 		}
 	}
 	var b bytes.Buffer
 	e := json.NewEncoder(&b)
-	e.SetEscapeHTML(false) // the answer is never part of a page
+	e.SetEscapeHTML(false) // answers are never embedded in HTML
 	err := e.Encode(w)
 	return bytes.TrimSuffix(b.Bytes(), []byte("\n")), err
 }
 
-// encodeResult gives bodies with control characters as base64 as well, because JSON needs six bytes for each.
+// encodeResult encodes a body as a string if it is text, and as base64 otherwise. Text with control characters is
+// encoded as base64 too, because JSON needs six bytes for each of them.
 func encodeResult(body []byte, text *string) resultWire {
 	control := func(c rune) bool { return c < ' ' && c != '\t' && c != '\n' && c != '\r' }
 	if utf8.Valid(body) && bytes.IndexFunc(body, control) < 0 {
@@ -250,6 +252,7 @@
 	return resultWire{BodyBase64: text}
 }
 
+// nameAt returns the name at an index, or an empty string if the index is out of range.
 func nameAt(names []string, i int) string {
 	if i < len(names) {
 		return names[i]
--- a/server/jsonreader.go
+++ b/server/jsonreader.go
@@ -12,22 +12,22 @@
 )
 
 type (
-	// Finding is one fault in a request.
+	// Finding is one error in a request.
 	Finding struct {
-		Place  string // for example "tasks[3].runMs"
+		Place  string // path of the value, for example "tasks[3].runMs"
 		Reason string
 	}
 
-	// reader walks a JSON document that is valid as a whole and collects findings, at most maxFindings. It keeps
-	// what encoding/json would accept silently: unknown, doubled and differently written names.
+	// jsonReader traverses a valid JSON document and collects findings, at most maxFindings. It detects unknown and
+	// duplicate field names and names in another case, which encoding/json would accept silently.
 	jsonReader struct {
 		body     []byte
 		pos      int
 		findings []Finding
-		stopped  bool // nothing more is read
+		stopped  bool // the rest of the document is not read
 	}
 
-	// path is the place of a value. Its text is built only for findings. An item has no name.
+	// fieldPath is the path of a value. Its text is built only for findings. An array item has no name.
 	fieldPath struct {
 		parent *fieldPath
 		name   string
@@ -35,7 +35,7 @@
 	}
 )
 
-// String returns the path as findings show it.
+// String returns the path as shown in findings. Names are truncated to maxKeyLength bytes.
 func (p *fieldPath) String() string {
 	switch {
 	case p == nil:
@@ -53,8 +53,8 @@
 	return p.parent.String() + "." + name
 }
 
-// newReader returns a reader of body. A body that is not valid UTF-8 is refused as a whole: decoding would replace the
-// invalid bytes and so change a payload.
+// newJSONReader returns a reader of body. It rejects a body that is not valid UTF-8, because decoding would replace the
+// invalid bytes and thereby alter payloads.
 func newJSONReader(body []byte) *jsonReader {
 	r := &jsonReader{body: body}
 	if !utf8.Valid(body) {
@@ -82,13 +82,13 @@
 	}
 }
 
-// object walks one object and calls field for each member; field must consume the value, or return false when it does
-// not know the name. It returns false when the value is no object; the value is consumed then.
+// readObject reads an object and calls field for each member. field must consume the value, or return false if the name
+// is unknown. If the value is not an object, readObject consumes it and returns false.
 func (r *jsonReader) readObject(p *fieldPath, field func(name string, p *fieldPath) bool) bool {
 	if !r.openDelimiter(p, '{', "an object") {
 		return false
 	}
-	var seen [16]string // names beyond the first 16 are unknown ones, which are findings anyway
+	var seen [16]string // no object has more than 16 known names, so later ones are reported as unknown anyway
 	for n := 0; r.hasNext('}'); n++ {
 		name := fieldName(r.rawValue())
 		r.peekByte()
@@ -110,7 +110,8 @@
 	return true
 }
 
-// array walks one array and calls item for each element; item must consume the value.
+// readArray reads an array of at most limit items and calls item for each, which must consume the value. It returns
+// false if the value is not an array, or is too long; in the latter case the rest of the document is not read.
 func (r *jsonReader) readArray(p *fieldPath, limit int, item func(p *fieldPath)) bool {
 	if !r.openDelimiter(p, '[', "an array") {
 		return false
@@ -126,7 +127,7 @@
 	return true
 }
 
-// open consumes the opening delimiter. A value of another kind is consumed and reported.
+// openDelimiter consumes the opening delimiter of an object or array. A value of another type is reported and consumed.
 func (r *jsonReader) openDelimiter(p *fieldPath, delimiter byte, want string) bool {
 	if r.stopped {
 		return false
@@ -140,7 +141,7 @@
 	return true
 }
 
-// more reports whether another member or element follows, and consumes the comma before it or the closing delimiter.
+// hasNext reports whether another member or item follows. It consumes the comma before it, or the closing delimiter.
 func (r *jsonReader) hasNext(closing byte) bool {
 	if r.stopped {
 		return false
@@ -155,7 +156,7 @@
 	return true
 }
 
-// peek skips white space and returns the next byte.
+// peekByte skips white space and returns the next byte without consuming it.
 func (r *jsonReader) peekByte() byte {
 	for {
 		switch c := r.body[r.pos]; c {
@@ -167,7 +168,7 @@
 	}
 }
 
-// raw consumes one value and returns its bytes, or nothing when the reader is broken.
+// rawValue consumes one value and returns its bytes, or nil if the reader has stopped.
 func (r *jsonReader) rawValue() []byte {
 	if r.stopped {
 		return nil
@@ -199,7 +200,7 @@
 	}
 }
 
-// stringEnd returns the position after the string that begins at the given one.
+// stringEnd returns the position after the string that starts at pos.
 func stringEnd(body []byte, pos int) int {
 	for pos++; ; pos++ {
 		switch body[pos] {
@@ -211,7 +212,7 @@
 	}
 }
 
-// fieldName returns the text of a name. Those of a task, which are read most often, need no allocation.
+// fieldName decodes a field name. The most frequent names, those of a task, are returned without an allocation.
 func fieldName(raw []byte) string {
 	switch string(raw) {
 	case `"kind"`:
@@ -226,7 +227,7 @@
 	return unquote(raw)
 }
 
-// unquote returns the text of a JSON string.
+// unquote decodes a JSON string.
 func unquote(raw []byte) string {
 	if len(raw) < 2 {
 		return ""
@@ -236,12 +237,12 @@
 	}
 	var s string
 	if err := json.Unmarshal(raw, &s); err != nil {
-		panic("server: a string of a valid document does not decode: " + err.Error())
+		panic("server: cannot decode a string in a valid JSON document: " + err.Error())
 	}
 	return s
 }
 
-// text consumes a string of at most limit bytes. An unpaired surrogate is refused, because decoding replaces it.
+// readString consumes a string of at most limit bytes. It reports an unpaired surrogate, because decoding replaces it.
 func (r *jsonReader) readString(p *fieldPath, limit int) string {
 	raw := r.rawValue()
 	if raw == nil {
@@ -266,7 +267,7 @@
 	return s
 }
 
-// data consumes a string of base64 that stands for at most limit bytes.
+// readBase64 consumes a base64 string that decodes to at most limit bytes.
 func (r *jsonReader) readBase64(p *fieldPath, limit int) []byte {
 	s := r.readString(p, base64.StdEncoding.EncodedLen(limit))
 	b, err := base64.StdEncoding.Strict().DecodeString(s)
@@ -281,7 +282,7 @@
 	return b
 }
 
-// number consumes a whole number from low to high.
+// readInt consumes an integer between low and high.
 func (r *jsonReader) readInt(p *fieldPath, low, high int64) int64 {
 	raw := r.rawValue()
 	if raw == nil {
@@ -299,7 +300,7 @@
 	return n
 }
 
-// boolean consumes true or false.
+// readBool consumes a boolean.
 func (r *jsonReader) readBool(p *fieldPath) bool {
 	raw := r.rawValue()
 	if raw != nil && string(raw) != "true" && string(raw) != "false" {
@@ -308,6 +309,7 @@
 	return string(raw) == "true"
 }
 
+// placeOrBody returns "body" for the empty place, which is that of the document itself.
 func placeOrBody(place string) string {
 	if place == "" {
 		return "body"
--- a/server/listener.go
+++ b/server/listener.go
@@ -20,19 +20,22 @@
 	readHeaderTimeout     = 5 * timer.Second
 	readTimeout           = 30 * timer.Second
 	idleTimeout           = 2 * timer.Minute
-	// writeTimeout covers the longest wait for an answer and the time to read the request.
+	// writeTimeout covers the longest wait for an answer and the time to read the request, because net/http counts it
+	// from the end of the request's header.
 	writeTimeout = maxWait + readTimeout + 10*timer.Second
 )
 
 type (
-	// Listener accepts HTTP connections for a handler. The zero value with a Handler is usable.
+	// Listener serves HTTP connections with a handler. Only Handler is required.
 	Listener struct {
 		Handler http.Handler
-		// Connections bounds the open connections; 0 means 4,096.
+		// Connections limits the number of open connections; 0 means 4,096.
 		Connections int
-		// Report is told about faults of the HTTP server itself, such as panics in handlers. It may be nil.
+		// Report is called with the error log lines of the HTTP server, such as those about panics in handlers. It may
+		// be nil.
 		Report func(text string)
-		// Guarded says that the process has keys. Without keys only loopback addresses are accepted.
+		// Guarded is set if the process has a secret and an operator token. Otherwise only loopback addresses are
+		// accepted.
 		Guarded bool
 
 		server   *http.Server
@@ -42,14 +45,15 @@
 	reportWriter func(text string)
 )
 
-// Listen binds the address and returns the bound one. Nothing is served before Serve.
+// Listen binds the address and returns the bound address, with the port that the system chose if it was 0. Requests
+// are served once Serve is called.
 func (l *Listener) Listen(ctx context.Context, address string) (string, error) {
 	a, err := netip.ParseAddrPort(address)
 	if err != nil {
 		return "", trace.BadParameter("listener address %q is not an IP address with a port", address)
 	}
 	if !l.Guarded && !a.Addr().Unmap().IsLoopback() {
-		return "", trace.AccessDenied("a process without keys listens on loopback only, not on %s", address)
+		return "", trace.AccessDenied("listening on %s, which is not a loopback address, requires a secret and an operator token", address)
 	}
 	var lc net.ListenConfig
 	listener, err := lc.Listen(ctx, "tcp", address)
@@ -82,7 +86,7 @@
 	return len(line), nil
 }
 
-// Serve serves until Shutdown is called. It must follow a successful Listen.
+// Serve serves requests until Shutdown is called. It may be called only after Listen succeeded.
 func (l *Listener) Serve() error {
 	if err := l.server.Serve(l.listener); !errors.Is(err, http.ErrServerClosed) {
 		return trace.Wrap(err)
@@ -90,13 +94,14 @@
 	return nil
 }
 
-// Shutdown stops accepting and waits for the requests in flight until ctx ends; what is left then is cut off.
+// Shutdown stops accepting connections and waits for requests in flight until ctx is done. The connections that are
+// still open then are closed.
 func (l *Listener) Shutdown(ctx context.Context) error {
 	if l.server == nil {
 		return nil
 	}
 	if err := l.server.Shutdown(ctx); err != nil {
-		return trace.NewAggregate(trace.Wrap(err, "requests in flight were cut off"), l.server.Close())
+		return trace.NewAggregate(trace.Wrap(err, "shutdown timed out, closing connections with requests in flight"), l.server.Close())
 	}
 	return nil
 }
--- a/server/note.go
+++ b/server/note.go
@@ -11,30 +11,31 @@
 const maxHistoryLimit = 1000
 
 type (
-	// Difference is what a note does to one key. Before is empty for an added key, After for a withdrawn one.
+	// Difference is the change that a note makes to one key. Before is empty for an added key, After for a withdrawn one.
 	Difference struct{ Key, Before, After string }
 
-	// Publication is the outcome of a note or of a decision on a failure domain. Exactly one of Accepted, Recorded,
-	// Provisional, Refused, Unknown and DryRun is set; a dry run with findings is Refused.
+	// Publication is the result of publishing a note, or of withdrawing or returning a failure domain. Exactly one of
+	// Accepted, Recorded, Provisional, Refused, Unknown and DryRun is set; a dry run with findings is Refused.
 	Publication struct {
 		ID          string
 		Offset      uint64       // offset of the log record, when Accepted or Recorded
-		DryRun      bool         // the note is sound and was not published
-		Accepted    bool         // it is in the log and at least half of the roster reported it
+		DryRun      bool         // the note is valid and was not published
+		Accepted    bool         // it is in the log and at least half of the roster reported having read it
 		Recorded    bool         // it is in the log
-		Provisional bool         // it is obeyed although the log has not recorded it yet
-		Refused     bool         // it is not in force and will not be
-		Unknown     bool         // it may be in the log or may get there yet
-		Lagging     int          // processes that are not known to obey it
-		Domain      string       // the failure domain that the decision is about; empty for a note
-		Sidecars    int          // known sidecars in that domain
-		Took        timer.Millis // until it was accepted
-		InForce     timer.Millis // until every known process obeyed it; 0 when that was not awaited or did not come
+		Provisional bool         // it is applied although it is not in the log yet
+		Refused     bool         // it is not in effect and will not be
+		Unknown     bool         // it may be in the log or may still be appended
+		Lagging     int          // number of processes that are not known to have applied it
+		Domain      string       // the withdrawn or returned failure domain; empty for a note
+		Sidecars    int          // number of known sidecars in Domain
+		Took        timer.Millis // time until the outcome was known
+		InForce     timer.Millis // time until every known process had applied it; 0 if that was not awaited or did not happen in time
 		Findings    []Finding
 		Differences []Difference
 	}
 
-	// Record is a note of the history. Refused is the reason why the fold refused it; it is empty otherwise.
+	// Record is a note in the history. Refused is the reason for which the note was rejected when the log was read; it is
+	// empty for a note that was applied.
 	Record struct {
 		Offset  uint64
 		Refused string
@@ -72,7 +73,7 @@
 	}
 )
 
-// DecodeNote reads a note and returns all findings; the note is usable only when there are none.
+// DecodeNote decodes a note and returns all findings; the note is valid only if there are none.
 func DecodeNote(body []byte) (configurer.Note, []Finding) {
 	n, parsed := configurer.ParseNote(body)
 	findings := make([]Finding, 0, len(parsed))
@@ -82,7 +83,7 @@
 	return n, findings
 }
 
-// EncodeHistory maps records to a JSON array.
+// EncodeHistory encodes records as a JSON array.
 func EncodeHistory(records []Record) ([]byte, error) {
 	wire := make([]recordWire, 0, len(records))
 	for _, r := range records {
@@ -91,7 +92,7 @@
 	return json.Marshal(wire)
 }
 
-// EncodePublication maps a publication to JSON. The offset is given only when the log has recorded it.
+// EncodePublication encodes a publication as JSON. The offset is included only if the change is in the log.
 func EncodePublication(p Publication) ([]byte, error) {
 	w := publicationWire{ID: p.ID, TookMs: int64(p.Took), InForceMs: int64(p.InForce), Lagging: p.Lagging}
 	if p.Domain != "" {
--- a/server/operators.go
+++ b/server/operators.go
@@ -65,7 +65,8 @@
 func (s *Server) handleWithdraw(c iris.Context) { s.handleDomain(c, s.Withdraw) }
 func (s *Server) handleReturn(c iris.Context)   { s.handleDomain(c, s.Return) }
 
-// domain serves the two calls on failure domains. The optional query parameter author goes into the log record.
+// handleDomain handles the withdrawal and the return of a failure domain. The optional query parameter author is stored
+// in the log record.
 func (s *Server) handleDomain(c iris.Context, call domainFunc) {
 	domain, author := c.Params().Get("domain"), c.URLParam("author")
 	r := &jsonReader{}
@@ -102,7 +103,7 @@
 	writeJSON(c, body, err)
 }
 
-// burn answers in the format that the parameter names: text, json (the default) or html.
+// handleBurn responds in the format given by the query parameter format: text, json (the default) or html.
 func (s *Server) handleBurn(c iris.Context) {
 	types := map[string]string{"text": contentText, "json": contentJSON, "html": contentHTML}
 	format := c.URLParamDefault("format", "json")
@@ -131,8 +132,8 @@
 	writeBody(c, http.StatusOK, contentText, b.Bytes())
 }
 
-// published answers a decision: 200 when it is accepted or was only checked, 202 when it is obeyed or recorded but not
-// accepted yet, 409 when it is refused, 500 when its outcome is unknown.
+// writePublication responds to a change with status 200 if it was accepted or only checked, 202 if it was applied or
+// recorded but not accepted yet, 409 if it was refused, and 500 if its outcome is unknown.
 func writePublication(c iris.Context, p Publication, err error) {
 	if err != nil {
 		writeError(c, err)
@@ -155,7 +156,8 @@
 	writeBody(c, status, contentJSON, body)
 }
 
-// failed maps the kinds of errors to status codes. Only errors that surely had no effect say "not run".
+// writeError maps error types to HTTP statuses. The outcome is "not run" only for errors that are certain to have had no
+// effect.
 func writeError(c iris.Context, err error) {
 	reason := trace.UserMessage(err)
 	switch {
--- a/server/server.go
+++ b/server/server.go
@@ -1,5 +1,5 @@
-// Package server is the HTTP interface of an entry: the job API for callers and the operators' API. What it serves is
-// given as function fields.
+// Package server implements the HTTP API of an entry: the job API for callers and the operator API. The operations
+// behind the API are function fields of Server.
 package server
 
 import (
@@ -34,31 +34,32 @@
 )
 
 type (
-	// Server answers HTTP requests. Set the fields before the first request. A nil function field makes its call
-	// answer 503.
+	// Server handles the HTTP requests. The exported fields must be set before Handler is called. If a function field of
+	// an operation is nil, the operation responds with status 503.
 	Server struct {
-		// Submit submits a job and waits for its answer until ctx ends; then it answers "running".
+		// Submit submits a job and waits for its answer until ctx is done, and then returns an answer in the state
+		// "running".
 		Submit func(ctx context.Context, j encoder.Job) encoder.Answer
 		// Get returns the state of a submission, Cancel cancels it.
 		Get    func(ctx context.Context, key string) encoder.Answer
 		Cancel func(ctx context.Context, key string) encoder.Answer
 
-		// Publish, History, Withdraw, Return and Status serve operators.
+		// Publish, History, Withdraw, Return and Status implement the operator API.
 		Publish  func(ctx context.Context, n configurer.Note, dryRun bool) (Publication, error)
 		History  func(ctx context.Context, limit int) ([]Record, error)
 		Withdraw func(ctx context.Context, handleDomain, author string) (Publication, error)
 		Return   func(ctx context.Context, handleDomain, author string) (Publication, error)
 		Status   func(ctx context.Context) (State, error)
-		// Burn writes the burn report in one of the formats "text", "json" and "html".
+		// Burn writes the error-budget burn report in one of the formats "text", "json" and "html".
 		Burn func(w io.Writer, format string) error
 		// Metrics writes all metrics in the Prometheus text format.
 		Metrics func(w io.Writer)
-		// Ready reports whether the process takes jobs. A nil field means that it does.
+		// Ready reports whether the process accepts jobs. If it is nil, the process is always ready.
 		Ready func() bool
-		// Observe is told about every answered request. It may be nil.
+		// Observe is called after each request. It may be nil.
 		Observe func(call string, handleStatus int, took timer.Millis)
 		Clock   timer.Clock
-		// Token is the bearer token of operators. Without one every operators' call is refused.
+		// Token is the bearer token of operators. If it is empty, all requests to the operator API are rejected.
 		Token string
 
 		buildOnce sync.Once
@@ -70,7 +71,7 @@
 //go:embed openapi.json
 var openAPIDocument []byte
 
-// Handler returns the handler of all calls.
+// Handler returns the handler for all routes.
 func (s *Server) Handler() (http.Handler, error) {
 	s.buildOnce.Do(func() {
 		app := iris.New()
@@ -107,7 +108,7 @@
 	})
 }
 
-// observed reports the call's status and duration to Observe.
+// observeRequest returns a handler that also reports the status and the duration of the request to Observe.
 func (s *Server) observeRequest(call string, h iris.Handler) iris.Handler {
 	return func(c iris.Context) {
 		started := s.Clock.Now()
@@ -118,13 +119,13 @@
 	}
 }
 
-// operator lets only requests with the bearer token pass.
+// requireToken returns a handler that rejects requests without the bearer token of operators.
 func (s *Server) requireToken(h iris.Handler) iris.Handler {
 	wantHash := sha256.Sum256([]byte(s.Token))
 	return func(c iris.Context) {
 		scheme, token, _ := strings.Cut(c.GetHeader("Authorization"), " ")
 		gotHash := sha256.Sum256([]byte(token))
-		// The sums have the same length, so the comparison does not reveal the token's length either.
+		// Hashes of equal length are compared, so that the time taken does not reveal the length of the token either.
 		if subtle.ConstantTimeCompare(gotHash[:], wantHash[:]) != 1 || s.Token == "" || !strings.EqualFold(scheme, "Bearer") {
 			c.Header("WWW-Authenticate", "Bearer")
 			rejectRequest(c, http.StatusUnauthorized, "the call needs the operators' bearer token", nil)
@@ -154,7 +155,7 @@
 	}
 	key := strings.Join(keyHeaders, "")
 	if n := len(key); n >= 2 && key[0] == '"' && key[n-1] == '"' {
-		key = key[1 : n-1] // the quoted form of the Idempotency-Key draft
+		key = key[1 : n-1] // the IETF draft of Idempotency-Key defines the value as a quoted string
 	}
 	req, findings := DecodeJob(key, body)
 	if len(findings) > 0 {
@@ -189,7 +190,8 @@
 	s.writeAnswerStatus(c, key, a, status(a))
 }
 
-// cancelStatus is 200 as soon as the submission has ended in any way: the call did what it was asked to do.
+// cancelStatus returns the HTTP status of the answer to a cancellation. It is 200 for a canceled submission, because the
+// request succeeded.
 func cancelStatus(a encoder.Answer) int {
 	if a.State == encoder.JobFailed && a.Code == encoder.CodeCanceled {
 		return http.StatusOK
@@ -223,7 +225,8 @@
 	writeBody(c, status, contentJSON, body)
 }
 
-// verify replaces a complete answer that lacks results; a partial answer never leaves the process.
+// checkAnswer replaces an answer that lacks results or has an invalid state, so that callers never receive a partial
+// answer.
 func checkAnswer(a encoder.Answer, j encoder.Job) encoder.Answer {
 	if a.State == encoder.JobComplete && len(a.Results) != len(j.Tasks) || a.State < encoder.JobRunning || a.State > encoder.JobFailed {
 		return encoder.Answer{
@@ -234,7 +237,7 @@
 	return a
 }
 
-// readBody reads a bounded JSON body. It has answered the request when ok is false.
+// readBody reads a JSON body of at most maxBodySize bytes. If ok is false, it has responded to the request.
 func readBody(c iris.Context) (body []byte, ok bool) {
 	if contentType := c.GetHeader("Content-Type"); contentType != "" {
 		if media, _, err := mime.ParseMediaType(contentType); err != nil || media != contentJSON {
@@ -254,15 +257,15 @@
 	case err != nil:
 		rejectRequest(c, http.StatusBadRequest, "the body could not be read", nil)
 	default:
-		// The read timeout would otherwise end the request's context while the caller waits for the answer. Writers
-		// that have no deadline, as in tests, answer with an error.
+		// Without this, the read timeout would cancel the context of the request while the caller waits for the answer.
+		// The error of response writers without a deadline, such as those of tests, is ignored.
 		_ = http.NewResponseController(c.ResponseWriter().Naive()).SetReadDeadline(time.Time{})
 		return buf.Bytes(), true
 	}
 	return nil, false
 }
 
-// refuse answers a request of which nothing was executed.
+// rejectRequest responds to a request that had no effect.
 func rejectRequest(c iris.Context, status int, reason string, findings []Finding) {
 	w := answerWire{State: "failed", Code: "invalid", Reason: reason, Outcome: notRun}
 	if status == http.StatusServiceUnavailable {
@@ -279,7 +282,7 @@
 	writeBody(c, status, contentJSON, body)
 }
 
-// fault answers a request that failed inside the process after it may have had an effect.
+// writeInternalError responds to a request that failed inside the process and may have had an effect.
 func writeInternalError(c iris.Context, err error) {
 	body, _ := json.Marshal(answerWire{State: "failed", Code: unknown, Reason: trace.UserMessage(err), Outcome: unknown})
 	writeBody(c, http.StatusInternalServerError, contentJSON, body)
@@ -290,6 +293,6 @@
 	c.ContentType(contentType)
 	c.Header("Content-Length", strconv.Itoa(len(body)))
 	c.Header("X-Content-Type-Options", "nosniff")
-	// A failed write means that the caller is gone; it submits again with the same key.
+	// A failed write means that the caller has disconnected; it can submit again with the same key.
 	_, _ = c.Write(body)
 }
--- a/server/server_test.go
+++ b/server/server_test.go
@@ -36,7 +36,8 @@
 	return w
 }
 
-// Every malformed request is refused before Submit, with a reason, a place and a true "not run".
+// TestMalformedJobs guards against malformed submissions that reach Submit, or that are rejected without a reason, a
+// place or the outcome "not run".
 func TestMalformedJobs(t *testing.T) {
 	validBody := `{"tasks":[{"kind":"k"}]}`
 	bodyWithTask := func(task string) string { return `{"tasks":[{"kind":"k"},` + task + `]}` }
@@ -107,7 +108,7 @@
 	}
 }
 
-// Headers that contradict each other or the body make the request malformed as well.
+// TestRejectMalformedHeaders guards against accepting a repeated Idempotency-Key, or a Content-Type other than JSON.
 func TestRejectMalformedHeaders(t *testing.T) {
 	for _, tc := range []struct {
 		headers []string
@@ -124,7 +125,7 @@
 	}
 }
 
-// deadlineRecorder records what the server does to the deadline of the connection.
+// deadlineRecorder is a response recorder that also records the read deadline set by the server.
 type deadlineRecorder struct {
 	*httptest.ResponseRecorder
 	deadline time.Time
@@ -135,8 +136,9 @@
 	return nil
 }
 
-// The read timeout of the listener is shorter than the longest wait. If it stayed in force after the body was read, it
-// would end the request's context, and the caller would get "running" early.
+// TestReadDeadlineClearedAfterBody guards against the read timeout of the listener staying active after the body was
+// read. It is shorter than the longest wait, so it would cancel the context of the request, and the caller would receive
+// "running" too early.
 func TestReadDeadlineClearedAfterBody(t *testing.T) {
 	s := &Server{Submit: func(context.Context, encoder.Job) encoder.Answer { return encoder.Answer{State: encoder.JobRunning} }}
 	h, err := s.Handler()
@@ -175,7 +177,7 @@
 	}
 }
 
-// The status tells callers whether the job ran, so a refusal that did run must not look like one that did not.
+// TestAnswers guards against a status or an outcome that tells the caller that a job did not run although it may have.
 func TestAnswers(t *testing.T) {
 	failed := func(c encoder.FailureCode, o encoder.Outcome) encoder.Answer {
 		return encoder.Answer{State: encoder.JobFailed, Code: c, Outcome: o, Reason: "r", RetryAfter: 1001}
@@ -275,13 +277,13 @@
 			}
 		})
 	}
-	// A server without a token must not accept the empty one.
+	// A server without a token must reject an empty one.
 	if w := sendRequest(t, &Server{}, "GET", "/v1/status", "", "Authorization", "Bearer "); w.Code != 401 {
 		t.Errorf("got %d without a token in the settings, want 401", w.Code)
 	}
 }
 
-// A request in flight at the time of Shutdown gets its whole answer.
+// TestShutdownWaits guards against a Shutdown that closes connections with requests in flight.
 func TestShutdownWaits(t *testing.T) {
 	entered, release := make(chan struct{}), make(chan struct{})
 	s := &Server{Submit: func(_ context.Context, j encoder.Job) encoder.Answer {
@@ -352,7 +354,7 @@
 		t.Fatal(err)
 	}
 	defer func() { _ = c.Close() }()
-	_ = c.SetDeadline(time.Now().Add(time.Minute)) // only bounds a hanging test
+	_ = c.SetDeadline(time.Now().Add(time.Minute)) // keeps a failing test from hanging
 	_, _ = io.WriteString(c, "GET /health HTTP/1.1\r\nHost: a\r\nX: "+strings.Repeat("x", 64<<10)+"\r\n\r\n")
 	statusLine := make([]byte, 12)
 	if _, err := io.ReadFull(c, statusLine); err != nil || string(statusLine[9:]) != "431" {
@@ -360,7 +362,7 @@
 	}
 }
 
-// The description must not name other calls than the server has.
+// TestOpenAPIDocument guards against operations in the OpenAPI document that the server does not implement.
 func TestOpenAPIDocument(t *testing.T) {
 	var d struct {
 		Paths map[string]map[string]any `json:"paths"`
@@ -380,7 +382,8 @@
 	}
 }
 
-// Any body is either refused with findings or gives a job within the limits; decoding never panics.
+// FuzzDecodeJob checks that any body is either rejected with findings or decoded into a job within the limits, that
+// decoding does not panic, and that the job can be encoded and decoded again.
 func FuzzDecodeJob(f *testing.F) {
 	for _, seed := range []string{
 		`{"team":"t","tasks":[{"kind":"k","payload":"p","runMs":5,"memoryMb":1}],"deadlineMs":9,"once":true,"waitMs":0}`,
@@ -409,7 +412,8 @@
 	})
 }
 
-// Operators must be able to tell membership that is off from membership that knows no other process.
+// TestStateMembersRoundTrip guards against a state in which operators cannot distinguish disabled membership from
+// membership that knows no other process.
 func TestStateMembersRoundTrip(t *testing.T) {
 	one := MemberState{Role: "entry", ID: "e1", Incarnation: 7, Address: "127.0.0.1:1", State: "suspect"}
 	for _, want := range [][]MemberState{nil, {}, {one}} {
--- a/server/state.go
+++ b/server/state.go
@@ -7,7 +7,7 @@
 )
 
 type (
-	// State is what an entry knows of itself and of the other processes.
+	// State is the state of an entry and its view of the other processes.
 	State struct {
 		ID           string
 		Incarnation  uint64
@@ -16,12 +16,12 @@
 		ConfigOffset uint64
 		Joined       bool
 		LogReachable bool
-		Attested     bool // the entry attests a log outage that more than half of the roster reports
+		Attested     bool // the entry has evidence that more than half of the roster cannot reach the log
 		Leaving      bool
 		Takeover     string // state of the takeover of keys
 		Queued       int
 		Submissions  int
-		Lagging      int // processes that are not known to have the configuration
+		Lagging      int // number of processes that are not known to have the configuration
 		Counters     Counters
 		Entries      []EntryState
 		Sidecars     []SidecarState
@@ -29,19 +29,19 @@
 		Members      []MemberState // nil when membership is off
 	}
 
-	// Counters count events since the start of the entry.
+	// Counters holds the numbers of events since the start of the entry.
 	Counters struct {
 		Submitted, Complete, Failed, Started, Refused, Requeued, Ignored, Forwarded, Takeovers uint64
 	}
 
-	// EntryState is a member of the roster.
+	// EntryState is an entry in the roster.
 	EntryState struct {
 		ID          string
 		Incarnation uint64
 		Address     string
 	}
 
-	// SidecarState is a sidecar as the entry sees it.
+	// SidecarState is the entry's view of a sidecar.
 	SidecarState struct {
 		ID, Domain, Worker string
 		Slots, Credits     uint32
@@ -51,14 +51,14 @@
 		Silent             timer.Millis // time since its session ended
 	}
 
-	// DomainState says whether a failure domain is in force.
+	// DomainState is the state of a failure domain. InForce is set if the domain is in service.
 	DomainState struct {
 		Name        string
 		InForce     bool
 		Provisional bool // withdrawn, not recorded in the log yet
 	}
 
-	// MemberState is another process as failure detection sees it. State is "alive", "suspect" or "dead".
+	// MemberState is the state of another process according to failure detection: "alive", "suspect" or "dead".
 	MemberState struct {
 		Role, ID    string
 		Incarnation uint64
@@ -132,7 +132,7 @@
 	}
 )
 
-// EncodeState maps a state to JSON.
+// EncodeState encodes a state as JSON.
 func EncodeState(s State) ([]byte, error) {
 	w := stateWire{
 		ID: s.ID, Incarnation: s.Incarnation, Version: s.Version, Epoch: s.Epoch, ConfigOffset: s.ConfigOffset,
