--- a/cmd/emulator/main.go
+++ b/cmd/emulator/main.go
@@ -1,10 +1,10 @@
-// Command emulator runs one test double as a process: the platform's log or a backend server.
+// Command emulator runs an emulated log or an emulated backend server as a process for tests.
 //
 //	emulator log     [-address 127.0.0.1:0] [-appendDelayMs 4]
 //	emulator backend [-address 127.0.0.1:0] [-slots 8]
 //
-// It prints "listening URL" when it serves. A backend prints "start MILLIS TASK" for each start, with the wall clock in
-// ms since 1970, so that the starts are known after the process was killed.
+// It prints "listening URL" once it is serving. A backend prints "start MILLIS TASK" for each start, with the wall clock
+// in ms since 1970, so that a test knows the starts even after the process was killed.
 package main
 
 import (
@@ -28,12 +28,12 @@
 
 func run(args []string) error {
 	if len(args) == 0 || args[0] != "log" && args[0] != "backend" {
-		return fmt.Errorf("want log or backend as the first argument")
+		return fmt.Errorf("the first argument must be log or backend")
 	}
 	flags := flag.NewFlagSet(args[0], flag.ExitOnError)
 	address := flags.String("address", "127.0.0.1:0", "loopback `address` to listen on")
 	slots := flags.Int("slots", 8, "tasks that a backend server runs at a time")
-	delay := flags.Int64("appendDelayMs", 4, "time before an append takes effect, in ms")
+	appendDelay := flags.Int64("appendDelayMs", 4, "time before an append takes effect, in ms")
 	_ = flags.Parse(args[1:]) // exits on an error
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
@@ -41,10 +41,10 @@
 	var err error
 	if args[0] == "log" {
 		l := &emulator.Log{}
-		l.Change(func(s *emulator.LogSettings) { s.AppendDelay = timer.Millis(*delay) })
+		l.Change(func(s *emulator.LogSettings) { s.AppendDelay = timer.Millis(*appendDelay) })
 		url, err = emulator.ServeLog(ctx, *address, l)
 	} else {
-		b := &emulator.Backend{Slots: *slots, OnStart: reportStart}
+		b := &emulator.Backend{Slots: *slots, OnStart: printStart}
 		url, err = b.Serve(ctx, *address)
 	}
 	if err != nil {
--- a/cmd/emulator/report.go
+++ b/cmd/emulator/report.go
@@ -5,7 +5,8 @@
 	"time"
 )
 
-// reportStart prints a start. Standard output is a pipe, so the line survives the process.
-func reportStart(task string) {
+// printStart prints the start of a task. In tests standard output is a pipe, so the line is not lost if the process is
+// killed.
+func printStart(task string) {
 	fmt.Printf("start %d %s\n", time.Now().UnixMilli(), task)
 }
--- a/cmd/faultrunner/main.go
+++ b/cmd/faultrunner/main.go
@@ -1,6 +1,6 @@
 // Command faultrunner runs a fleet of separate processes on loopback under a seeded schedule of kills, pauses, log
-// outages and withdrawals, and prints counts. It exits with status 1 when a promise was broken. With -platform it soaks
-// the processes of the users' platform, with proxies between them, for several seeds.
+// outages and withdrawals, and prints counts. It exits with status 1 if a guarantee was violated. With -platform it runs
+// soak tests of the processes of the users' platform, with proxies between them, for several seeds.
 //
 //	go run ./cmd/faultrunner -seed 1 -seconds 60
 //	go run ./cmd/faultrunner -platform -seed 1 -seeds 50 -seconds 15
@@ -27,84 +27,85 @@
 func main() {
 	seed := flag.Uint64("seed", 1, "seed of jobs and faults")
 	seconds := flag.Int64("seconds", 30, "time during which faults are injected, in s")
-	every := flag.Int64("faultMs", 1000, "mean time between faults, in ms")
+	faultInterval := flag.Int64("faultMs", 1000, "mean time between faults, in ms")
 	rate := flag.Int("jobs", 20, "jobs submitted per second")
 	faults := flag.String("faults", "", "names of faults to draw from, separated by commas; all when empty")
-	patience := flag.Int64("patienceMs", 0, "time for which callers resubmit, in ms; 0 for the default of 40000")
+	resubmitPeriod := flag.Int64("patienceMs", 0, "time for which callers resubmit, in ms; 0 for the default of 40000")
 	logs := flag.String("logs", "", "directory for the output of the processes; none when empty")
 	platform := flag.Bool("platform", false, "soak the processes of the users' platform")
 	seeds := flag.Int("seeds", 1, "number of seeds, from -seed on; with -platform only")
-	at := flag.Int("parallel", 1, "seeds that run at a time; with -platform only")
+	parallel := flag.Int("parallel", 1, "seeds that run at a time; with -platform only")
 	entries := flag.Int("entries", 3, "entries; with -platform only")
 	sidecars := flag.Int("sidecars", 6, "sidecars; with -platform only")
 	flag.Parse()
 	if *platform {
-		os.Exit(soak(soaker.Plan{
-			Seed: *seed, Length: time.Duration(*seconds) * time.Second, FaultEvery: time.Duration(*every) * time.Millisecond,
+		os.Exit(runSoak(soaker.Plan{
+			Seed: *seed, Length: time.Duration(*seconds) * time.Second, FaultEvery: time.Duration(*faultInterval) * time.Millisecond,
 			JobsPerSecond: *rate, Entries: *entries, Sidecars: *sidecars, Logs: *logs,
-		}, *seeds, *at))
+		}, *seeds, *parallel))
 	}
-	os.Exit(run(injector.Plan{
-		Seed: *seed, Length: timer.Millis(*seconds) * timer.Second, FaultEvery: timer.Millis(*every), JobsPerSecond: *rate,
-		Patience: timer.Millis(*patience), Logs: *logs,
+	os.Exit(runInjector(injector.Plan{
+		Seed: *seed, Length: timer.Millis(*seconds) * timer.Second, FaultEvery: timer.Millis(*faultInterval), JobsPerSecond: *rate,
+		Patience: timer.Millis(*resubmitPeriod), Logs: *logs,
 		Faults: strings.FieldsFunc(*faults, func(c rune) bool { return c == ',' }),
 	}))
 }
 
-// withPrograms builds the programs into a temporary directory and calls do with it. It returns the exit status.
-func withPrograms(do func(ctx context.Context, directory string) (broken bool, err error)) int {
+// withBinaries builds the programs into a temporary directory and calls fn with it. It returns the exit status, which is
+// 1 if the build fails, or if fn returns an error or reports a failure.
+func withBinaries(fn func(ctx context.Context, directory string) (failed bool, err error)) int {
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt)
 	defer stop()
 	directory, err := os.MkdirTemp("", "crocuslb")
 	if err == nil {
-		defer func() { _ = os.RemoveAll(directory) }() // a leftover in the temporary directory does no harm
+		defer func() { _ = os.RemoveAll(directory) }() // files left over in the temporary directory do no harm
 		err = launcher.Build(ctx, directory)
 	}
-	broken := false
+	failed := false
 	if err == nil {
-		broken, err = do(ctx, directory)
+		failed, err = fn(ctx, directory)
 	}
 	if err != nil {
 		fmt.Fprintln(os.Stderr, "faultrunner:", err)
 	}
-	if err != nil || broken {
+	if err != nil || failed {
 		return 1
 	}
 	return 0
 }
 
-// soak runs the plan for several seeds, some at a time.
-func soak(p soaker.Plan, seeds, parallel int) int {
-	return withPrograms(func(ctx context.Context, directory string) (bool, error) {
+// runSoak runs the plan for several consecutive seeds, at most parallel at a time, and returns the exit status.
+func runSoak(p soaker.Plan, seeds, parallel int) int {
+	return withBinaries(func(ctx context.Context, directory string) (bool, error) {
 		p.Program = filepath.Join(directory, "platformnode")
 		var (
-			running sync.WaitGroup
-			bad     atomic.Int64
+			wg       sync.WaitGroup
+			failures atomic.Int64
 		)
-		slots := make(chan struct{}, max(parallel, 1))
+		semaphore := make(chan struct{}, max(parallel, 1))
 		for i := range seeds {
-			slots <- struct{}{}
-			running.Go(func() {
-				defer func() { <-slots }()
+			semaphore <- struct{}{}
+			wg.Go(func() {
+				defer func() { <-semaphore }()
 				plan := p
 				plan.Seed += uint64(i)
 				report, err := soaker.Run(ctx, plan)
 				if err != nil {
 					fmt.Fprintf(os.Stderr, "faultrunner: seed %d: %v\n", plan.Seed, err)
-					bad.Add(1)
+					failures.Add(1)
 					return
 				}
 				fmt.Print(report)
-				bad.Add(int64(len(report.Violations)))
+				failures.Add(int64(len(report.Violations)))
 			})
 		}
-		running.Wait()
-		return bad.Load() > 0, nil
+		wg.Wait()
+		return failures.Load() > 0, nil
 	})
 }
 
-func run(p injector.Plan) int {
-	return withPrograms(func(ctx context.Context, directory string) (bool, error) {
+func runInjector(p injector.Plan) int {
+	return withBinaries(func(ctx context.Context, directory string) (bool, error) {
 		p.Directory = directory
 		report, err := injector.Run(ctx, p)
 		if err != nil {
--- a/cmd/loadrunner/main.go
+++ b/cmd/loadrunner/main.go
@@ -1,5 +1,5 @@
 // Command loadrunner launches a fleet of separate processes on loopback, sends jobs for a bounded time, and prints the
-// throughput, the latency that the path adds, processor time and memory.
+// throughput, the latency added by entries and sidecars, processor time and memory.
 //
 //	go run ./cmd/loadrunner -seconds 10 -backends 4 -tasks 1 -runMs 50 -connections 1
 //	go run ./cmd/loadrunner -seconds 10 -standIns 8 -slots 500 -tasks 100 -runMs 0 -connections 32
@@ -25,7 +25,7 @@
 	flag.Float64Var(&p.Rate, "rate", 0, "jobs that arrive in a second; 0 lets each connection submit when it is answered")
 	flag.IntVar(&p.Connections, "connections", 1, "connections of callers")
 	flag.IntVar(&p.Tasks, "tasks", 1, "tasks of each job")
-	run := flag.Int64("runMs", 0, "run time of each task, in ms")
+	runTime := flag.Int64("runMs", 0, "run time of each task, in ms")
 	flag.IntVar(&p.Payload, "payload", 64, "payload of each task, in bytes")
 	flag.IntVar(&p.Entries, "entries", 1, "entries")
 	flag.IntVar(&p.Backends, "backends", 0, "backend servers, each with a sidecar process")
@@ -33,14 +33,14 @@
 	flag.IntVar(&p.Slots, "slots", 8, "slots of each sidecar")
 	flag.BoolVar(&p.Other, "other", false, "send the jobs to an entry that is not the owner")
 	flag.Parse()
-	p.Length, p.RunTime = timer.Millis(*seconds)*timer.Second, timer.Millis(*run)
-	if err := measure(p); err != nil {
+	p.Length, p.RunTime = timer.Millis(*seconds)*timer.Second, timer.Millis(*runTime)
+	if err := runBenchmark(p); err != nil {
 		fmt.Fprintln(os.Stderr, "loadrunner:", err)
 		os.Exit(1)
 	}
 }
 
-func measure(p driver.Plan) error {
+func runBenchmark(p driver.Plan) error {
 	if err := p.Check(); err != nil {
 		return err
 	}
@@ -50,7 +50,7 @@
 	if err != nil {
 		return err
 	}
-	defer func() { _ = os.RemoveAll(directory) }() // a leftover in the temporary directory does no harm
+	defer func() { _ = os.RemoveAll(directory) }() // files left over in the temporary directory do no harm
 	if err := launcher.Build(ctx, directory); err != nil {
 		return err
 	}
--- a/cmd/lossreport/main.go
+++ b/cmd/lossreport/main.go
@@ -1,4 +1,4 @@
-// Command lossreport reads log lines of entries from standard input and prints a table of the jobs that were lost or late, by
+// Command lossreport reads log lines of entries from standard input and prints a table of the lost and late jobs by
 // cause. Exit status: 0 success, 1 unreadable input.
 package main
 
@@ -12,7 +12,7 @@
 func main() {
 	var a auditor.Auditor
 	if err := a.Read(os.Stdin); err != nil {
-		_, _ = fmt.Fprintf(os.Stderr, "lossreport: %v\n", err) // there is nowhere else to report to
+		_, _ = fmt.Fprintf(os.Stderr, "lossreport: %v\n", err) // a failed write to standard error cannot be reported
 		os.Exit(1)
 	}
 	fmt.Print(a.Report())
--- a/commander/commands.go
+++ b/commander/commands.go
@@ -13,7 +13,7 @@
 	entryRules := append(requireSecretAndToken("httpAddress", "address", "advertise"),
 		loader.Rule{Names: []string{"advertise", "address"}, Check: checkAdvertise},
 		loader.Rule{Names: []string{"burnShortMs", "burnLongMs"}, Check: checkBurnWindows}, membershipRule)
-	sidecarRules := []loader.Rule{{Names: []string{"entries", secret.Name}, Check: requireSecretForEntries}, membershipRule}
+	sidecarRules := []loader.Rule{{Names: []string{"entries", secretSetting.Name}, Check: requireSecretForEntries}, membershipRule}
 	return []command{
 		{name: "entry", summary: "Run an entry, which accepts jobs and places their tasks", settings: entrySettings,
 			rules: entryRules, run: runEntry},
@@ -27,12 +27,12 @@
 		{name: "note publish", args: "[FILE]", argCount: 1, optionalArgs: true, summary: "Publish a configuration change from a JSON file or standard input",
 			settings: withSettings(clientSettings, dryRunSetting), run: publishNote},
 		{name: "note history", summary: "Show the newest configuration changes", settings: withSettings(clientSettings, limitSetting), run: showHistory},
-		{name: "domain withdraw", args: "NAME", argCount: 1, summary: "Withdraw a failure domain from service", settings: withSettings(clientSettings, author), run: withdrawDomain},
-		{name: "domain return", args: "NAME", argCount: 1, summary: "Return a failure domain to service", settings: withSettings(clientSettings, author), run: returnDomain},
+		{name: "domain withdraw", args: "NAME", argCount: 1, summary: "Withdraw a failure domain from service", settings: withSettings(clientSettings, authorSetting), run: withdrawDomain},
+		{name: "domain return", args: "NAME", argCount: 1, summary: "Return a failure domain to service", settings: withSettings(clientSettings, authorSetting), run: returnDomain},
 		{name: "status", summary: "Show the state of an entry and of the processes it knows", settings: clientSettings, run: showStatus},
 		{name: "burn", summary: "Show the service-level burn report", settings: withSettings(clientSettings, formatSetting), run: showBurn},
-		{name: "settings list", args: "[SUBCOMMAND]", argCount: 2, optionalArgs: true, summary: "List all settings, or those of a subcommand", settings: []loader.Setting{jsonOutput}, run: listSettings},
-		{name: "settings check", args: "SUBCOMMAND [flags]", summary: "Check the settings of a subcommand without starting it", settings: []loader.Setting{jsonOutput}},
-		{name: "version", summary: "Show the version", settings: []loader.Setting{jsonOutput}, run: showVersion},
+		{name: "settings list", args: "[SUBCOMMAND]", argCount: 2, optionalArgs: true, summary: "List all settings, or those of a subcommand", settings: []loader.Setting{jsonSetting}, run: listSettings},
+		{name: "settings check", args: "SUBCOMMAND [flags]", summary: "Check the settings of a subcommand without starting it", settings: []loader.Setting{jsonSetting}},
+		{name: "version", summary: "Show the version", settings: []loader.Setting{jsonSetting}, run: showVersion},
 	}
 }
--- a/commander/demo.go
+++ b/commander/demo.go
@@ -40,8 +40,8 @@
 		withdrawRequested, withdrawAccepted timer.Millis
 		returnRequested, returnAccepted     timer.Millis
 		propagationTime                     timer.Millis // from the withdrawal request until all processes had applied it
-		taskMessages, wastedMessages        float64      // messages per task: starts, results and refusals; refused starts alone
-		allMessages                         float64      // messages of all types per task
+		taskMessages, wastedMessages        float64      // messages per task; wasted ones are refused starts and their refusals
+		allMessages                         float64      // messages of all types, per task
 	}
 
 	// demoSubmission is one submission of a job and its response.
@@ -175,7 +175,7 @@
 	}
 }
 
-// showDemo prints the report as a table or as JSON.
+// printDemoReport prints the report as a table, or as JSON with -json.
 func (c invocation) printDemoReport(r demoReport) error {
 	if c.jsonRequested() {
 		body, err := json.MarshalIndent(r.wire(), "", "  ")
--- a/commander/democluster.go
+++ b/commander/democluster.go
@@ -186,7 +186,7 @@
 		}
 		time.Sleep(demoPollInterval)
 	}
-	return trace.LimitExceeded("the entries and sidecars did not find each other within %v", timeout)
+	return trace.LimitExceeded("the entries and sidecars were not ready within %v", timeout)
 }
 
 // awaitStarts waits until n recorded starts match, or until ctx is done.
--- a/commander/demoreport.go
+++ b/commander/demoreport.go
@@ -156,7 +156,8 @@
 }
 
 // checkWithdrawal checks that no task was started in the withdrawn failure domain between 3 s after the acceptance of the
-// withdrawal and the request to return the domain, and that tasks were started after the return.
+// withdrawal and the request to return the domain, that the withdrawal was applied by all processes, and that tasks were
+// started after the return.
 func (d *demo) checkWithdrawal(r *demoReport, starts []startRecord) {
 	for _, s := range starts {
 		switch {
--- a/commander/entry.go
+++ b/commander/entry.go
@@ -28,7 +28,8 @@
 	propagationPollInterval   = 20 * time.Millisecond
 	propagationObserveTimeout = 10 * timer.Second
 	maxPropagationObservers   = 8
-	taskReportQueueSize       = 8192 // 0.27 s of finished tasks at 30,000 tasks/s, for the time in which a burn report blocks the reporter
+	// taskReportQueueSize covers 0.27 s of finished tasks at 30,000 tasks/s, while a burn report blocks the reporter.
+	taskReportQueueSize = 8192
 )
 
 // entryProcess is an entry with its HTTP API. The exported fields must be set before start is called.
@@ -60,12 +61,12 @@
 	}
 	p := &entryProcess{
 		Entry: &dispatcher.Entry{
-			ID: idOrRandom(v.Text("id"), roleEntry), Incarnation: uint64(time.Now().UnixMilli()), Listen: v.Text("address"), Advertise: v.Text("advertise"), Domain: v.Text(domain.Name),
+			ID: idOrRandom(v.Text("id"), roleEntry), Incarnation: uint64(time.Now().UnixMilli()), Listen: v.Text("address"), Advertise: v.Text("advertise"), Domain: v.Text(domainSetting.Name),
 			Log: &appender.Client{URL: v.Text("logUrl"), Timeout: v.Millis("logTimeoutMs")},
 			TLS: tlsConfig, Logger: logger,
 		},
-		HTTPAddress: v.Text("httpAddress"), Token: v.Text(token.Name), AllowNonLoopback: tlsConfig != nil && v.Text(token.Name) != "",
-		MaxConnections: int(v.Count("connections")), DrainTimeout: v.Millis(drain.Name),
+		HTTPAddress: v.Text("httpAddress"), Token: v.Text(tokenSetting.Name), AllowNonLoopback: tlsConfig != nil && v.Text(tokenSetting.Name) != "",
+		MaxConnections: int(v.Count("connections")), DrainTimeout: v.Millis(drainSetting.Name),
 		Reporter: reporter.Reporter{Objectives: objectives(v)},
 	}
 	if p.members, err = c.startMembership(ctx, logger, roleEntry, p.Entry.ID, p.Entry.Incarnation); err != nil {
@@ -88,7 +89,7 @@
 // tlsConfig returns the TLS configuration of the sessions between processes, with keys derived from the secret. It
 // returns nil if there is no secret.
 func (c invocation) tlsConfig() (*tls.Config, error) {
-	s := c.values.Text(secret.Name)
+	s := c.values.Text(secretSetting.Name)
 	if s == "" {
 		return nil, nil //nolint:nilnil // without keys the process listens on loopback only
 	}
--- a/commander/membership.go
+++ b/commander/membership.go
@@ -22,10 +22,10 @@
 )
 
 var (
-	memberAddress = loader.Setting{Name: "memberAddress", Unit: loader.UnitAddress, Meaning: "address at which the process takes part in membership (UDP), reached by all other members; membership is off when empty"}
-	memberSeeds   = loader.Setting{Name: "memberSeeds", Unit: loader.UnitAddresses, Meaning: "member addresses of other processes, from which the process learns the others"}
+	memberAddressSetting = loader.Setting{Name: "memberAddress", Unit: loader.UnitAddress, Meaning: "address at which the process takes part in membership (UDP), reached by all other members; membership is off when empty"}
+	memberSeedsSetting   = loader.Setting{Name: "memberSeeds", Unit: loader.UnitAddresses, Meaning: "member addresses of other processes, from which the process learns the others"}
 
-	membershipRule = loader.Rule{Names: []string{memberAddress.Name, memberSeeds.Name, secret.Name}, Check: checkMembership}
+	membershipRule = loader.Rule{Names: []string{memberAddressSetting.Name, memberSeedsSetting.Name, secretSetting.Name}, Check: checkMembership}
 )
 
 // membership is the failure detector among entries and sidecars; it is nil if membership is off. It is for observation
@@ -43,13 +43,13 @@
 // that rejoins the roster with a newer incarnation remains the same member. The member identifier includes the role,
 // because an entry and a sidecar may have the same identifier.
 func (c invocation) startMembership(ctx context.Context, logger *log.Logger, role, id string, incarnation uint64) (*membership, error) {
-	address := c.values.Text(memberAddress.Name)
+	address := c.values.Text(memberAddressSetting.Name)
 	if address == "" {
 		return nil, nil //nolint:nilnil // a nil membership is valid: it is off
 	}
 	m := &membership{process: watcher.Process{
 		Core:   watcher.Core{Self: watcher.Member{ID: role + "/" + id, Incarnation: incarnation}, Seed: rand.Uint64()},
-		Secret: c.values.Text(secret.Name), Seeds: c.values.List(memberSeeds.Name),
+		Secret: c.values.Text(secretSetting.Name), Seeds: c.values.List(memberSeedsSetting.Name),
 		OnChange: func(m watcher.Member, s watcher.State) {
 			logger.Infof("member: %s is %s, incarnation %d at %s", m.ID, s, m.Incarnation, m.Address)
 		},
@@ -113,20 +113,20 @@
 	add := func(s loader.Setting, reason string) {
 		findings = append(findings, loader.Finding{Place: "-" + s.Name, Reason: reason})
 	}
-	hasSecret := v.Text(secret.Name) != ""
-	if !hasSecret && !v.Loopback(memberAddress.Name) {
-		add(memberAddress, "an address beyond loopback needs -secret")
+	hasSecret := v.Text(secretSetting.Name) != ""
+	if !hasSecret && !v.Loopback(memberAddressSetting.Name) {
+		add(memberAddressSetting, "an address beyond loopback needs -secret")
 	}
-	if a, err := netip.ParseAddrPort(v.Text(memberAddress.Name)); err == nil && a.Addr().Unmap().IsUnspecified() {
-		add(memberAddress, "must name a single interface, so that other members reach it")
+	if a, err := netip.ParseAddrPort(v.Text(memberAddressSetting.Name)); err == nil && a.Addr().Unmap().IsUnspecified() {
+		add(memberAddressSetting, "must name a single interface, so that other members reach it")
 	}
-	seeds := v.List(memberSeeds.Name)
-	if len(seeds) > 0 && v.Text(memberAddress.Name) == "" {
-		add(memberSeeds, "needs -memberAddress")
+	seeds := v.List(memberSeedsSetting.Name)
+	if len(seeds) > 0 && v.Text(memberAddressSetting.Name) == "" {
+		add(memberSeedsSetting, "needs -memberAddress")
 	}
 	for _, text := range seeds {
 		if a, err := netip.ParseAddrPort(text); !hasSecret && (err != nil || !a.Addr().Unmap().IsLoopback()) {
-			add(memberSeeds, text+" is beyond loopback and needs -secret")
+			add(memberSeedsSetting, text+" is beyond loopback and needs -secret")
 		}
 	}
 	return findings
--- a/commander/operatorcalls.go
+++ b/commander/operatorcalls.go
@@ -14,7 +14,7 @@
 
 const (
 	historySearchLimit = 1000
-	// forceWait is the time in which an accepted change is to be in force everywhere.
+	// propagationTimeout is the time within which an accepted change should be applied by all processes.
 	propagationTimeout = 3 * timer.Second
 )
 
--- a/commander/operatorcommands.go
+++ b/commander/operatorcommands.go
@@ -12,7 +12,7 @@
 	"github.com/crocuslb/crocuslb/server"
 )
 
-type refusalWire struct {
+type errorWire struct {
 	Reason   string `json:"reason"`
 	Outcome  string `json:"outcome"`
 	Findings []struct {
@@ -23,7 +23,7 @@
 
 // printFindings prints the outcome and the findings of an error response, if it has any.
 func (c invocation) printFindings(body []byte) {
-	var w refusalWire
+	var w errorWire
 	if json.Unmarshal(body, &w) != nil {
 		return
 	}
@@ -53,7 +53,7 @@
 	case c.jsonRequested():
 		c.printf("%s\n", r.Body)
 	case !ok:
-		var w refusalWire
+		var w errorWire
 		if json.Unmarshal(r.Body, &w) != nil {
 			w.Reason = http.StatusText(r.Status)
 		}
@@ -85,13 +85,13 @@
 
 func withdrawDomain(ctx context.Context, c invocation) int {
 	return c.callEntry(ctx, func(s server.Client, ctx context.Context) (server.Response, error) {
-		return s.Withdraw(ctx, c.args[0], c.values.Text(author.Name))
+		return s.Withdraw(ctx, c.args[0], c.values.Text(authorSetting.Name))
 	}, c.printPublication)
 }
 
 func returnDomain(ctx context.Context, c invocation) int {
 	return c.callEntry(ctx, func(s server.Client, ctx context.Context) (server.Response, error) {
-		return s.Return(ctx, c.args[0], c.values.Text(author.Name))
+		return s.Return(ctx, c.args[0], c.values.Text(authorSetting.Name))
 	}, c.printPublication)
 }
 
--- a/commander/program.go
+++ b/commander/program.go
@@ -180,10 +180,10 @@
 // logger returns a logger configured by the settings. It writes to standard error.
 func (c invocation) logger() *log.Logger {
 	l := &log.Logger{Handler: textHandler(c.Stderr), Level: log.InfoLevel}
-	if c.values.Text(logFormat.Name) == logJSON {
+	if c.values.Text(logFormatSetting.Name) == logFormatJSON {
 		l.Handler = jsonhandler.New(c.Stderr)
 	}
-	if level, err := log.ParseLevel(c.values.Text(logLevel.Name)); err == nil {
+	if level, err := log.ParseLevel(c.values.Text(logLevelSetting.Name)); err == nil {
 		l.Level = level
 	}
 	return l
@@ -207,8 +207,8 @@
 
 // client returns a client of the entry and a context with the timeout of the settings.
 func (c invocation) client(ctx context.Context) (server.Client, context.Context, context.CancelFunc) {
-	ctx, cancel := context.WithTimeout(ctx, c.values.Millis(timeout.Name).Duration())
-	return server.Client{URL: c.values.Text(entryURL.Name), Token: c.values.Text(token.Name), HTTP: &http.Client{}}, ctx, cancel
+	ctx, cancel := context.WithTimeout(ctx, c.values.Millis(timeoutSetting.Name).Duration())
+	return server.Client{URL: c.values.Text(entryURLSetting.Name), Token: c.values.Text(tokenSetting.Name), HTTP: &http.Client{}}, ctx, cancel
 }
 
-func (c invocation) jsonRequested() bool { return c.values.Switch(jsonOutput.Name) }
+func (c invocation) jsonRequested() bool { return c.values.Switch(jsonSetting.Name) }
--- a/commander/settings.go
+++ b/commander/settings.go
@@ -9,26 +9,26 @@
 )
 
 const (
-	logText = "text"
-	logJSON = "json"
+	logFormatText = "text"
+	logFormatJSON = "json"
 
 	minSecretLength = 32
 	minTokenLength  = 16
-	dayMs           = 24 * 60 * 60 * 1000 // ms
+	dayMs           = 24 * 60 * 60 * 1000
 )
 
 var (
-	logLevel  = loader.Setting{Name: "logLevel", Default: "info", Meaning: "least level of log messages: debug, info, warn or error", Check: checkOneOf("debug", "info", "warn", "error")}
-	logFormat = loader.Setting{Name: "logFormat", Default: logText, Meaning: "format of log messages: text or json", Check: checkOneOf(logText, logJSON)}
-	secret    = loader.Setting{Name: "secret", Secret: true, Meaning: "secret from which the processes derive their keys, at least 32 characters; without it they listen on loopback only", Check: checkMinLength(minSecretLength)}
-	token     = loader.Setting{Name: "token", Secret: true, Meaning: "bearer token of the operators' calls, at least 16 characters; without it they are refused", Check: checkMinLength(minTokenLength)}
-	drain     = loader.Setting{Name: "drainMs", Unit: loader.UnitMillis, Default: "30000", Min: 0, Max: 3_600_000, Meaning: "longest time to finish the work in flight after SIGTERM"}
-	domain    = loader.Setting{Name: "domain", Required: true, Meaning: "failure domain of the worker", Check: checkWord}
-
-	jsonOutput = loader.Setting{Name: "json", Unit: loader.UnitSwitch, Default: "false", Meaning: "answer in JSON"}
-	entryURL   = loader.Setting{Name: "entryUrl", Unit: loader.UnitURL, Default: "http://127.0.0.1:7480", Required: true, Meaning: "base URL of an entry or of the load balancer"}
-	timeout    = loader.Setting{Name: "timeoutMs", Unit: loader.UnitMillis, Default: "75000", Min: 1, Max: 3_600_000, Meaning: "longest time for the call"}
-	author     = loader.Setting{Name: "author", Meaning: "author recorded with the decision", Check: checkWord}
+	logLevelSetting  = loader.Setting{Name: "logLevel", Default: "info", Meaning: "least level of log messages: debug, info, warn or error", Check: checkOneOf("debug", "info", "warn", "error")}
+	logFormatSetting = loader.Setting{Name: "logFormat", Default: logFormatText, Meaning: "format of log messages: text or json", Check: checkOneOf(logFormatText, logFormatJSON)}
+	secretSetting    = loader.Setting{Name: "secret", Secret: true, Meaning: "secret from which the processes derive their keys, at least 32 characters; without it they listen on loopback only", Check: checkMinLength(minSecretLength)}
+	tokenSetting     = loader.Setting{Name: "token", Secret: true, Meaning: "bearer token of the operators' calls, at least 16 characters; without it they are refused", Check: checkMinLength(minTokenLength)}
+	drainSetting     = loader.Setting{Name: "drainMs", Unit: loader.UnitMillis, Default: "30000", Min: 0, Max: 3_600_000, Meaning: "longest time to finish the work in flight after SIGTERM"}
+	domainSetting    = loader.Setting{Name: "domain", Required: true, Meaning: "failure domain of the worker", Check: checkWord}
+
+	jsonSetting     = loader.Setting{Name: "json", Unit: loader.UnitSwitch, Default: "false", Meaning: "answer in JSON"}
+	entryURLSetting = loader.Setting{Name: "entryUrl", Unit: loader.UnitURL, Default: "http://127.0.0.1:7480", Required: true, Meaning: "base URL of an entry or of the load balancer"}
+	timeoutSetting  = loader.Setting{Name: "timeoutMs", Unit: loader.UnitMillis, Default: "75000", Min: 1, Max: 3_600_000, Meaning: "longest time for the call"}
+	authorSetting   = loader.Setting{Name: "author", Meaning: "author recorded with the decision", Check: checkWord}
 
 	entrySettings = []loader.Setting{
 		{Name: "id", Meaning: "identifier of the entry; a random one when empty", Check: checkWord},
@@ -37,9 +37,9 @@
 		{Name: "advertise", Unit: loader.UnitAddress, Meaning: "address at which other processes reach the QUIC listener; the listener's own when empty"},
 		{Name: "logUrl", Unit: loader.UnitURL, Required: true, Meaning: "base URL of the platform's log"},
 		{Name: "logTimeoutMs", Unit: loader.UnitMillis, Default: "1000", Min: 10, Max: 60_000, Meaning: "time after which a call to the log counts as failed"},
-		{Name: domain.Name, Meaning: "failure domain of the entry, for the choice of near sidecars; not known when empty", Check: checkWord},
+		{Name: domainSetting.Name, Meaning: "failure domain of the entry, for the choice of near sidecars; not known when empty", Check: checkWord},
 		{Name: "connections", Unit: loader.UnitCount, Default: "4096", Min: 1, Max: 1_000_000, Meaning: "open HTTP connections at most"},
-		memberAddress, memberSeeds, drain, secret, token, logLevel, logFormat,
+		memberAddressSetting, memberSeedsSetting, drainSetting, secretSetting, tokenSetting, logLevelSetting, logFormatSetting,
 		{Name: "responseRatio", Unit: loader.UnitRatio, Default: "1.10", Min: 1, Max: 1000, Meaning: "objective: response time over ideal at which a job counts as slow"},
 		{Name: "responseTarget", Unit: loader.UnitShare, Default: "0.99", Min: 0.5, Max: 1, Meaning: "objective: share of complete jobs that are not slow"},
 		{Name: "successTarget", Unit: loader.UnitShare, Default: "0.999", Min: 0.5, Max: 1, Meaning: "objective: share of jobs that do not fail"},
@@ -51,22 +51,22 @@
 
 	sidecarSettings = []loader.Setting{
 		{Name: "id", Meaning: "identifier of the sidecar; a random one when empty", Check: checkWord},
-		domain,
+		domainSetting,
 		{Name: "worker", Required: true, Meaning: "name of the worker", Check: checkWord},
 		{Name: "slots", Unit: loader.UnitCount, Default: "8", Min: 1, Max: 4096, Meaning: "tasks that the backend server runs concurrently"},
 		{Name: "memoryMb", Unit: loader.UnitMegabytes, Default: "0", Min: 0, Max: 16 << 20, Meaning: "memory of the worker; 0 when unknown"},
 		{Name: "kinds", Unit: loader.UnitList, Meaning: "kinds of task that the backend server runs; all when empty"},
 		{Name: "backendUrl", Unit: loader.UnitURL, Required: true, Meaning: "base URL of the backend server"},
 		{Name: "entries", Unit: loader.UnitAddresses, Required: true, Meaning: "QUIC addresses of entries, one at least; the others are learnt from them"},
-		memberAddress, memberSeeds, drain, secret, logLevel, logFormat,
+		memberAddressSetting, memberSeedsSetting, drainSetting, secretSetting, logLevelSetting, logFormatSetting,
 	}
 
-	clientSettings = []loader.Setting{entryURL, token, timeout, jsonOutput}
+	clientSettings = []loader.Setting{entryURLSetting, tokenSetting, timeoutSetting, jsonSetting}
 
 	demoSettings = []loader.Setting{
 		{Name: "seed", Unit: loader.UnitCount, Default: "1", Min: 0, Max: 1 << 53, Meaning: "seed of the job mix"},
 		{Name: "jobs", Unit: loader.UnitCount, Default: "260", Min: 1, Max: 1000, Meaning: "number of jobs"},
-		jsonOutput, logLevel.WithDefault("error"), logFormat,
+		jsonSetting, logLevelSetting.WithDefault("error"), logFormatSetting,
 	}
 )
 
@@ -109,8 +109,8 @@
 func requireSecretAndToken(names ...string) []loader.Rule {
 	var rules []loader.Rule
 	for _, n := range names {
-		rules = append(rules, loader.Rule{Names: []string{n, secret.Name, token.Name}, Check: func(v loader.Values) []loader.Finding {
-			if v.Loopback(n) || v.Text(secret.Name) != "" && v.Text(token.Name) != "" {
+		rules = append(rules, loader.Rule{Names: []string{n, secretSetting.Name, tokenSetting.Name}, Check: func(v loader.Values) []loader.Finding {
+			if v.Loopback(n) || v.Text(secretSetting.Name) != "" && v.Text(tokenSetting.Name) != "" {
 				return nil
 			}
 			return []loader.Finding{{Place: "-" + n, Reason: "an address beyond loopback needs -secret and -token"}}
@@ -121,7 +121,7 @@
 
 // requireSecretForEntries rejects addresses of entries beyond loopback if there is no secret.
 func requireSecretForEntries(v loader.Values) []loader.Finding {
-	if v.Text(secret.Name) != "" {
+	if v.Text(secretSetting.Name) != "" {
 		return nil
 	}
 	for _, a := range v.List("entries") {
--- a/commander/settingscommand.go
+++ b/commander/settingscommand.go
@@ -43,8 +43,8 @@
 // subcommand. The flag -json must precede the name of the subcommand; after the name it belongs to the subcommand.
 func (p *Program) checkSettings(args []string) int {
 	helpRequested := len(args) == 0 || slices.Contains([]string{"-h", "-help", "--help"}, args[0])
-	asJSONOutput := !helpRequested && (args[0] == "-json" || args[0] == "--json")
-	if asJSONOutput {
+	printJSON := !helpRequested && (args[0] == "-json" || args[0] == "--json")
+	if printJSON {
 		args = args[1:]
 	}
 	cmd, rest := (&Program{Args: args}).findCommand()
@@ -61,7 +61,7 @@
 	if len(l.Findings) > 0 {
 		status = ExitUsage
 	}
-	if !asJSONOutput {
+	if !printJSON {
 		p.printf("%s", set.CheckText(l))
 		return status
 	}
--- a/commander/sidecar.go
+++ b/commander/sidecar.go
@@ -18,7 +18,7 @@
 		return c.fail(err)
 	}
 	s := &starter.Sidecar{
-		ID: idOrRandom(v.Text("id"), roleSidecar), Incarnation: uint64(time.Now().UnixMicro()), Domain: v.Text(domain.Name), Worker: v.Text("worker"),
+		ID: idOrRandom(v.Text("id"), roleSidecar), Incarnation: uint64(time.Now().UnixMicro()), Domain: v.Text(domainSetting.Name), Worker: v.Text("worker"),
 		Slots: uint32(v.Count("slots")), MemoryMB: uint64(v.Count("memoryMb")), Kinds: v.List("kinds"),
 		Backend: v.Text("backendUrl"), Entries: v.List("entries"), TLS: tlsConfig, Log: logger,
 	}
@@ -28,7 +28,7 @@
 	}
 	defer members.stop()
 	logger.WithFields(log.Fields{"id": s.ID, "backend": s.Backend}).Info("sidecar: started")
-	if err := serveSidecar(ctx, s, v.Millis(drain.Name)); err != nil {
+	if err := serveSidecar(ctx, s, v.Millis(drainSetting.Name)); err != nil {
 		logger.WithError(err).Error("sidecar: ended with an error")
 		return ExitFailure
 	}
--- a/server/server_test.go
+++ b/server/server_test.go
@@ -90,7 +90,7 @@
 	for _, tc := range tests {
 		t.Run(tc.name, func(t *testing.T) {
 			s := &Server{Submit: func(context.Context, encoder.Job) encoder.Answer {
-				t.Error("got a call of Submit, want none")
+				t.Error("Submit was called, want the job to be rejected before")
 				return encoder.Answer{}
 			}}
 			w := sendRequest(t, s, "POST", "/v1/jobs", tc.body, "Idempotency-Key", tc.key)
@@ -325,14 +325,14 @@
 
 func TestListenerLimits(t *testing.T) {
 	for _, tc := range []struct {
-		address string
-		guarded bool
-		ok      bool
+		address          string
+		allowNonLoopback bool
+		allowed          bool
 	}{{"127.0.0.1:0", false, true}, {"0.0.0.0:0", false, false}, {"[::]:0", false, false}, {"localhost:0", true, false}} {
-		l := &Listener{Guarded: tc.guarded}
+		l := &Listener{Guarded: tc.allowNonLoopback}
 		_, err := l.Listen(context.Background(), tc.address)
-		if (err == nil) != tc.ok {
-			t.Errorf("%s guarded %t: got %v, want success %t", tc.address, tc.guarded, err, tc.ok)
+		if (err == nil) != tc.allowed {
+			t.Errorf("%s guarded %t: got %v, want success %t", tc.address, tc.allowNonLoopback, err, tc.allowed)
 		}
 		if err == nil {
 			_ = l.listener.Close()
