--- a/commander/demo.go
+++ b/commander/demo.go
@@ -112,7 +112,7 @@
 		return err
 	}
 	p, err := server.DecodePublication(r.Body)
-	// The entry responds only when the withdrawal has been applied, so its response contains the time of acceptance.
+	// The entry responds once the withdrawal has been applied, so the time of acceptance is taken from the response.
 	d.withdrawAccepted, d.propagationTime = d.withdrawRequested+p.Took, p.InForce
 	if err != nil || !p.Accepted {
 		return trace.Errorf("the withdrawal was not accepted: status %d, %s", r.Status, r.Body)
@@ -189,8 +189,8 @@
 	for _, row := range r.rows() {
 		_, _ = fmt.Fprintf(w, "%s\t%s\n", row[0], row[1])
 	}
-	for _, b := range r.Violations {
-		_, _ = fmt.Fprintf(w, "VIOLATION\t%s\n", b)
+	for _, violation := range r.Violations {
+		_, _ = fmt.Fprintf(w, "VIOLATION\t%s\n", violation)
 	}
 	return trace.Wrap(w.Flush())
 }
--- a/commander/democluster.go
+++ b/commander/democluster.go
@@ -46,11 +46,11 @@
 
 	// demoProcess is a running entry or sidecar of the cluster.
 	demoProcess struct {
-		process *entryProcess // of entries
-		url     string        // of entries
-		domain  string
-		cancel  context.CancelFunc
-		done    chan error
+		entry  *entryProcess // nil for a sidecar
+		url    string        // base URL of an entry; empty for a sidecar
+		domain string
+		cancel context.CancelFunc
+		done   chan error
 	}
 )
 
@@ -61,17 +61,17 @@
 // startDemoCluster starts all entries and sidecars, with a secret and a token generated for this run.
 func startDemoCluster(ctx context.Context, logger *log.Logger) (*demoCluster, error) {
 	ctx, cancel := context.WithCancel(ctx)
-	l := &demoCluster{
+	dc := &demoCluster{
 		token: rand.Text(), cancel: cancel,
 		httpClient: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 256}},
 	}
-	if err := l.start(ctx, logger); err != nil {
-		return nil, trace.NewAggregate(err, l.stop())
+	if err := dc.start(ctx, logger); err != nil {
+		return nil, trace.NewAggregate(err, dc.stop())
 	}
-	return l, nil
+	return dc, nil
 }
 
-func (l *demoCluster) start(ctx context.Context, logger *log.Logger) error {
+func (dc *demoCluster) start(ctx context.Context, logger *log.Logger) error {
 	tlsConfig, err := messenger.Keys(rand.Text() + rand.Text())
 	if err != nil {
 		return err
@@ -94,16 +94,16 @@
 				ID: fmt.Sprintf("entry-%d", i+1), Listen: quicAddress, Domain: demoDomainAt(i), TLS: tlsConfig, Logger: logger,
 				Log: &appender.Client{URL: logURL, Timeout: timer.Second},
 			},
-			HTTPAddress: "127.0.0.1:0", Token: l.token, AllowNonLoopback: true, DrainTimeout: demoDrainTimeout,
+			HTTPAddress: "127.0.0.1:0", Token: dc.token, AllowNonLoopback: true, DrainTimeout: demoDrainTimeout,
 		}
 		httpAddress, err := p.start(ctx)
 		if err != nil {
 			return err
 		}
-		l.entries = append(l.entries, startProcess(ctx, &demoProcess{process: p, url: "http://" + httpAddress, domain: p.Entry.Domain}, p.serve))
+		dc.entries = append(dc.entries, startProcess(ctx, &demoProcess{entry: p, url: "http://" + httpAddress, domain: p.Entry.Domain}, p.serve))
 	}
 	for i := range demoSidecars {
-		if err := l.startSidecar(ctx, i, quicAddresses, tlsConfig, logger); err != nil {
+		if err := dc.startSidecar(ctx, i, quicAddresses, tlsConfig, logger); err != nil {
 			return err
 		}
 	}
@@ -111,9 +111,9 @@
 }
 
 // startSidecar starts a sidecar and its emulated backend server.
-func (l *demoCluster) startSidecar(ctx context.Context, i int, entries []string, tlsConfig *tls.Config, logger *log.Logger) error {
+func (dc *demoCluster) startSidecar(ctx context.Context, i int, entries []string, tlsConfig *tls.Config, logger *log.Logger) error {
 	domain := demoDomainAt(i)
-	backend := &emulator.Backend{Slots: demoSlots, OnStart: l.starts.recordDomain(domain)}
+	backend := &emulator.Backend{Slots: demoSlots, OnStart: dc.starts.recordDomain(domain)}
 	url, err := backend.Serve(ctx, "127.0.0.1:0")
 	if err != nil {
 		return err
@@ -122,7 +122,7 @@
 		ID: fmt.Sprintf("sidecar-%d", i+1), Domain: domain, Worker: fmt.Sprintf("worker-%d", i+1), Slots: demoSlots,
 		Backend: url, Entries: entries, TLS: tlsConfig, Log: logger,
 	}
-	l.sidecars = append(l.sidecars, startProcess(ctx, &demoProcess{domain: domain}, func(ctx context.Context) error {
+	dc.sidecars = append(dc.sidecars, startProcess(ctx, &demoProcess{domain: domain}, func(ctx context.Context) error {
 		return serveSidecar(ctx, sidecar, demoDrainTimeout)
 	}))
 	return nil
@@ -146,10 +146,10 @@
 
 // stop shuts all processes down gracefully, entries last, so that sidecars can deliver results. It may be called more
 // than once.
-func (l *demoCluster) stop() error {
-	defer l.cancel()
+func (dc *demoCluster) stop() error {
+	defer dc.cancel()
 	var errs []error
-	for _, processes := range [][]*demoProcess{l.sidecars, l.entries} {
+	for _, processes := range [][]*demoProcess{dc.sidecars, dc.entries} {
 		done := make(chan error, len(processes))
 		for _, p := range processes {
 			go func() { done <- p.stop() }()
@@ -164,16 +164,16 @@
 // awaitReady waits until every entry has joined the roster, is connected to every sidecar and has taken over its keys.
 // The takeover after the first start of a cluster may stay "partial", because the previous roster is empty, and so none
 // of its members can confirm which sidecars exist.
-func (l *demoCluster) awaitReady(ctx context.Context, timeout timer.Millis) error {
+func (dc *demoCluster) awaitReady(ctx context.Context, timeout timer.Millis) error {
 	ctx, cancel := context.WithTimeout(ctx, timeout.Duration())
 	defer cancel()
 	for ctx.Err() == nil {
 		notReady := 0
-		for _, e := range l.entries {
-			s := e.process.Entry.Status(ctx)
+		for _, e := range dc.entries {
+			s := e.entry.Entry.Status(ctx)
 			connected := 0
-			for _, c := range s.Sidecars {
-				if c.Connected {
+			for _, sidecar := range s.Sidecars {
+				if sidecar.Connected {
 					connected++
 				}
 			}
@@ -190,29 +190,29 @@
 }
 
 // awaitStarts waits until n recorded starts match, or until ctx is done.
-func (l *demoCluster) awaitStarts(ctx context.Context, match func(startRecord) bool, n int) {
+func (dc *demoCluster) awaitStarts(ctx context.Context, match func(startRecord) bool, n int) {
 	for ctx.Err() == nil {
-		found := 0
-		for _, s := range l.starts.snapshot() {
+		matching := 0
+		for _, s := range dc.starts.snapshot() {
 			if match(s) {
-				found++
+				matching++
 			}
 		}
-		if found >= n {
+		if matching >= n {
 			return
 		}
 		time.Sleep(demoPollInterval)
 	}
 }
 
-func (l *demoCluster) client(entry int) server.Client {
-	return server.Client{URL: l.entries[entry].url, Token: l.token, HTTP: l.httpClient}
+func (dc *demoCluster) client(entry int) server.Client {
+	return server.Client{URL: dc.entries[entry].url, Token: dc.token, HTTP: dc.httpClient}
 }
 
 // slotCount returns the number of slots of a failure domain.
-func (l *demoCluster) slotCount(domain string) int {
+func (dc *demoCluster) slotCount(domain string) int {
 	n := 0
-	for _, s := range l.sidecars {
+	for _, s := range dc.sidecars {
 		if s.domain == domain {
 			n += demoSlots
 		}
@@ -234,8 +234,8 @@
 // encoderJob returns the job in the form in which it is submitted.
 func (j *demoJob) encoderJob() encoder.Job {
 	out := encoder.Job{Key: j.key, Team: "demo", Once: j.once}
-	for i, run := range j.runTimes {
-		out.Tasks = append(out.Tasks, encoder.JobTask{Kind: demoTaskKind, Payload: j.payload(i), RunTime: run})
+	for i, runTime := range j.runTimes {
+		out.Tasks = append(out.Tasks, encoder.JobTask{Kind: demoTaskKind, Payload: j.payload(i), RunTime: runTime})
 	}
 	return out
 }
--- a/commander/demojobs.go
+++ b/commander/demojobs.go
@@ -70,7 +70,7 @@
 	freeAt := make([]timer.Millis, slots)
 	responses := make([]timer.Millis, len(jobs))
 	for i, j := range jobs {
-		for _, run := range j.runTimes {
+		for _, runTime := range j.runTimes {
 			bestSlot, bestStart := 0, timer.Millis(math.MaxInt64)
 			for s := range freeAt {
 				at := max(freeAt[s], j.arrival)
@@ -83,7 +83,7 @@
 					bestSlot, bestStart = s, at
 				}
 			}
-			freeAt[bestSlot] = bestStart + run
+			freeAt[bestSlot] = bestStart + runTime
 			responses[i] = max(responses[i], freeAt[bestSlot]-j.arrival)
 		}
 	}
--- a/commander/demoreport.go
+++ b/commander/demoreport.go
@@ -185,7 +185,7 @@
 func (d *demo) countMessages(ctx context.Context) {
 	var started, refused, all uint64
 	for _, e := range d.cluster.entries {
-		s := e.process.Entry.Status(ctx)
+		s := e.entry.Entry.Status(ctx)
 		started += s.Counters.Started
 		refused += s.Counters.Refused
 		all += s.Sent.Sum() + s.Received.Sum()
--- a/commander/entry.go
+++ b/commander/entry.go
@@ -49,7 +49,7 @@
 	listener       server.Listener
 	draining       atomic.Bool
 	observerSlots  chan struct{}
-	requestsCtx    context.Context // canceled shortly before the drain timeout, so that waiting submissions are answered
+	requestsCtx    context.Context // canceled after the drain, so that waiting submissions are answered
 	cancelRequests context.CancelFunc
 }
 
--- a/commander/program.go
+++ b/commander/program.go
@@ -65,21 +65,21 @@
 	if cmd.name == "settings check" {
 		return p.checkSettings(rest)
 	}
-	l := set.Load(rest, p.Environ)
-	if l.Help {
+	loaded := set.Load(rest, p.Environ)
+	if loaded.Help {
 		p.printHelp(cmd)
 		return ExitSuccess
 	}
-	if n := len(l.Args); n != cmd.argCount && (!cmd.optionalArgs || n > cmd.argCount) {
-		l.Findings = append(l.Findings, loader.Finding{
+	if n := len(loaded.Args); n != cmd.argCount && (!cmd.optionalArgs || n > cmd.argCount) {
+		loaded.Findings = append(loaded.Findings, loader.Finding{
 			Place: "arguments", Reason: fmt.Sprintf("got %d, want %d (usage: crocuslb %s)", n, cmd.argCount, cmd.usage()),
 		})
 	}
-	if len(l.Findings) > 0 {
-		p.errorf("%s", set.CheckText(l))
+	if len(loaded.Findings) > 0 {
+		p.errorf("%s", set.CheckText(loaded))
 		return ExitUsage
 	}
-	return cmd.run(ctx, invocation{p, l.Values, l.Args})
+	return cmd.run(ctx, invocation{p, loaded.Values, loaded.Args})
 }
 
 // findCommand returns the subcommand with the longest matching name and the remaining arguments, or nil if none matches.
--- a/commander/settings.go
+++ b/commander/settings.go
@@ -108,12 +108,12 @@
 // requireSecretAndToken returns rules that reject listener addresses beyond loopback if there is no secret or no token.
 func requireSecretAndToken(names ...string) []loader.Rule {
 	var rules []loader.Rule
-	for _, n := range names {
-		rules = append(rules, loader.Rule{Names: []string{n, secretSetting.Name, tokenSetting.Name}, Check: func(v loader.Values) []loader.Finding {
-			if v.Loopback(n) || v.Text(secretSetting.Name) != "" && v.Text(tokenSetting.Name) != "" {
+	for _, name := range names {
+		rules = append(rules, loader.Rule{Names: []string{name, secretSetting.Name, tokenSetting.Name}, Check: func(v loader.Values) []loader.Finding {
+			if v.Loopback(name) || v.Text(secretSetting.Name) != "" && v.Text(tokenSetting.Name) != "" {
 				return nil
 			}
-			return []loader.Finding{{Place: "-" + n, Reason: "an address beyond loopback needs -secret and -token"}}
+			return []loader.Finding{{Place: "-" + name, Reason: "an address beyond loopback needs -secret and -token"}}
 		}})
 	}
 	return rules
--- a/commander/settingscommand.go
+++ b/commander/settingscommand.go
@@ -56,16 +56,16 @@
 		return ExitUsage
 	}
 	set := cmd.settingSet()
-	l := set.Load(rest, p.Environ)
+	loaded := set.Load(rest, p.Environ)
 	status := ExitSuccess
-	if len(l.Findings) > 0 {
+	if len(loaded.Findings) > 0 {
 		status = ExitUsage
 	}
 	if !printJSON {
-		p.printf("%s", set.CheckText(l))
+		p.printf("%s", set.CheckText(loaded))
 		return status
 	}
-	body, err := set.CheckJSON(l)
+	body, err := set.CheckJSON(loaded)
 	if err != nil {
 		return p.fail(err)
 	}
