--- a/server/job.go
+++ b/server/job.go
@@ -180,8 +180,9 @@
 	return size
 }
 
-// Status returns the HTTP status of an answer. A status that implies that no task ran (4xx, 503) is used only for
-// answers with the outcome "not run".
+// Status returns the HTTP status of an answer. Of the statuses that imply that no task ran (4xx, 503), those but 404 and
+// 409 are used only for answers with the outcome "not run". An entry gives 409 only with that outcome; 404 means that the
+// key is not known, and the outcome may be unknown.
 func Status(a encoder.Answer) int {
 	switch a.State {
 	case encoder.JobComplete:
--- a/server/server.go
+++ b/server/server.go
@@ -225,8 +225,8 @@
 	writeBody(c, status, contentJSON, body)
 }
 
-// checkAnswer replaces an answer that lacks results or has an invalid state, so that callers never receive a partial
-// answer.
+// checkAnswer replaces an answer to a submission that lacks results or has an invalid state, so that the caller never
+// receives a partial answer.
 func checkAnswer(a encoder.Answer, j encoder.Job) encoder.Answer {
 	if a.State == encoder.JobComplete && len(a.Results) != len(j.Tasks) || a.State < encoder.JobRunning || a.State > encoder.JobFailed {
 		return encoder.Answer{
