--- a/commander/demo_test.go
+++ b/commander/demo_test.go
@@ -49,7 +49,7 @@
 			Key: "a", State: encoder.JobComplete,
 			Results: []encoder.TaskResult{{Body: []byte(d.jobs[0].result(0))}, {Body: []byte(d.jobs[0].result(1))}},
 		}}}
-		d.cluster.starts.starts = []startRecord{
+		d.cluster.starts.records = []startRecord{
 			{"a", "a/0", "north", 20}, {"a", "a/1", demoWithdrawnDomain, 21}, {"b", "b/0", demoWithdrawnDomain, 3110}, {"b", "b/1", demoWithdrawnDomain, 9020},
 		}
 		return d
@@ -62,16 +62,16 @@
 	}{
 		{"sound", func(*demo) {}, ""},
 		{"started twice", func(d *demo) {
-			d.cluster.starts.starts = append(d.cluster.starts.starts, startRecord{"a", "a/0", "west", 30})
+			d.cluster.starts.records = append(d.cluster.starts.records, startRecord{"a", "a/0", "west", 30})
 		}, "started twice"},
-		{"late start", func(d *demo) { d.cluster.starts.starts[2].time = 3111 }, "after the withdrawal"},
+		{"late start", func(d *demo) { d.cluster.starts.records[2].time = 3111 }, "after the withdrawal"},
 		{"not in force", func(d *demo) { d.propagationTime = 0 }, "not in force everywhere"},
-		{"no return", func(d *demo) { d.cluster.starts.starts[3].domain = "west" }, "after its return"},
+		{"no return", func(d *demo) { d.cluster.starts.records[3].domain = "west" }, "after its return"},
 		{"no answer", func(d *demo) { d.submissions[0].err = errors.New("cut off") }, "no complete answer"},
 		{"answer to another", func(d *demo) { d.submissions[0].answer.Key = "b" }, `the answer to "b"`},
 		{"partial answer", func(d *demo) { d.submissions[0].answer.Results = d.submissions[0].answer.Results[:1] }, "complete with 1 results"},
 		{"results swapped", func(d *demo) { r := d.submissions[0].answer.Results; r[0], r[1] = r[1], r[0] }, "result 0 is"},
-		{"complete without a start", func(d *demo) { d.cluster.starts.starts[0].job = "c" }, "1 starts for 2 tasks"},
+		{"complete without a start", func(d *demo) { d.cluster.starts.records[0].job = "c" }, "1 starts for 2 tasks"},
 		{"still running", withAnswer(encoder.Answer{Key: "a", State: encoder.JobRunning}), "no answer within"},
 		{"untrue refusal", withAnswer(encoder.Answer{Key: "a", State: encoder.JobFailed, Outcome: encoder.OutcomeNotRun}), "says not run"},
 		{"nothing complete", withAnswer(encoder.Answer{Key: "a", State: encoder.JobFailed, Outcome: encoder.OutcomeUnknown}), "no job is complete"},
--- a/commander/demojobs.go
+++ b/commander/demojobs.go
@@ -46,8 +46,8 @@
 	for i := range jobs {
 		j := &jobs[i]
 		j.arrival, j.entry, j.resubmitEntry = timer.Millis(rng.Int64N(int64(duration))), rng.IntN(entries), -1
-		u := rng.Float64()
-		for range 1 + int(u*u*demoMaxTasks) {
+		skew := rng.Float64()
+		for range 1 + int(skew*skew*demoMaxTasks) {
 			ratio := float64(demoMaxRunTime) / float64(demoMinRunTime)
 			j.runTimes = append(j.runTimes, timer.Millis(float64(demoMinRunTime)*math.Pow(ratio, rng.Float64())))
 		}
--- a/commander/demostarts.go
+++ b/commander/demostarts.go
@@ -10,9 +10,9 @@
 type (
 	// startRecorder records every start on a backend server, independently of what the entries and sidecars report.
 	startRecorder struct {
-		clock  timer.Clock
-		mu     sync.Mutex
-		starts []startRecord
+		clock   timer.Clock
+		mu      sync.Mutex
+		records []startRecord
 	}
 
 	startRecord struct {
@@ -28,7 +28,7 @@
 		job, _, _ := strings.Cut(task, "/")
 		r.mu.Lock()
 		defer r.mu.Unlock()
-		r.starts = append(r.starts, startRecord{job: job, task: task, domain: domain, time: r.clock.Now()})
+		r.records = append(r.records, startRecord{job: job, task: task, domain: domain, time: r.clock.Now()})
 	}
 }
 
@@ -36,5 +36,5 @@
 func (r *startRecorder) snapshot() []startRecord {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.starts[:len(r.starts):len(r.starts)]
+	return r.records[:len(r.records):len(r.records)]
 }
--- a/commander/membership_test.go
+++ b/commander/membership_test.go
@@ -21,16 +21,16 @@
 	text bytes.Buffer
 }
 
-func (o *logBuffer) Write(line []byte) (int, error) {
-	o.mu.Lock()
-	defer o.mu.Unlock()
-	return o.text.Write(line)
+func (b *logBuffer) Write(line []byte) (int, error) {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	return b.text.Write(line)
 }
 
-func (o *logBuffer) contents() string {
-	o.mu.Lock()
-	defer o.mu.Unlock()
-	return o.text.String()
+func (b *logBuffer) contents() string {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	return b.text.String()
 }
 
 // waitForMatch calls read until its text matches the pattern, and returns the last group of the match.
