--- a/commander/program.go
+++ b/commander/program.go
@@ -1,4 +1,4 @@
-// Package commander holds the subcommands of the crocuslb binary.
+// Package commander implements the subcommands of the crocuslb binary.
 package commander
 
 import (
@@ -18,16 +18,16 @@
 )
 
 const (
-	// ExitSuccess is the exit status of a subcommand that did its work.
+	// ExitSuccess is the exit status of a subcommand that succeeded.
 	ExitSuccess = 0
 	// ExitFailure is the exit status of a subcommand that failed.
 	ExitFailure = 1
-	// ExitUsage is the exit status for wrong usage or settings; nothing was started.
+	// ExitUsage is the exit status for wrong usage or invalid settings. Nothing was started.
 	ExitUsage = 2
 )
 
 type (
-	// Program is one call of the binary. Args excludes the program's name; Environ holds NAME=value pairs.
+	// Program is one invocation of the binary. Args excludes the program name; Environ holds NAME=value pairs.
 	Program struct {
 		Args    []string
 		Environ []string
@@ -37,18 +37,18 @@
 	}
 
 	command struct {
-		name     string // words separated by a space
-		args     string // names of the arguments in help texts
-		count    int    // number of arguments
-		optional bool   // the arguments may be left out
-		summary  string
-		settings []loader.Setting
-		rules    []loader.Rule
-		run      func(ctx context.Context, c call) int
-	}
-
-	// call is a subcommand with its checked settings and arguments.
-	call struct {
+		name         string // words separated by a space
+		args         string // argument names in help texts
+		argCount     int    // number of positional arguments
+		optionalArgs bool   // the arguments may be omitted
+		summary      string
+		settings     []loader.Setting
+		rules        []loader.Rule
+		run          func(ctx context.Context, c invocation) int
+	}
+
+	// invocation is the invocation of a subcommand, with its validated settings and positional arguments.
+	invocation struct {
 		*Program
 		values loader.Values
 		args   []string
@@ -57,33 +57,33 @@
 
 // Run executes the subcommand and returns the exit status.
 func (p *Program) Run(ctx context.Context) int {
-	cmd, rest := p.find()
+	cmd, rest := p.findCommand()
 	if cmd == nil {
-		return p.unknown()
+		return p.reportUnknownSubcommand()
 	}
-	set := cmd.set()
+	set := cmd.settingSet()
 	if cmd.name == "settings check" {
-		return p.check(rest)
+		return p.checkSettings(rest)
 	}
-	l := set.Load(rest, p.Environ)
-	if l.Help {
-		p.help(cmd)
+	loaded := set.Load(rest, p.Environ)
+	if loaded.Help {
+		p.printHelp(cmd)
 		return ExitSuccess
 	}
-	if n := len(l.Args); n != cmd.count && (!cmd.optional || n > cmd.count) {
-		l.Findings = append(l.Findings, loader.Finding{
-			Place: "arguments", Reason: fmt.Sprintf("got %d, want %d (usage: crocuslb %s)", n, cmd.count, cmd.usage()),
+	if n := len(loaded.Args); n != cmd.argCount && (!cmd.optionalArgs || n > cmd.argCount) {
+		loaded.Findings = append(loaded.Findings, loader.Finding{
+			Place: "arguments", Reason: fmt.Sprintf("got %d, want %d (usage: crocuslb %s)", n, cmd.argCount, cmd.usage()),
 		})
 	}
-	if len(l.Findings) > 0 {
-		p.errorf("%s", set.CheckText(l))
+	if len(loaded.Findings) > 0 {
+		p.errorf("%s", set.CheckText(loaded))
 		return ExitUsage
 	}
-	return cmd.run(ctx, call{p, l.Values, l.Args})
+	return cmd.run(ctx, invocation{p, loaded.Values, loaded.Args})
 }
 
-// find returns the subcommand with the longest matching name and the arguments after it.
-func (p *Program) find() (*command, []string) {
+// findCommand returns the subcommand with the longest matching name and the remaining arguments, or nil if none matches.
+func (p *Program) findCommand() (*command, []string) {
 	for words := min(2, len(p.Args)); words > 0; words-- {
 		name := strings.Join(p.Args[:words], " ")
 		for _, c := range commands() {
@@ -95,28 +95,28 @@
 	return nil, nil
 }
 
-// unknown prints the overview. Asking for help is a success, anything else is wrong usage.
-func (p *Program) unknown() int {
+// reportUnknownSubcommand prints the overview and returns the exit status, which is a success only if help was requested.
+func (p *Program) reportUnknownSubcommand() int {
 	group := ""
 	if len(p.Args) > 0 {
 		group = p.Args[0]
 	}
-	asked := false
+	helpRequested := false
 	for _, a := range p.Args {
-		asked = asked || a == "-h" || a == "-help" || a == "--help" || a == "help"
+		helpRequested = helpRequested || a == "-h" || a == "-help" || a == "--help" || a == "help"
 	}
 	w, status := p.Stderr, ExitUsage
-	if asked {
+	if helpRequested {
 		w, status = p.Stdout, ExitSuccess
 	} else if group != "" {
 		p.errorf("there is no subcommand %q\n", strings.Join(p.Args[:min(2, len(p.Args))], " "))
 	}
-	p.overview(w, group)
+	p.printOverview(w, group)
 	return status
 }
 
-// overview lists the subcommands that begin with group, or all.
-func (p *Program) overview(w io.Writer, group string) {
+// printOverview lists the subcommands of a group, such as "job", or all subcommands if there is no such group.
+func (p *Program) printOverview(w io.Writer, group string) {
 	var matching []command
 	for _, c := range commands() {
 		if strings.HasPrefix(c.name, group+" ") {
@@ -135,20 +135,20 @@
 		"Exit status: 0 success, 1 failure, 2 wrong usage or settings.\n")
 }
 
-func (p *Program) help(c *command) {
+func (p *Program) printHelp(c *command) {
 	_, _ = fmt.Fprintf(p.Stdout, "usage: crocuslb %s [flags]\n\n%s.\n\nsettings (flag, unit, default, variable, meaning):\n%s\n"+
 		"Flags win over variables. Durations are plain numbers in ms, or numbers with ms, s, m or h.\n"+
 		"Exit status: 0 success, 1 failure, 2 wrong usage or settings.\n",
-		c.usage(), c.summary, c.set().Text())
+		c.usage(), c.summary, c.settingSet().Text())
 }
 
 func (c command) usage() string { return strings.TrimSpace(c.name + " " + c.args) }
 
-func (c command) set() loader.Set {
+func (c command) settingSet() loader.Set {
 	return loader.Set{Settings: c.settings, Known: allSettings(), Rules: c.rules}
 }
 
-// allSettings returns every setting of every subcommand once, in the order of the subcommands.
+// allSettings returns the distinct settings of all subcommands, in the order of the subcommands.
 func allSettings() []loader.Setting {
 	var all []loader.Setting
 	seen := map[string]bool{}
@@ -171,26 +171,26 @@
 	_, _ = fmt.Fprintf(p.Stdout, format, args...)
 }
 
-// fail prints the error and returns the exit status of a failure.
+// fail prints the error and returns ExitFailure.
 func (p *Program) fail(err error) int {
 	p.errorf("%s\n", trace.UserMessage(err))
 	return ExitFailure
 }
 
-// logger returns the logger that the settings describe; it writes to standard error.
-func (c call) logger() *log.Logger {
+// logger returns a logger configured by the settings. It writes to standard error.
+func (c invocation) logger() *log.Logger {
 	l := &log.Logger{Handler: textHandler(c.Stderr), Level: log.InfoLevel}
-	if c.values.Text(logFormat.Name) == logJSON {
+	if c.values.Text(logFormatSetting.Name) == logFormatJSON {
 		l.Handler = jsonhandler.New(c.Stderr)
 	}
-	if level, err := log.ParseLevel(c.values.Text(logLevel.Name)); err == nil {
+	if level, err := log.ParseLevel(c.values.Text(logLevelSetting.Name)); err == nil {
 		l.Level = level
 	}
 	return l
 }
 
-// textHandler writes one line per message, without the colors of the library's text handler, which are not wanted in
-// files.
+// textHandler returns a log handler that writes one line per message. Unlike the text handler of the library it uses no
+// colors, which would be unreadable in log files.
 func textHandler(w io.Writer) log.Handler {
 	var mu sync.Mutex
 	return log.HandlerFunc(func(e *log.Entry) error {
@@ -205,10 +205,10 @@
 	})
 }
 
-// client returns a client of the entry and a context bounded by the timeout.
-func (c call) client(ctx context.Context) (server.Client, context.Context, context.CancelFunc) {
-	ctx, cancel := context.WithTimeout(ctx, c.values.Millis(timeout.Name).Duration())
-	return server.Client{URL: c.values.Text(entryURL.Name), Token: c.values.Text(token.Name), HTTP: &http.Client{}}, ctx, cancel
+// client returns a client of the entry and a context with the timeout of the settings.
+func (c invocation) client(ctx context.Context) (server.Client, context.Context, context.CancelFunc) {
+	ctx, cancel := context.WithTimeout(ctx, c.values.Millis(timeoutSetting.Name).Duration())
+	return server.Client{URL: c.values.Text(entryURLSetting.Name), Token: c.values.Text(tokenSetting.Name), HTTP: &http.Client{}}, ctx, cancel
 }
 
-func (c call) json() bool { return c.values.Switch(asJSON.Name) }
+func (c invocation) jsonRequested() bool { return c.values.Switch(jsonSetting.Name) }
--- a/commander/settingscommand.go
+++ b/commander/settingscommand.go
@@ -17,17 +17,17 @@
 	Go       string `json:"go"`
 }
 
-func listSettings(_ context.Context, c call) int {
+func listSettings(_ context.Context, c invocation) int {
 	set := loader.Set{Settings: allSettings()}
 	if len(c.args) > 0 {
-		cmd, rest := (&Program{Args: c.args}).find()
+		cmd, rest := (&Program{Args: c.args}).findCommand()
 		if cmd == nil || len(rest) > 0 {
 			c.errorf("there is no subcommand %q\n", strings.Join(c.args, " "))
 			return ExitUsage
 		}
-		set = cmd.set()
+		set = cmd.settingSet()
 	}
-	if !c.json() {
+	if !c.jsonRequested() {
 		c.printf("%s", set.Text())
 		return ExitSuccess
 	}
@@ -39,33 +39,33 @@
 	return ExitSuccess
 }
 
-// check loads the settings of another subcommand from the same flags and variables as that one does. The switch -json
-// stands before the subcommand's name; after it, the flag belongs to the subcommand.
-func (p *Program) check(args []string) int {
-	asked := len(args) == 0 || slices.Contains([]string{"-h", "-help", "--help"}, args[0])
-	inJSON := !asked && (args[0] == "-json" || args[0] == "--json")
-	if inJSON {
+// checkSettings checks the settings of another subcommand, loaded from the same flags and variables as by that
+// subcommand. The flag -json must precede the name of the subcommand; after the name it belongs to the subcommand.
+func (p *Program) checkSettings(args []string) int {
+	helpRequested := len(args) == 0 || slices.Contains([]string{"-h", "-help", "--help"}, args[0])
+	printJSON := !helpRequested && (args[0] == "-json" || args[0] == "--json")
+	if printJSON {
 		args = args[1:]
 	}
-	cmd, rest := (&Program{Args: args}).find()
-	if cmd == nil || asked {
+	cmd, rest := (&Program{Args: args}).findCommand()
+	if cmd == nil || helpRequested {
 		p.errorf("usage: crocuslb settings check [-json] SUBCOMMAND [flags]\n")
-		if len(args) > 0 && asked {
+		if len(args) > 0 && helpRequested {
 			return ExitSuccess
 		}
 		return ExitUsage
 	}
-	set := cmd.set()
-	l := set.Load(rest, p.Environ)
+	set := cmd.settingSet()
+	loaded := set.Load(rest, p.Environ)
 	status := ExitSuccess
-	if len(l.Findings) > 0 {
+	if len(loaded.Findings) > 0 {
 		status = ExitUsage
 	}
-	if !inJSON {
-		p.printf("%s", set.CheckText(l))
+	if !printJSON {
+		p.printf("%s", set.CheckText(loaded))
 		return status
 	}
-	body, err := set.CheckJSON(l)
+	body, err := set.CheckJSON(loaded)
 	if err != nil {
 		return p.fail(err)
 	}
@@ -73,7 +73,7 @@
 	return status
 }
 
-// version reads the version from the build information.
+// version returns the version in the build information of the binary.
 func version() versionWire {
 	v := versionWire{Version: "unknown"}
 	info, ok := debug.ReadBuildInfo()
@@ -92,9 +92,9 @@
 	return v
 }
 
-func showVersion(_ context.Context, c call) int {
+func showVersion(_ context.Context, c invocation) int {
 	v := version()
-	if !c.json() {
+	if !c.jsonRequested() {
 		c.printf("crocuslb %s %s %s\n", v.Version, v.Revision, v.Go)
 		return ExitSuccess
 	}
--- a/commander/taskreport.go
+++ b/commander/taskreport.go
@@ -8,33 +8,34 @@
 	"github.com/crocuslb/crocuslb/reporter"
 )
 
-// reportTask queues a task report. The control goroutine of the entry calls it, so a report that finds the queue full is
-// dropped and counted.
-func (p *entryProcess) reportTask(r dispatcher.TaskReport) {
+// enqueueTaskReport queues a task report. It is called by the control goroutine of the entry and must not block, so a
+// report is dropped and counted if the queue is full.
+func (p *entryProcess) enqueueTaskReport(r dispatcher.TaskReport) {
 	select {
-	case p.tasks <- r:
+	case p.reports <- r:
 	default:
-		p.unseen.Add(1)
+		p.droppedReports.Add(1)
 	}
 }
 
-// observeTasks counts task reports for their workers and failure domains until ctx ends.
-func (p *entryProcess) observeTasks(ctx context.Context) {
+// observeTaskReports passes queued task reports to the reporter, which counts them by worker and failure domain, until
+// ctx is canceled.
+func (p *entryProcess) observeTaskReports(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case r := <-p.tasks:
-			if v, ok := observation(r); ok {
+		case r := <-p.reports:
+			if v, ok := taskObservation(r); ok {
 				p.Reporter.Observe(p.Entry.Clock.Now(), v)
 			}
 		}
 	}
 }
 
-// observation judges a task. It returns false for a task that was asked to stop, whose end says nothing about its worker,
-// and for one that ran at an unknown place.
-func observation(r dispatcher.TaskReport) (reporter.Observation, bool) {
+// taskObservation converts a task report into an observation. It returns false for a canceled task, whose end says
+// nothing about its worker, and for a task whose worker and failure domain are both unknown.
+func taskObservation(r dispatcher.TaskReport) (reporter.Observation, bool) {
 	v := reporter.Observation{
 		Domain: r.Domain, Worker: r.Worker, Response: r.Ran, Ideal: r.Expected, Failed: r.Status != encoder.StatusDone, Task: true,
 	}
--- a/server/job.go
+++ b/server/job.go
@@ -13,20 +13,20 @@
 )
 
 const (
-	maxBody        = 4 << 20
-	maxReserve     = 64 << 10 // memory that a body takes before it arrives, when its declared length says so
-	maxHeader      = 16 << 10
-	maxTasks       = 1000
-	maxKeyLength   = 200
-	maxNameLength  = 100
-	maxPayload     = 1 << 20
-	maxDeadline    = 24 * 60 * timer.Minute
-	maxRunTime     = 60 * timer.Minute
-	maxMemoryMB    = 16 << 20
-	maxWait        = timer.Minute
-	defaultWait    = 30 * timer.Second
-	maxFindings    = 50
-	maxAnswerFrame = encoder.MaxFrame - 64<<10 // the largest job that fits into one message with its envelope
+	maxBodySize         = 4 << 20
+	maxPreallocatedSize = 64 << 10 // limit of the buffer allocated for a declared Content-Length
+	maxHeaderSize       = 16 << 10
+	maxTasks            = 1000
+	maxKeyLength        = 200
+	maxNameLength       = 100
+	maxPayloadSize      = 1 << 20
+	maxDeadline         = 24 * 60 * timer.Minute
+	maxRunTime          = 60 * timer.Minute
+	maxMemoryMB         = 16 << 20
+	maxWait             = timer.Minute
+	defaultWait         = 30 * timer.Second
+	maxFindings         = 50
+	maxJobSize          = encoder.MaxFrame - 64<<10 // largest job that fits into one message with its envelope
 )
 
 const (
@@ -36,7 +36,7 @@
 )
 
 type (
-	// Request is a decoded submission. Wait is how long the caller waits for the answer.
+	// Request is a decoded submission. Wait is the time for which the caller waits for the answer.
 	Request struct {
 		Job  encoder.Job
 		Wait timer.Millis
@@ -73,104 +73,105 @@
 	stateNames   = [...]string{"", "running", "complete", "failed"}
 )
 
-// DecodeJob reads the body of a submission. It returns all findings; the request is usable only when there are none.
-// A payload is the exact bytes of a JSON string, or of the base64 in payloadBase64.
+// DecodeJob decodes the body of a submission. It returns at most maxFindings findings; the request is valid only if
+// there are none. A payload is either the UTF-8 text of the JSON string payload or the decoded base64 of payloadBase64.
 func DecodeJob(key string, body []byte) (Request, []Finding) {
-	r := newReader(body)
-	q := Request{Job: encoder.Job{Key: key}, Wait: defaultWait}
-	checkKey(r, &path{name: "Idempotency-Key"}, key)
-	tasks := false
-	r.object(nil, func(name string, at *path) bool {
+	r := newJSONReader(body)
+	req := Request{Job: encoder.Job{Key: key}, Wait: defaultWait}
+	checkKey(r, &fieldPath{name: "Idempotency-Key"}, key)
+	hasTasks := false
+	r.readObject(nil, func(name string, at *fieldPath) bool {
 		switch name {
 		case "team":
-			q.Job.Team = r.text(at, maxNameLength)
-			checkName(r, at, q.Job.Team)
+			req.Job.Team = r.readString(at, maxNameLength)
+			checkName(r, at, req.Job.Team)
 		case "tasks":
-			tasks = true
-			ok := r.array(at, maxTasks, func(at *path) {
-				q.Job.Tasks = append(q.Job.Tasks, decodeTask(r, at))
+			hasTasks = true
+			ok := r.readArray(at, maxTasks, func(at *fieldPath) {
+				req.Job.Tasks = append(req.Job.Tasks, decodeTask(r, at))
 			})
-			if ok && len(q.Job.Tasks) == 0 {
-				r.add(at, "is empty")
+			if ok && len(req.Job.Tasks) == 0 {
+				r.addFinding(at, "is empty")
 			}
 		case "deadlineMs":
-			q.Job.Deadline = timer.Millis(r.number(at, 1, int64(maxDeadline)))
+			req.Job.Deadline = timer.Millis(r.readInt(at, 1, int64(maxDeadline)))
 		case "once":
-			q.Job.Once = r.boolean(at)
+			req.Job.Once = r.readBool(at)
 		case "waitMs":
-			q.Wait = timer.Millis(r.number(at, 0, int64(maxWait)))
+			req.Wait = timer.Millis(r.readInt(at, 0, int64(maxWait)))
 		default:
 			return false
 		}
 		return true
 	})
-	if !tasks && !r.broken {
-		r.add(&path{name: "tasks"}, "is missing")
+	if !hasTasks && !r.stopped {
+		r.addFinding(&fieldPath{name: "tasks"}, "is missing")
 	}
-	if size := jobSize(q.Job); size > maxAnswerFrame {
-		r.add(nil, "the decoded job has %d bytes, at most %d are allowed", size, maxAnswerFrame)
+	if size := encodedJobSizeBound(req.Job); size > maxJobSize {
+		r.addFinding(nil, "the decoded job has %d bytes, at most %d are allowed", size, maxJobSize)
 	}
-	return q, r.findings
+	return req, r.findings
 }
 
-func decodeTask(r *reader, place *path) encoder.JobTask {
+func decodeTask(r *jsonReader, place *fieldPath) encoder.JobTask {
 	var t encoder.JobTask
-	payloads := 0
-	ok := r.object(place, func(name string, at *path) bool {
+	payloadCount := 0
+	ok := r.readObject(place, func(name string, at *fieldPath) bool {
 		switch name {
 		case "kind":
-			t.Kind = r.text(at, maxNameLength)
+			t.Kind = r.readString(at, maxNameLength)
 			checkName(r, at, t.Kind)
 		case "payload":
-			payloads++
-			t.Payload = []byte(r.text(at, maxPayload))
+			payloadCount++
+			t.Payload = []byte(r.readString(at, maxPayloadSize))
 		case "payloadBase64":
-			payloads++
-			t.Payload = r.data(at, maxPayload)
+			payloadCount++
+			t.Payload = r.readBase64(at, maxPayloadSize)
 		case "runMs":
-			t.RunTime = timer.Millis(r.number(at, 0, int64(maxRunTime)))
+			t.RunTime = timer.Millis(r.readInt(at, 0, int64(maxRunTime)))
 		case "memoryMb":
-			t.MemoryMB = uint64(r.number(at, 0, maxMemoryMB))
+			t.MemoryMB = uint64(r.readInt(at, 0, maxMemoryMB))
 		default:
 			return false
 		}
 		return true
 	})
 	if ok && t.Kind == "" {
-		r.add(&path{up: place, name: "kind"}, "is missing")
+		r.addFinding(&fieldPath{parent: place, name: "kind"}, "is missing")
 	}
-	if payloads > 1 {
-		r.add(place, "has more than one payload")
+	if payloadCount > 1 {
+		r.addFinding(place, "has more than one payload")
 	}
 	return t
 }
 
-// checkKey allows characters that need no escaping in a URL path.
-func checkKey(r *reader, at *path, key string) {
+// checkKey accepts only characters that need no escaping in a URL path.
+func checkKey(r *jsonReader, place *fieldPath, key string) {
 	switch {
 	case key == "":
-		r.add(at, "is missing")
+		r.addFinding(place, "is missing")
 	case len(key) > maxKeyLength:
-		r.add(at, "is longer than %d bytes", maxKeyLength)
-	case strings.ContainsFunc(key, func(c rune) bool { return !word(c) && c != ':' && c != '~' }):
-		r.add(at, "holds a character other than letters, digits and -._~:")
+		r.addFinding(place, "is longer than %d bytes", maxKeyLength)
+	case strings.ContainsFunc(key, func(c rune) bool { return !isWordChar(c) && c != ':' && c != '~' }):
+		r.addFinding(place, "holds a character other than letters, digits and -._~:")
 	case strings.Trim(key, ".") == "":
-		r.add(at, "consists of dots only")
+		r.addFinding(place, "consists of dots only")
 	}
 }
 
-// checkName allows words that are safe in URL paths, header fields and metric labels.
-func checkName(r *reader, at *path, name string) {
-	if name != "" && (strings.ContainsFunc(name, func(c rune) bool { return !word(c) }) || strings.Trim(name, ".") == "") {
-		r.add(at, "holds a character other than letters, digits and -._")
+// checkName accepts only names that are safe in URL paths, header fields and metric labels. It accepts an empty name.
+func checkName(r *jsonReader, place *fieldPath, name string) {
+	if name != "" && (strings.ContainsFunc(name, func(c rune) bool { return !isWordChar(c) }) || strings.Trim(name, ".") == "") {
+		r.addFinding(place, "holds a character other than letters, digits and -._")
 	}
 }
 
-func word(c rune) bool {
+func isWordChar(c rune) bool {
 	return c >= 'a' && c <= 'z' || c >= 'A' && c <= 'Z' || c >= '0' && c <= '9' || c == '-' || c == '_' || c == '.'
 }
 
-func jobSize(j encoder.Job) int {
+// encodedJobSizeBound returns an upper bound of the encoded size of a job.
+func encodedJobSizeBound(j encoder.Job) int {
 	const perTask = 32 // upper bound of the tags, lengths and numbers of one encoded task
 	size := len(j.Key) + len(j.Team)
 	for _, t := range j.Tasks {
@@ -179,8 +180,9 @@
 	return size
 }
 
-// Status returns the HTTP status of an answer. A status that promises "not run" (4xx, 503) is used only for answers
-// whose outcome says so.
+// Status returns the HTTP status of an answer. Of the statuses that imply that no task ran (4xx, 503), those but 404 and
+// 409 are used only for answers with the outcome "not run". An entry gives 409 only with that outcome; 404 means that the
+// key is not known, and the outcome may be unknown.
 func Status(a encoder.Answer) int {
 	switch a.State {
 	case encoder.JobComplete:
@@ -212,34 +214,35 @@
 	return http.StatusInternalServerError
 }
 
-// EncodeAnswer maps an answer to JSON. Results are included only in complete answers. A result that is text is given as
-// a string, any other as base64.
+// EncodeAnswer encodes an answer as JSON. Results are included only in complete answers. Results that are text are
+// encoded as strings, all others as base64.
 func EncodeAnswer(a encoder.Answer) ([]byte, error) {
 	w := answerWire{
-		Key: a.Key, State: name(stateNames[:], int(a.State)), Code: name(codeNames[:], int(a.Code)), Reason: a.Reason,
+		Key: a.Key, State: nameAt(stateNames[:], int(a.State)), Code: nameAt(codeNames[:], int(a.Code)), Reason: a.Reason,
 		RetryAfterMs: int64(a.RetryAfter),
 	}
 	if a.State == encoder.JobFailed {
-		w.Outcome = name(outcomeNames[:], int(a.Outcome))
+		w.Outcome = nameAt(outcomeNames[:], int(a.Outcome))
 		if w.Outcome == "" {
-			w.Outcome = unknown // the only claim that needs no evidence
+			w.Outcome = unknown // nothing is known about the tasks, so neither "ran" nor "not run" may be claimed
 		}
 	}
 	if a.State == encoder.JobComplete {
 		w.Results = make([]resultWire, 0, len(a.Results))
-		texts := make([]string, len(a.Results)) // the results point into it, which saves one allocation for each
+		texts := make([]string, len(a.Results)) // backing array for the Body pointers, which saves one allocation per result
 		for i, t := range a.Results {
 			w.Results = append(w.Results, encodeResult(t.Body, &texts[i]))
 		}
 	}
 	var b bytes.Buffer
 	e := json.NewEncoder(&b)
-	e.SetEscapeHTML(false) // the answer is never part of a page
+	e.SetEscapeHTML(false) // answers are never embedded in HTML
 	err := e.Encode(w)
 	return bytes.TrimSuffix(b.Bytes(), []byte("\n")), err
 }
 
-// encodeResult gives bodies with control characters as base64 as well, because JSON needs six bytes for each.
+// encodeResult encodes a body as a string if it is text, and as base64 otherwise. Text with control characters is
+// encoded as base64 too, because JSON needs six bytes for each of them.
 func encodeResult(body []byte, text *string) resultWire {
 	control := func(c rune) bool { return c < ' ' && c != '\t' && c != '\n' && c != '\r' }
 	if utf8.Valid(body) && bytes.IndexFunc(body, control) < 0 {
@@ -250,7 +253,8 @@
 	return resultWire{BodyBase64: text}
 }
 
-func name(names []string, i int) string {
+// nameAt returns the name at an index, or an empty string if the index is out of range.
+func nameAt(names []string, i int) string {
 	if i < len(names) {
 		return names[i]
 	}
