--- a/elector/fold_test.go
+++ b/elector/apply_test.go
@@ -13,7 +13,7 @@
 	"github.com/crocuslb/crocuslb/encoder"
 )
 
-// A fixed seed makes runs repeatable; -rapid.seed tries others.
+// A fixed seed makes runs reproducible; -rapid.seed overrides it.
 var _ = flag.Set("rapid.seed", "1")
 
 func drawEntry(t *rapid.T) encoder.RosterEntry {
@@ -26,7 +26,7 @@
 	}
 }
 
-// rosterOf returns a roster that n entries have joined.
+// rosterOf returns a roster of n entries.
 func rosterOf(n int) (r encoder.Roster) {
 	for i := range n {
 		e := encoder.RosterEntry{Member: encoder.Member{ID: fmt.Sprintf("entry-%04d", i), Incarnation: 1}, Address: "10.0.0.1:7000"}
@@ -50,8 +50,8 @@
 	return a.Epoch == b.Epoch && slices.Equal(a.Entries, b.Entries)
 }
 
-// Guards against joins of old incarnations, removals of other incarnations, and wrong epochs.
-func TestFoldMatchesModel(t *testing.T) {
+// Guards against joins of outdated incarnations, removals of a different incarnation, and wrong epochs.
+func TestApplyMatchesModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var (
 			r       encoder.Roster
@@ -83,7 +83,7 @@
 				t.Fatalf("offset %d: got error %v, argument %+v, want effective %v, argument %+v", offset, err, r, effective, before)
 			}
 			if again, err := Apply(next, offset, c); effective && (err != nil || !equal(again, next)) {
-				t.Fatalf("offset %d: a record applied twice gave %+v, error %v, want %+v", offset, again, err, next)
+				t.Fatalf("offset %d: second application: got %+v, error %v, want %+v", offset, again, err, next)
 			}
 			if r = next; r.Epoch != epoch || len(r.Entries) != len(members) {
 				t.Fatalf("offset %d: got %+v, want epoch %d and %v", offset, r, epoch, members)
@@ -97,15 +97,16 @@
 	})
 }
 
-// Guards against readers of one prefix with different rosters, and against an epoch that moves back.
-func TestReplayFromAnywhere(t *testing.T) {
+// Guards against readers of the same prefix that derive different rosters, and against an epoch that decreases, when a
+// reader starts at any retained record and with any known roster.
+func TestReplayFromAnyRecord(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var records []appender.Record
 		states := []encoder.Roster{{}}
 		for offset := range rapid.Uint64Range(1, 40).Draw(t, "records") {
 			c := drawChange(t, offset)
 			if c.Kind == ChangeCheckpoint {
-				// An appender of a checkpoint may have been slow, so that its state is older than its record.
+				// The writer of a checkpoint may be slow, so that its roster is older than the record.
 				n := rapid.Uint64Range(0, offset).Draw(t, "state")
 				c = NewCheckpoint(states[n], rapid.SampledFrom([]uint64{n, n, 0}).Draw(t, "base"))
 			}
@@ -123,19 +124,19 @@
 		known := rapid.IntRange(0, len(records)).Draw(t, "known offset")
 		p := &Replay{}
 		p.Adopt(states[known], uint64(known))
-		closes := known >= first
+		complete := known >= first
 		for i, r := range records[first:] {
 			before, _ := p.Roster()
 			beforeOffset := p.Offset()
-			_ = p.Add(r) // ineffective records are part of the draw
+			_ = p.Add(r) // the draw includes records without effect
 			after, ok := p.Roster()
 			c, err := DecodeChange(r.Body)
-			closes = closes || err == nil && c.Kind == ChangeCheckpoint && max(c.Base, c.Roster.Epoch) >= uint64(first)
+			complete = complete || err == nil && c.Kind == ChangeCheckpoint && max(c.Base, c.Roster.Epoch) >= uint64(first)
 			switch next := max(first+i+1, known); {
 			case after.Epoch < before.Epoch || p.Offset() < beforeOffset:
 				t.Fatalf("epoch went from %d back to %d", before.Epoch, after.Epoch)
-			case ok != closes:
-				t.Fatalf("record %d: got roster known %v, want %v", r.Offset, ok, closes)
+			case ok != complete:
+				t.Fatalf("record %d: got roster known %v, want %v", r.Offset, ok, complete)
 			case ok && !equal(after, states[next]):
 				t.Fatalf("record %d: got %+v, want %+v", r.Offset, after, states[next])
 			}
@@ -143,25 +144,26 @@
 	})
 }
 
-// Guards against rosters that no message can carry, and against checkpoints and adopted rosters from the future.
-func TestFoldBounds(t *testing.T) {
+// Guards against rosters that exceed the message size, and against checkpoints and adopted rosters whose epoch is later
+// than their offset.
+func TestRosterBounds(t *testing.T) {
 	r := rosterOf(encoder.MaxRoster)
 	more := Change{Kind: ChangeJoin, Entry: encoder.RosterEntry{Member: encoder.Member{ID: "more"}}}
 	if got, err := Apply(r, r.Epoch, more); err == nil || !reflect.DeepEqual(got, r) {
 		t.Errorf("got %d entries, error %v", len(got.Entries), err)
 	}
 	if got, err := Apply(r, 300, NewCheckpoint(encoder.Roster{Epoch: 301}, 300)); err == nil || !reflect.DeepEqual(got, r) {
-		t.Errorf("a checkpoint from the future gave epoch %d, error %v", got.Epoch, err)
+		t.Errorf("checkpoint with an epoch after its offset: got epoch %d, error %v", got.Epoch, err)
 	}
 	if _, err := Apply(r, 300, Change{Kind: ChangeJoin}); err == nil {
-		t.Error("an entry without an identifier joined")
+		t.Error("join of an entry without an identifier was accepted")
 	}
 	p := &Replay{}
 	for i, c := range []Change{{Kind: ChangeLeave, Entry: r.Entries[0]}, NewCheckpoint(encoder.Roster{}, 8)} {
 		_ = p.Add(appender.Record{Offset: uint64(5 + i), Body: AppendChange(nil, c)})
 	}
 	if _, ok := p.Roster(); ok || p.Offset() != 0 {
-		t.Errorf("a checkpoint from the future was adopted at offset %d", p.Offset())
+		t.Errorf("checkpoint with a base after its offset was adopted at offset %d", p.Offset())
 	}
 	p = &Replay{}
 	_ = p.Add(appender.Record{Body: AppendChange(nil, NewCheckpoint(encoder.Roster{}, 0))})
--- a/elector/cell.go
+++ b/elector/cell.go
@@ -6,55 +6,56 @@
 	"github.com/crocuslb/crocuslb/encoder"
 )
 
-// spareEntries is the number of entries beyond the first that a roster has before it gets a second cell. With 3 spares,
-// rosters of up to 4 entries have a single owner.
+// spareEntries is the number of entries of a roster, beyond the first, that do not add a cell. With 3, rosters of up to 4
+// entries have a single owner.
 const spareEntries = 3
 
 // Cells returns the number of cells of r. A cell is a share of the submission keys together with a share of the sidecars,
-// and has one owner. Sidecars grant credits to the owner of their cell only, so owners never compete for slots.
-// One cell serves small rosters, because splitting 88 slots between three owners multiplied the 99th percentile of
-// response time by seven (BenchmarkPolicy); larger rosters need more owners for throughput.
+// and has one owner. Sidecars grant credits only to the owner of their cell, so owners never compete for slots.
+// Small rosters have a single cell, because splitting 88 slots between three owners multiplied the 99th percentile of
+// response time by seven (BenchmarkPolicy). Larger rosters need more owners for throughput.
 func Cells(r encoder.Roster) int {
 	return max(1, len(r.Entries)-spareEntries)
 }
 
-// Home returns the owner of the cell that the sidecar belongs to. ok is false when r is empty.
+// Home returns the owner of the sidecar's cell. ok is false if r is empty.
 func Home(r encoder.Roster, sidecar string) (owner encoder.RosterEntry, ok bool) {
-	return cellOwner(r, cellOf(r, "sidecar/"+sidecar))
+	return cellOwner(r, cellForName(r, "sidecar/"+sidecar))
 }
 
-// cellOf returns the cell of a name, by rendezvous hashing over the cells, so that a new cell takes an equal part of each
-// old one and nothing else moves.
-func cellOf(r encoder.Roster, name string) int {
+// cellForName returns the cell of a name by rendezvous hashing over the cells. A new cell takes an equal part of each
+// existing one, and no other names move.
+func cellForName(r encoder.Roster, name string) int {
 	best, cell := uint64(0), 0
 	for i := range Cells(r) {
-		if w := weight(cellName(i), name); w > best {
+		if w := rendezvousWeight(cellName(i), name); w > best {
 			best, cell = w, i
 		}
 	}
 	return cell
 }
 
-// cellOwner assigns the cells in order, each to the entry of the highest weight that has no cell yet.
+// cellOwner returns the owner of a cell. Cells are assigned in order, each to the entry with the highest weight among
+// those without a cell.
 func cellOwner(r encoder.Roster, cell int) (owner encoder.RosterEntry, ok bool) {
-	var few [16]bool
-	taken := few[:]
-	if len(r.Entries) > len(few) {
+	var buf [16]bool
+	taken := buf[:]
+	if len(r.Entries) > len(buf) {
 		taken = make([]bool, len(r.Entries))
 	}
 	for i := 0; i <= cell; i++ {
-		best, at := uint64(0), -1
+		bestWeight, candidate := uint64(0), -1
 		for j := range r.Entries {
-			w := weight(r.Entries[j].Member.ID, cellName(i))
-			if !taken[j] && (at < 0 || w > best) {
-				best, at = w, j
+			w := rendezvousWeight(r.Entries[j].Member.ID, cellName(i))
+			if !taken[j] && (candidate < 0 || w > bestWeight) {
+				bestWeight, candidate = w, j
 			}
 		}
-		if at < 0 {
+		if candidate < 0 {
 			return owner, false
 		}
-		taken[at] = true
-		owner = r.Entries[at]
+		taken[candidate] = true
+		owner = r.Entries[candidate]
 	}
 	return owner, true
 }
--- a/elector/codec.go
+++ b/elector/codec.go
@@ -30,7 +30,7 @@
 	tagKeys     = 2
 )
 
-// Claims is a record of the claims stream: submission keys that the member took on.
+// Claims is a record of the claims stream. It lists submission keys that the member claimed.
 type Claims struct {
 	Member encoder.Member
 	Keys   []string
@@ -53,12 +53,12 @@
 	return dst
 }
 
-// DecodeChange decodes the body of a roster record. A checkpoint needs a roster, any other change an entry: a record that
-// was cut off between two fields must not pass for an empty one.
+// DecodeChange decodes the body of a roster record. A checkpoint must have a roster and any other change an entry, so that
+// a record truncated between two fields is not taken for an empty one.
 func DecodeChange(body []byte) (Change, error) {
 	var (
-		c      Change
-		roster bool
+		c         Change
+		hasRoster bool
 	)
 	if len(body) > appender.MaxBody {
 		return c, trace.BadParameter("roster record of %d bytes is larger than %d", len(body), appender.MaxBody)
@@ -78,13 +78,13 @@
 		case tagEntry:
 			return decodeEntry(f, &c.Entry)
 		case tagRoster:
-			roster = true
+			hasRoster = true
 			return decodeRoster(f, &c.Roster)
 		}
 		return f.Unknown()
 	})
 	if err == nil {
-		err = c.valid(roster)
+		err = c.validate(hasRoster)
 	}
 	if err != nil {
 		return Change{}, err
@@ -92,29 +92,29 @@
 	return c, nil
 }
 
-// valid reports a change whose parts do not fit its kind.
-func (c Change) valid(roster bool) error {
+// validate returns an error if the parts of the change do not match its kind.
+func (c Change) validate(hasRoster bool) error {
 	switch {
 	case c.Kind == 0:
 		return trace.BadParameter("roster record has no kind")
-	case roster != (c.Kind == ChangeCheckpoint):
-		return trace.BadParameter("roster record of kind %d has the wrong parts", c.Kind)
+	case hasRoster != (c.Kind == ChangeCheckpoint):
+		return trace.BadParameter("roster record of kind %d has a missing or an unexpected roster", c.Kind)
 	case c.Kind != ChangeCheckpoint && c.Entry.Member.ID == "":
-		return trace.BadParameter("roster record of kind %d names no entry", c.Kind)
+		return trace.BadParameter("roster record of kind %d has no entry identifier", c.Kind)
 	}
 	return nil
 }
 
-// AppendClaims appends a claims record to dst. It panics when there are more than MaxClaims keys, or when a key is empty
-// or longer than encoder.MaxKey: readers would refuse the record with all of its claims.
+// AppendClaims appends a claims record to dst. It panics if there are more than MaxClaims keys, or if a key is empty or
+// longer than encoder.MaxKey, because readers would reject the whole record.
 func AppendClaims(dst []byte, c Claims) []byte {
 	if len(c.Keys) > MaxClaims {
-		panic("too many keys in a claims record")
+		panic("claims record has too many keys")
 	}
 	dst = appendMessage(dst, tagClaimant, appendMember(nil, c.Member))
 	for _, k := range c.Keys {
 		if k == "" || len(k) > encoder.MaxKey {
-			panic("key of a claims record is empty or too long")
+			panic("claims record has an empty or too long key")
 		}
 		dst = protowire.AppendTag(dst, tagKeys, protowire.BytesType)
 		dst = protowire.AppendString(dst, k)
@@ -149,7 +149,7 @@
 		return f.Unknown()
 	})
 	if err == nil && c.Member.ID == "" {
-		err = trace.BadParameter("claims record names no member")
+		err = trace.BadParameter("claims record has no member identifier")
 	}
 	if err != nil {
 		return Claims{}, err
@@ -185,7 +185,7 @@
 				return err
 			}
 			if n := len(r.Entries); e.Member.ID == "" || n > 0 && r.Entries[n-1].Member.ID >= e.Member.ID {
-				return trace.BadParameter("roster entry %q is not in order", e.Member.ID)
+				return trace.BadParameter("roster entry identifier %q is empty, duplicate or out of order", e.Member.ID)
 			}
 			r.Entries = append(r.Entries, e)
 			return nil
--- a/elector/codec_test.go
+++ b/elector/codec_test.go
@@ -14,8 +14,8 @@
 	"github.com/crocuslb/crocuslb/encoder"
 )
 
-// claims of one 25 ms batch at an entry that takes 3,000 submissions a second.
-func batch() Claims {
+// claimsBatch returns the claims that an entry collects in 25 ms at 3,000 submissions per second.
+func claimsBatch() Claims {
 	c := Claims{Member: encoder.Member{ID: "entry-1", Incarnation: 1}}
 	for i := range 75 {
 		c.Keys = append(c.Keys, fmt.Sprintf("0123456789abcdef0123456789ab%04d", i))
@@ -23,7 +23,7 @@
 	return c
 }
 
-// Guards against fields that a codec forgets.
+// Guards against fields that are lost in an encoding and decoding round trip.
 func TestCodecs(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		c := drawChange(t, 1<<30)
@@ -41,7 +41,7 @@
 	})
 }
 
-// Guards against records of outside bytes that exceed the bounds or are accepted although they are damaged.
+// Guards against accepting records that are malformed or exceed the limits.
 func TestDecodeRefusals(t *testing.T) {
 	entry := func(id string) encoder.RosterEntry {
 		return encoder.RosterEntry{Member: encoder.Member{ID: id, Incarnation: 1}, Address: "10.0.0.1:1"}
@@ -72,7 +72,7 @@
 		name   string
 		decode func(b []byte) error
 		body   []byte
-		good   bool
+		valid  bool
 	}{
 		{"join", decodeChange, join, true},
 		{"checkpoint", decodeChange, roster("a", "b"), true},
@@ -103,13 +103,13 @@
 		{"no claims", decodeClaims, nil, false},
 		{"fixed width", decodeClaims, protowire.AppendFixed32(protowire.AppendTag(nil, tagKeys, protowire.Fixed32Type), 1), false},
 	} {
-		if err := c.decode(c.body); (err == nil) != c.good {
-			t.Errorf("%s: got error %v, want success %v", c.name, err, c.good)
+		if err := c.decode(c.body); (err == nil) != c.valid {
+			t.Errorf("%s: got error %v, want success %v", c.name, err, c.valid)
 		}
 	}
 }
 
-// Guards against a claims record that readers would refuse with all of its claims.
+// Guards against appending a claims record that readers would reject as a whole.
 func TestAppendClaimsPanics(t *testing.T) {
 	for _, keys := range [][]string{{""}, {strings.Repeat("k", encoder.MaxKey+1)}, make([]string, MaxClaims+1)} {
 		func() {
@@ -123,7 +123,7 @@
 	}
 }
 
-// Guards against damaged records that panic, and against records that do not survive a second encoding.
+// Guards against panics on malformed records, and against records that change when they are encoded again.
 func FuzzDecodeChange(f *testing.F) {
 	e := encoder.RosterEntry{Member: encoder.Member{ID: "a", Incarnation: 7}, Address: "10.0.0.1:1"}
 	f.Add(AppendChange(nil, Change{Kind: ChangeJoin, Entry: e}))
@@ -141,9 +141,9 @@
 	})
 }
 
-// Guards against damaged records that panic, and against records that do not survive a second encoding.
+// Guards against panics on malformed records, and against records that change when they are encoded again.
 func FuzzDecodeClaims(f *testing.F) {
-	f.Add(AppendClaims(nil, batch()))
+	f.Add(AppendClaims(nil, claimsBatch()))
 	f.Add(AppendClaims(nil, Claims{Member: encoder.Member{ID: "a"}}))
 	f.Fuzz(func(t *testing.T, body []byte) {
 		c, err := DecodeClaims(body)
@@ -157,19 +157,19 @@
 }
 
 func Benchmark(b *testing.B) {
-	c, r := batch(), rosterOf(16)
+	c, r := claimsBatch(), rosterOf(16)
 	claims := AppendClaims(nil, c)
 	e := r.Entries[7]
 	e.Member.Incarnation++
 	join := AppendChange(nil, Change{Kind: ChangeJoin, Entry: e})
-	run := func(name string, each, size int, f func()) {
+	run := func(name string, items, size int, f func()) {
 		b.Run(name, func(b *testing.B) {
 			b.ReportAllocs()
 			for b.Loop() {
 				f()
 			}
-			b.ReportMetric(float64(b.Elapsed().Nanoseconds())/float64(b.N*each), "ns/each")
-			b.ReportMetric(float64(size)/float64(each), "B/each")
+			b.ReportMetric(float64(b.Elapsed().Nanoseconds())/float64(b.N*items), "ns/each")
+			b.ReportMetric(float64(size)/float64(items), "B/each")
 		})
 	}
 	run("AppendClaims", len(c.Keys), len(claims), func() { claims = AppendClaims(claims[:0], c) })
--- a/elector/roster.go
+++ b/elector/owner.go
@@ -1,5 +1,5 @@
-// Package elector decides which entry owns a submission. The roster of entries is folded from records of the
-// platform's log, so all processes that read the same prefix agree on it.
+// Package elector determines which entry owns a submission. The roster of entries is derived from records of the
+// platform's log, so all processes that have read the same prefix agree on it.
 package elector
 
 import (
@@ -13,13 +13,13 @@
 	fnvPrime  = 1099511628211
 )
 
-// Owner returns the entry that owns the submission key in r: the owner of the key's cell. ok is false when r is empty.
-// Incarnations take no part in the choice, so a restarted entry gets the keys that it had before.
+// Owner returns the entry that owns the submission key in r, that is, the owner of the key's cell. ok is false if r is
+// empty. Incarnations are not part of the hash, so a restarted entry owns the same keys as before.
 func Owner(r encoder.Roster, key string) (owner encoder.RosterEntry, ok bool) {
-	return cellOwner(r, cellOf(r, key))
+	return cellOwner(r, cellForName(r, key))
 }
 
-// Successor returns the entry that owns key when its present owner leaves r.
+// Successor returns the entry that will own key if its current owner leaves r. ok is false if there is none.
 func Successor(r encoder.Roster, key string) (next encoder.RosterEntry, ok bool) {
 	owner, ok := Owner(r, key)
 	if !ok {
@@ -43,8 +43,9 @@
 	return r.Entries[i], true
 }
 
-// weight is FNV-1a over both strings with a final mix; plain FNV-1a spreads similar identifiers badly.
-func weight(id, key string) uint64 {
+// rendezvousWeight is FNV-1a over both strings with a final mix, because plain FNV-1a distributes similar identifiers
+// unevenly.
+func rendezvousWeight(id, key string) uint64 {
 	h := uint64(fnvOffset)
 	for i := 0; i < len(id); i++ {
 		h = (h ^ uint64(id[i])) * fnvPrime
--- a/scheduler/admission.go
+++ b/scheduler/admission.go
@@ -9,12 +9,12 @@
 
 const (
 	defaultMaxWait = 30 * timer.Second
-	// waitMargin is the part of the expected wait that is added to it, because estimates are rough.
+	// waitMargin is the fraction by which the expected wait is increased, because run-time estimates are rough.
 	waitMargin = 0.1
 )
 
 type (
-	// Admission is the answer to a job that asks to be queued. Code is 0 when the job is admitted.
+	// Admission is the result of admission control for a job. Code is 0 if the job is admitted.
 	Admission struct {
 		Code       encoder.FailureCode
 		Reason     string
@@ -22,14 +22,14 @@
 	}
 )
 
-// Admit decides whether a job of the given tasks may be queued at now. A job is refused when no sidecar can ever hold one
-// of its tasks, or when the queue is so long that its deadline would be missed.
+// Admit decides whether a job of the given tasks may be queued at now. A job is refused if no sidecar can run one of its
+// tasks, or if the queue is so long that the job would miss its deadline or wait longer than MaxWait.
 func (s *Scheduler) Admit(now timer.Millis, tasks []Task) Admission {
 	s.now = now
 	if len(tasks) == 0 {
 		return Admission{}
 	}
-	if a := s.placeable(tasks); a.Code != 0 {
+	if a := s.checkPlaceable(tasks); a.Code != 0 {
 		return a
 	}
 	wait := s.Wait()
@@ -42,7 +42,7 @@
 		limit = defaultMaxWait
 	}
 	if deadline != 0 {
-		limit = min(limit, deadline-now-s.duration(tasks))
+		limit = min(limit, deadline-now-s.estimateDuration(tasks))
 	}
 	if wait <= limit {
 		return Admission{}
@@ -54,34 +54,35 @@
 	}
 }
 
-// Wait returns the time until the queued work has been placed, from estimated run times and the slots in force.
+// Wait returns the expected time until all queued tasks are placed, from the estimated run times and the slots of failure
+// domains that are not withdrawn.
 func (s *Scheduler) Wait() timer.Millis {
-	if s.fleet.slots == 0 {
+	if s.fleet.activeSlots == 0 {
 		return 0
 	}
-	return s.queue.work / timer.Millis(s.fleet.slots)
+	return s.queue.queuedWork / timer.Millis(s.fleet.activeSlots)
 }
 
-// duration estimates how long a job runs when it starts at once. It allows for the longest of its tasks, because one
-// long task among many is likely even when it is rare.
-func (s *Scheduler) duration(tasks []Task) timer.Millis {
+// estimateDuration estimates how long a job runs if it starts immediately. It includes the longest of its tasks, because
+// a job of many tasks is likely to have one even if long tasks are rare.
+func (s *Scheduler) estimateDuration(tasks []Task) timer.Millis {
 	var sum timer.Millis
 	for i := range tasks {
 		sum += s.estimates.runTime(tasks[i].Kind, tasks[i].RunTime)
 	}
 	longest := s.estimates.longest(tasks[0].Kind, tasks[0].RunTime, len(tasks))
-	return longest + sum/timer.Millis(max(s.fleet.slots, 1))
+	return longest + sum/timer.Millis(max(s.fleet.activeSlots, 1))
 }
 
-// placeable refuses a job with a task that no sidecar in view can hold.
-func (s *Scheduler) placeable(tasks []Task) Admission {
+// checkPlaceable refuses a job with a task that no connected sidecar can run.
+func (s *Scheduler) checkPlaceable(tasks []Task) Admission {
 	if len(s.fleet.byID) == 0 {
 		return Admission{Code: encoder.CodeUnavailable, Reason: "no sidecar is connected", RetryAfter: timer.Second}
 	}
-	var last *class
+	var last *taskClass
 	for i := range tasks {
 		c := s.fleet.classOf(tasks[i].Kind, tasks[i].MemoryMB)
-		if c == last || s.fleet.holds(c) {
+		if c == last || s.fleet.canRun(c) {
 			last = c
 			continue
 		}
@@ -94,10 +95,11 @@
 	return Admission{}
 }
 
-// holds reports whether a sidecar in view fits the class. Sidecars that leave the fleet leave their shape behind.
-func (f *fleet) holds(c *class) bool {
+// canRun reports whether a connected sidecar fits the class. Shapes stay when their last sidecar is removed, so the sidecars
+// of each shape are counted.
+func (f *fleet) canRun(c *taskClass) bool {
 	for _, s := range c.shapes {
-		if s.members > 0 {
+		if s.sidecarCount > 0 {
 			return true
 		}
 	}
--- a/scheduler/breaker.go
+++ b/scheduler/breaker.go
@@ -8,53 +8,55 @@
 )
 
 const (
-	// failuresToOpen is the number of failures in a row that open a sidecar's breaker. Two would open on the ordinary
-	// failures of a bad job more often.
-	failuresToOpen = 3
-	firstProbe     = timer.Second
-	lastProbe      = 30 * timer.Second
-	// cutOffShare bounds the sidecars with an open breaker to one in cutOffShare. When more fail, the cause is more
-	// likely in the jobs than in the workers, and cutting them off would only lose capacity.
-	cutOffShare = 3
-	// slowFactor is how much slower than usual a sidecar must be to be placed on last.
-	slowFactor = 3.0
-	// speedWeight is the weight of the newest observation in a sidecar's smoothed speed. One observation counts for no
-	// more than speedClip: with 0.2 and no clip, a few long tasks in a row made sound sidecars count as slow.
-	speedWeight = 0.1
-	speedClip   = 6.0
-	// An idle slow sidecar gets a task after firstSlowProbe, then after twice the time, up to lastSlowProbe.
-	firstSlowProbe = 5 * timer.Second
-	lastSlowProbe  = timer.Minute
-	// holdMillis is how long a sidecar is left out after it refused a task for a reason of its own.
-	holdMillis = 100 * timer.Millisecond
-
-	retryShare = 0.1 // retries that one placement earns
-	retryMax   = 100 // retries that can be saved up
-	// retryHold is how long a refusing sidecar is left out when the retry budget is used up.
-	retryHold = timer.Second
+	// failureThreshold is the number of consecutive failures that open a sidecar's breaker. With two, the failing tasks
+	// of a bad job would open it more often.
+	failureThreshold     = 3
+	initialProbeInterval = timer.Second
+	maxProbeInterval     = 30 * timer.Second
+	// openBreakerDivisor limits open breakers to one in openBreakerDivisor of the sidecars. If more of them fail, the
+	// jobs are the more likely cause than the workers, and excluding the sidecars would only reduce capacity.
+	openBreakerDivisor = 3
+	// slowThreshold is the slowdown above which a sidecar counts as slow and is used only after the others.
+	slowThreshold = 3.0
+	// slowdownSmoothing is the weight of the newest observation in a sidecar's smoothed slowdown. Observations are capped
+	// at maxSlowdownSample: with a weight of 0.2 and no cap, a few long tasks in a row marked healthy sidecars as slow.
+	slowdownSmoothing = 0.1
+	maxSlowdownSample = 6.0
+	// An idle slow sidecar gets a probe task after initialSlowProbeInterval. The interval doubles with each slow run up
+	// to maxSlowProbeInterval.
+	initialSlowProbeInterval = 5 * timer.Second
+	maxSlowProbeInterval     = timer.Minute
+	// refusalBackoff is how long a sidecar is suspended after it refused a task for a reason of its own.
+	refusalBackoff = 100 * timer.Millisecond
+
+	retryRatio = 0.1 // retries added to the budget per placement
+	retryBurst = 100 // capacity of the retry budget
+	// exhaustedBackoff is how long a refusing sidecar is suspended while the retry budget is exhausted.
+	exhaustedBackoff = timer.Second
 )
 
 type (
-	// breaker keeps work away from a sidecar that fails what it starts. The zero value is closed.
+	// breaker is the circuit breaker of a sidecar whose tasks fail. The zero value is closed.
 	breaker struct {
-		failures int
-		open     bool
-		wait     timer.Millis // time until the next probe; doubles with each failed probe
-		probing  bool
+		failures      int
+		open          bool
+		probeInterval timer.Millis // time until the next probe; doubles with each failed probe
+		probing       bool
 	}
 
-	// retryBudget bounds the share of starts that are retries of refused ones.
+	// retryBudget limits the share of starts that are retries of refused starts.
 	retryBudget struct{ spent float64 }
 )
 
-// allows reports whether a sidecar with the given number of running tasks may get another one.
+// allows reports whether a sidecar with the given number of running tasks may get another one. An open breaker allows one
+// probe task on an idle sidecar after each suspension.
 func (b *breaker) allows(running uint32) bool { return !b.open || b.probing && running == 0 }
 
-func (sc *sidecar) placed() {
+func (sc *sidecar) taskPlaced() {
 	sc.breaker.probing = false
 }
 
-// observeStatus opens or closes the sidecar's breaker after the end of a task.
+// observeStatus updates the sidecar's breaker with the status of a finished task.
 func (f *fleet) observeStatus(sc *sidecar, now timer.Millis, status encoder.Status) {
 	b := &sc.breaker
 	if status == encoder.StatusDone {
@@ -63,88 +65,90 @@
 		return
 	}
 	if status == encoder.StatusNotStarted {
-		f.hold(sc, now+holdMillis)
+		f.suspend(sc, now+refusalBackoff)
 	}
 	b.failures++
 	switch {
 	case b.open:
-		b.wait = min(2*b.wait, lastProbe)
-		f.hold(sc, now+b.wait)
-	case b.failures >= failuresToOpen && (f.cutOff+1)*cutOffShare <= len(f.byID):
-		b.open, b.wait = true, firstProbe
-		f.cutOff++
-		f.hold(sc, now+b.wait)
+		b.probeInterval = min(2*b.probeInterval, maxProbeInterval)
+		f.suspend(sc, now+b.probeInterval)
+	case b.failures >= failureThreshold && (f.openBreakers+1)*openBreakerDivisor <= len(f.byID):
+		b.open, b.probeInterval = true, initialProbeInterval
+		f.openBreakers++
+		f.suspend(sc, now+b.probeInterval)
 	}
 }
 
 func (f *fleet) closeBreaker(sc *sidecar) {
 	if sc.breaker.open {
-		f.cutOff--
+		f.openBreakers--
 	}
 	sc.breaker = breaker{}
 }
 
-// hold leaves a sidecar out until the given time.
-func (f *fleet) hold(sc *sidecar, until timer.Millis) {
-	if sc.heldUntil == 0 {
-		f.held = append(f.held, sc)
+// suspend excludes a sidecar from placement until the given time. It does not shorten a suspension. The caller moves the
+// sidecar in the free lists with update.
+func (f *fleet) suspend(sc *sidecar, until timer.Millis) {
+	if sc.suspendedUntil == 0 {
+		f.suspended = append(f.suspended, sc)
 	}
-	sc.heldUntil = max(sc.heldUntil, until)
+	sc.suspendedUntil = max(sc.suspendedUntil, until)
 }
 
-func (f *fleet) releaseHeld(now timer.Millis) {
-	if len(f.held) == 0 {
+func (f *fleet) resumeSuspended(now timer.Millis) {
+	if len(f.suspended) == 0 {
 		return
 	}
-	f.held = slices.DeleteFunc(f.held, func(sc *sidecar) bool {
-		if sc.heldUntil > now {
+	f.suspended = slices.DeleteFunc(f.suspended, func(sc *sidecar) bool {
+		if sc.suspendedUntil > now {
 			return false
 		}
-		sc.heldUntil = 0
+		sc.suspendedUntil = 0
 		sc.breaker.probing = sc.breaker.open
 		f.update(sc)
 		return true
 	})
 }
 
-// observeSpeed notes how a run time compares with the usual run time of its kind.
-func (sc *sidecar) observeSpeed(now, ran, usual timer.Millis, known bool) {
-	if !known || usual <= 0 {
+// observeRunTime updates the sidecar's slowdown and its probe time with the run time of a finished task. It ignores kinds
+// whose expected run time is not known.
+func (sc *sidecar) observeRunTime(now, runTime, expected timer.Millis, known bool) {
+	if !known || expected <= 0 {
 		return
 	}
-	if sc.speed == 0 {
-		sc.speed = 1
+	if sc.slowdown == 0 {
+		sc.slowdown = 1
 	}
-	sc.speed += speedWeight * (min(float64(ran)/float64(usual), speedClip) - sc.speed)
+	sc.slowdown += slowdownSmoothing * (min(float64(runTime)/float64(expected), maxSlowdownSample) - sc.slowdown)
 	switch {
-	case sc.speed <= slowFactor:
-		sc.slowWait = 0
-	case ran > usual:
-		sc.slowWait = max(firstSlowProbe, min(2*sc.slowWait, lastSlowProbe))
-		sc.slowProbe = now + sc.slowWait
+	case sc.slowdown <= slowThreshold:
+		sc.slowProbeInterval = 0
+	case runTime > expected:
+		sc.slowProbeInterval = max(initialSlowProbeInterval, min(2*sc.slowProbeInterval, maxSlowProbeInterval))
+		sc.nextSlowProbe = now + sc.slowProbeInterval
 	}
 }
 
-func (sc *sidecar) slow() bool { return sc.speed > slowFactor }
+func (sc *sidecar) isSlow() bool { return sc.slowdown > slowThreshold }
 
-// worthWaiting reports whether a task does better in the queue than on this slow sidecar: when the expected wait is
-// shorter than the time that the sidecar would lose. Now and then an idle slow sidecar gets a task all the same, to learn
+// shouldWait reports whether a task should stay in the queue instead of running on this slow sidecar, because the expected
+// wait is shorter than the extra run time. An idle slow sidecar still gets a probe task from time to time, to find out
 // whether it has recovered.
-func (sc *sidecar) worthWaiting(now, wait, run timer.Millis) bool {
-	if sc.running == 0 && now >= sc.slowProbe {
+func (sc *sidecar) shouldWait(now, wait, runTime timer.Millis) bool {
+	if sc.running == 0 && now >= sc.nextSlowProbe {
 		return false
 	}
-	return float64(wait) < (sc.speed-1)*float64(run)
+	return float64(wait) < (sc.slowdown-1)*float64(runTime)
 }
 
-// earn adds a part of a retry for each placement.
-func (r *retryBudget) earn() { r.spent = max(0, r.spent-retryShare) }
+// refill adds retryRatio to the budget; it is called for each placement.
+func (r *retryBudget) refill() { r.spent = max(0, r.spent-retryRatio) }
 
-// spend takes a retry and returns how long the refusing sidecar is left out.
+// spend takes one retry from the budget and returns how long to suspend the refusing sidecar.
 func (r *retryBudget) spend() timer.Millis {
-	if r.spent+1 > retryMax {
-		return retryHold
+	if r.spent+1 > retryBurst {
+		return exhaustedBackoff
 	}
 	r.spent++
-	return holdMillis
+	return refusalBackoff
 }
--- a/scheduler/fleet.go
+++ b/scheduler/fleet.go
@@ -9,90 +9,90 @@
 )
 
 const (
-	// maxLevel is the highest load level of a shelf; sidecars with more free slots share it.
+	// maxLevel is the highest level of a free list. Sidecars with more free slots are kept on it too.
 	maxLevel = 63
-	// memoryStep rounds memory needs up, so that tasks of similar size share a class.
-	memoryStep = 256
+	// memoryGranularity is the step in MB to which memory requirements are rounded up, so that tasks of similar size
+	// share a class. Memory sizes of sidecars are rounded down to it.
+	memoryGranularity = 256
 )
 
 type (
-	// fleet holds the sidecars, arranged so that a placement looks at no more than one sidecar per shape and failure
-	// domain.
+	// fleet indexes the sidecars so that a placement examines at most one sidecar per shape and failure domain.
 	fleet struct {
-		byID    map[string]*sidecar
-		domains map[string]*domain
-		shapes  []*shape
-		classes map[string]*class
-		slots   int        // slots in force
-		cutOff  int        // sidecars with an open breaker
-		held    []*sidecar // sidecars left out until a point in time
+		byID         map[string]*sidecar
+		domains      map[string]*domain
+		shapes       []*shape
+		classes      map[string]*taskClass
+		activeSlots  int        // slots of sidecars whose failure domain is not withdrawn
+		openBreakers int        // number of sidecars with an open breaker
+		suspended    []*sidecar // sidecars that get no tasks until their suspendedUntil
 	}
 
 	domain struct {
 		name      string
 		withdrawn bool
-		index     int // position in a shape's shelves
+		index     int // position in the freeLists of every shape
 	}
 
-	// shape is a set of sidecars that run the same kinds and hold the same memory.
+	// shape groups the sidecars that run the same kinds of task and have the same memory.
 	shape struct {
-		name     string
-		kinds    []string
-		memoryMB uint64
-		shelves  []*shelf // by domain index
-		members  int
+		name         string
+		kinds        []string
+		memoryMB     uint64
+		freeLists    []*freeList // by domain index
+		sidecarCount int
 	}
 
-	// shelf holds the usable sidecars of one shape and failure domain by number of free slots. Level 0 holds sidecars
-	// whose slots are all taken and that have extra credits.
-	shelf struct {
-		domain   *domain
-		distance timer.Millis
-		full     uint64 // bit n is set when level n is not empty
-		levels   [maxLevel + 1]*sidecar
-		slow     [maxLevel + 1]*sidecar // sidecars that run tasks much slower than others
-		fullSlow uint64
+	// freeList holds the usable sidecars of one shape and failure domain in doubly linked lists by number of free slots.
+	// Level 0 holds sidecars that have no free slot but credits left; a task placed there waits at the sidecar.
+	freeList struct {
+		domain       *domain
+		distance     timer.Millis
+		occupied     uint64 // bit n is set when level n is not empty
+		levels       [maxLevel + 1]*sidecar
+		slowLevels   [maxLevel + 1]*sidecar // the same for slow sidecars, see slowThreshold
+		slowOccupied uint64
 	}
 
 	sidecar struct {
 		Sidecar
-		domain    *domain
-		shape     *shape
-		credits   uint32
-		running   uint32
-		leaving   bool
-		heldUntil timer.Millis
-		breaker   breaker
-		speed     float64 // run time over the kind's usual run time, smoothed; 0 when unknown
-		slowWait  timer.Millis
-		slowProbe timer.Millis
-		probation bool
+		domain            *domain
+		shape             *shape
+		credits           uint32
+		running           uint32
+		leaving           bool
+		suspendedUntil    timer.Millis
+		breaker           breaker
+		slowdown          float64 // smoothed ratio of run time to the kind's expected run time; 0 if unknown
+		slowProbeInterval timer.Millis
+		nextSlowProbe     timer.Millis
+		probation         bool
 
-		// Position on a shelf; level is -1 when the sidecar is not on one.
-		level      int
-		onSlow     bool
-		prev, next *sidecar
+		// Position in the free list; level is -1 if the sidecar is not in it.
+		level       int
+		onSlowLevel bool
+		prev, next  *sidecar
 	}
 )
 
 func (f *fleet) set(d Sidecar) {
 	if f.byID == nil {
-		f.byID, f.domains, f.classes = map[string]*sidecar{}, map[string]*domain{}, map[string]*class{}
+		f.byID, f.domains, f.classes = map[string]*sidecar{}, map[string]*domain{}, map[string]*taskClass{}
 	}
 	sc := f.byID[d.ID]
 	if sc == nil {
 		sc = &sidecar{level: -1}
 		f.byID[d.ID] = sc
 	} else {
-		f.unshelve(sc)
+		f.unlink(sc)
 		f.countSlots(sc, -1)
-		sc.shape.members--
+		sc.shape.sidecarCount--
 	}
 	sc.Sidecar, sc.leaving = d, false
 	sc.domain = f.domain(d.Domain)
 	sc.shape = f.shape(d)
-	sc.shape.members++
-	sc.shape.shelf(sc.domain).distance = d.Distance
+	sc.shape.sidecarCount++
+	sc.shape.freeList(sc.domain).distance = d.Distance
 	f.countSlots(sc, 1)
 	f.update(sc)
 }
@@ -102,17 +102,17 @@
 	if sc == nil {
 		return
 	}
-	f.unshelve(sc)
+	f.unlink(sc)
 	f.countSlots(sc, -1)
-	sc.shape.members--
+	sc.shape.sidecarCount--
 	f.closeBreaker(sc)
-	f.held = slices.DeleteFunc(f.held, func(h *sidecar) bool { return h == sc })
+	f.suspended = slices.DeleteFunc(f.suspended, func(other *sidecar) bool { return other == sc })
 	delete(f.byID, id)
 }
 
 func (f *fleet) countSlots(sc *sidecar, sign int) {
 	if !sc.domain.withdrawn {
-		f.slots += sign * int(sc.Slots)
+		f.activeSlots += sign * int(sc.Slots)
 	}
 }
 
@@ -127,7 +127,7 @@
 
 func (f *fleet) setDomain(name string, inForce bool) {
 	if f.domains == nil {
-		f.byID, f.domains, f.classes = map[string]*sidecar{}, map[string]*domain{}, map[string]*class{}
+		f.byID, f.domains, f.classes = map[string]*sidecar{}, map[string]*domain{}, map[string]*taskClass{}
 	}
 	d := f.domain(name)
 	if d.withdrawn == !inForce {
@@ -136,9 +136,9 @@
 	for _, sc := range f.byID {
 		if sc.domain == d && inForce {
 			sc.probation = true
-			f.slots += int(sc.Slots)
+			f.activeSlots += int(sc.Slots)
 		} else if sc.domain == d {
-			f.slots -= int(sc.Slots)
+			f.activeSlots -= int(sc.Slots)
 		}
 	}
 	d.withdrawn = !inForce
@@ -152,7 +152,7 @@
 func (f *fleet) shape(d Sidecar) *shape {
 	kinds := slices.Clone(d.Kinds)
 	slices.Sort(kinds)
-	memory := d.MemoryMB / memoryStep * memoryStep
+	memory := d.MemoryMB / memoryGranularity * memoryGranularity
 	name := strings.Join(kinds, "\x00")
 	for _, s := range f.shapes {
 		if s.name == name && s.memoryMB == memory {
@@ -169,7 +169,7 @@
 	return s
 }
 
-func (s *shape) fits(c *class) bool {
+func (s *shape) fits(c *taskClass) bool {
 	if c.memoryMB > s.memoryMB && s.memoryMB != 0 {
 		return false
 	}
@@ -177,19 +177,20 @@
 	return ok || len(s.kinds) == 0
 }
 
-func (s *shape) shelf(d *domain) *shelf {
-	for len(s.shelves) <= d.index {
-		s.shelves = append(s.shelves, nil)
+func (s *shape) freeList(d *domain) *freeList {
+	for len(s.freeLists) <= d.index {
+		s.freeLists = append(s.freeLists, nil)
 	}
-	if s.shelves[d.index] == nil {
-		s.shelves[d.index] = &shelf{domain: d}
+	if s.freeLists[d.index] == nil {
+		s.freeLists[d.index] = &freeList{domain: d}
 	}
-	return s.shelves[d.index]
+	return s.freeLists[d.index]
 }
 
-// classOf returns the class of tasks of the kind and memory. Sidecars that state no memory take every task.
-func (f *fleet) classOf(kind string, memoryMB uint64) *class {
-	memory := (memoryMB + memoryStep - 1) / memoryStep * memoryStep
+// classOf returns the class of tasks of the kind and memory requirement, and creates it if needed. Sidecars that declare
+// no memory size fit every requirement.
+func (f *fleet) classOf(kind string, memoryMB uint64) *taskClass {
+	memory := (memoryMB + memoryGranularity - 1) / memoryGranularity * memoryGranularity
 	if memory == 0 {
 		if c := f.classes[kind]; c != nil {
 			return c
@@ -202,9 +203,9 @@
 	c := f.classes[name]
 	if c == nil {
 		if f.classes == nil {
-			f.byID, f.domains, f.classes = map[string]*sidecar{}, map[string]*domain{}, map[string]*class{}
+			f.byID, f.domains, f.classes = map[string]*sidecar{}, map[string]*domain{}, map[string]*taskClass{}
 		}
-		c = &class{kind: kind, memoryMB: memory}
+		c = &taskClass{kind: kind, memoryMB: memory}
 		for _, s := range f.shapes {
 			if s.fits(c) {
 				c.shapes = append(c.shapes, s)
@@ -215,44 +216,44 @@
 	return c
 }
 
-// pick returns the sidecar for the next task of the class, or nil. A free slot in the nearest failure domain comes
-// first; among those, the sidecar with the most free slots. Slow sidecars come next, when waiting for another one would take
-// longer. Extra credits, which make the task wait at the sidecar, are spent last.
-func (f *fleet) pick(c *class, now, wait, run timer.Millis) *sidecar {
+// pick returns the sidecar for the next task of the class, or nil. It prefers a free slot in the nearest failure domain,
+// there on the sidecar with the most free slots. Slow sidecars are used next, if waiting for another one would take
+// longer. Credits beyond the free slots, which make the task wait at the sidecar, are spent last.
+func (f *fleet) pick(c *taskClass, now, wait, runTime timer.Millis) *sidecar {
 	if sc := c.pickFree(false); sc != nil {
 		return sc
 	}
-	if sc := c.pickFree(true); sc != nil && !sc.worthWaiting(now, wait, run) {
+	if sc := c.pickFree(true); sc != nil && !sc.shouldWait(now, wait, runTime) {
 		return sc
 	}
 	for _, s := range c.shapes {
-		for _, sh := range s.shelves {
-			if sh != nil && !sh.domain.withdrawn && sh.levels[0] != nil {
-				return sh.levels[0]
+		for _, fl := range s.freeLists {
+			if fl != nil && !fl.domain.withdrawn && fl.levels[0] != nil {
+				return fl.levels[0]
 			}
 		}
 	}
 	return nil
 }
 
-func (c *class) pickFree(slow bool) *sidecar {
-	var best *shelf
+func (c *taskClass) pickFree(slow bool) *sidecar {
+	var best *freeList
 	top := 0
 	for _, s := range c.shapes {
-		for _, sh := range s.shelves {
-			if sh == nil || sh.domain.withdrawn {
+		for _, fl := range s.freeLists {
+			if fl == nil || fl.domain.withdrawn {
 				continue
 			}
-			full := sh.full
+			occupied := fl.occupied
 			if slow {
-				full = sh.fullSlow
+				occupied = fl.slowOccupied
 			}
-			level := bits.Len64(full&^1) - 1
+			level := bits.Len64(occupied&^1) - 1
 			if level < 1 {
 				continue
 			}
-			if best == nil || sh.distance < best.distance || sh.distance == best.distance && level > top {
-				best, top = sh, level
+			if best == nil || fl.distance < best.distance || fl.distance == best.distance && level > top {
+				best, top = fl, level
 			}
 		}
 	}
@@ -260,43 +261,43 @@
 	case best == nil:
 		return nil
 	case slow:
-		return best.slow[top]
+		return best.slowLevels[top]
 	}
 	return best.levels[top]
 }
 
-// update moves the sidecar to the shelf and level that fit its state, or off the shelves when it can take nothing.
+// update moves the sidecar to the level of its free list that matches its state, or removes it if it cannot take a task.
 func (f *fleet) update(sc *sidecar) {
-	level := sc.freeLevel()
-	slow := sc.slow()
-	if level == sc.level && slow == sc.onSlow {
+	level := sc.usableLevel()
+	slow := sc.isSlow()
+	if level == sc.level && slow == sc.onSlowLevel {
 		return
 	}
-	f.unshelve(sc)
+	f.unlink(sc)
 	if level < 0 {
 		return
 	}
-	sh := sc.shape.shelf(sc.domain)
-	list, full := &sh.levels, &sh.full
+	fl := sc.shape.freeList(sc.domain)
+	list, occupied := &fl.levels, &fl.occupied
 	if slow {
-		list, full = &sh.slow, &sh.fullSlow
+		list, occupied = &fl.slowLevels, &fl.slowOccupied
 	}
-	sc.level, sc.onSlow, sc.prev, sc.next = level, slow, nil, list[level]
+	sc.level, sc.onSlowLevel, sc.prev, sc.next = level, slow, nil, list[level]
 	if sc.next != nil {
 		sc.next.prev = sc
 	}
 	list[level] = sc
-	*full |= 1 << level
+	*occupied |= 1 << level
 }
 
-func (f *fleet) unshelve(sc *sidecar) {
+func (f *fleet) unlink(sc *sidecar) {
 	if sc.level < 0 {
 		return
 	}
-	sh := sc.shape.shelf(sc.domain)
-	list, full := &sh.levels, &sh.full
-	if sc.onSlow {
-		list, full = &sh.slow, &sh.fullSlow
+	fl := sc.shape.freeList(sc.domain)
+	list, occupied := &fl.levels, &fl.occupied
+	if sc.onSlowLevel {
+		list, occupied = &fl.slowLevels, &fl.slowOccupied
 	}
 	if sc.prev != nil {
 		sc.prev.next = sc.next
@@ -307,15 +308,15 @@
 		sc.next.prev = sc.prev
 	}
 	if list[sc.level] == nil {
-		*full &^= 1 << sc.level
+		*occupied &^= 1 << sc.level
 	}
 	sc.level, sc.prev, sc.next = -1, nil, nil
 }
 
-// freeLevel is the number of slots that a task would find free, 0 when only extra credits are left, or -1 when the
-// sidecar takes nothing now.
-func (sc *sidecar) freeLevel() int {
-	if sc.credits == 0 || sc.leaving || sc.heldUntil != 0 || !sc.breaker.allows(sc.running) {
+// usableLevel returns the number of free slots up to maxLevel, 0 if the sidecar has credits but no free slot, or -1 if it
+// cannot take a task now.
+func (sc *sidecar) usableLevel() int {
+	if sc.credits == 0 || sc.leaving || sc.suspendedUntil != 0 || !sc.breaker.allows(sc.running) {
 		return -1
 	}
 	slots := sc.Slots
--- a/scheduler/policies_test.go
+++ b/scheduler/policies_test.go
@@ -9,55 +9,56 @@
 )
 
 const (
-	// noticeDelay is the time from a decision to its effect at entries and sidecars: log poll plus pong.
-	noticeDelay = 200_000
+	// propagationDelay is the time in microseconds until a domain change takes effect at entries and sidecars: a log
+	// poll plus a pong.
+	propagationDelay = 200_000
 )
 
 type (
-	queued struct {
-		j   *jobSpec
-		run int64
-		seq uint32
+	simulatedTask struct {
+		job         *jobSpec
+		runTime     int64
+		answerDelay uint32
 	}
 
-	// owner is an entry that owns submissions: the real scheduler, and fakes of the sidecars around it.
-	owner struct {
-		w         *world
+	// simulatedOwner is an entry that owns submissions. It runs the real scheduler against simulated sidecars.
+	simulatedOwner struct {
+		sim       *simulation
 		entry     int
 		scheduler scheduler.Scheduler
-		tasks     map[encoder.TaskKey]queued
+		tasks     map[encoder.TaskKey]simulatedTask
 	}
 )
 
-// runQueues is the common part of the simple policies: choose names a sidecar for each task, which queues there in order.
-func runQueues(w *world, choose func(entry int, send func(host int))) {
+// runHostQueues implements the baseline policies. choose selects a host for each task, which waits there in a FIFO queue.
+func runHostQueues(sim *simulation, choose func(entry int, send func(host int))) {
 	send := func(j *jobSpec, run int64) {
 		choose(j.entry, func(h int) {
-			net := w.delay(w.entryDomain(j.entry), w.hosts[h].domain)
-			w.messages++
-			w.after(net, func() {
+			net := sim.delay(sim.entryDomain(j.entry), sim.hosts[h].domain)
+			sim.messages++
+			sim.after(net, func() {
 				start := func() {
-					w.occupy(h, run, func(ok bool) {
-						w.messages++
-						w.after(net, func() { w.taskEnded(j, run, ok, callerHop) })
-						w.pump(h)
+					sim.runTask(h, run, func(ok bool) {
+						sim.messages++
+						sim.after(net, func() { sim.taskEnded(j, run, ok, callerDelay) })
+						sim.startQueued(h)
 					})
 				}
-				w.hosts[h].queue = append(w.hosts[h].queue, start)
-				w.pump(h)
+				sim.hosts[h].queue = append(sim.hosts[h].queue, start)
+				sim.startQueued(h)
 			})
 		})
 	}
-	w.domainChange(noticeDelay, func(out bool) {
-		for h := range w.hosts {
-			if w.hosts[h].domain == 0 {
-				w.hosts[h].out = out
-				w.pump(h)
+	sim.onDomainChange(propagationDelay, func(withdrawn bool) {
+		for h := range sim.hosts {
+			if sim.hosts[h].domain == 0 {
+				sim.hosts[h].withdrawn = withdrawn
+				sim.startQueued(h)
 			}
 		}
 	})
-	for _, j := range w.jobs {
-		w.after(j.at+callerHop, func() {
+	for _, j := range sim.jobs {
+		sim.after(j.arrival+callerDelay, func() {
 			for _, r := range j.runs {
 				send(j, r)
 			}
@@ -65,61 +66,61 @@
 	}
 }
 
-func (w *world) inForce() []int {
+func (sim *simulation) activeHosts() []int {
 	var list []int
-	for h := range w.hosts {
-		if !w.hosts[h].out {
+	for h := range sim.hosts {
+		if !sim.hosts[h].withdrawn {
 			list = append(list, h)
 		}
 	}
 	return list
 }
 
-func runRandom(w *world) {
-	runQueues(w, func(_ int, send func(int)) {
-		in := w.inForce()
-		send(in[w.random.IntN(len(in))])
+func runRandom(sim *simulation) {
+	runHostQueues(sim, func(_ int, send func(int)) {
+		in := sim.activeHosts()
+		send(in[sim.random.IntN(len(in))])
 	})
 }
 
-func runRoundRobin(w *world) {
+func runRoundRobin(sim *simulation) {
 	var next [entries]int
-	runQueues(w, func(e int, send func(int)) {
-		in := w.inForce()
+	runHostQueues(sim, func(e int, send func(int)) {
+		in := sim.activeHosts()
 		next[e]++
 		send(in[next[e]%len(in)])
 	})
 }
 
-func runTwoChoices(w *world) {
-	runQueues(w, func(e int, send func(int)) {
-		in := w.inForce()
-		a, b := in[w.random.IntN(len(in))], in[w.random.IntN(len(in))]
-		w.messages += 4
-		w.wasted += 4
-		far := max(w.delay(w.entryDomain(e), w.hosts[a].domain), w.delay(w.entryDomain(e), w.hosts[b].domain))
-		w.after(far, func() {
-			load := func(h int) int { return w.hosts[h].running + len(w.hosts[h].queue) }
+func runTwoChoices(sim *simulation) {
+	runHostQueues(sim, func(e int, send func(int)) {
+		in := sim.activeHosts()
+		a, b := in[sim.random.IntN(len(in))], in[sim.random.IntN(len(in))]
+		sim.messages += 4
+		sim.wasted += 4
+		maxDelay := max(sim.delay(sim.entryDomain(e), sim.hosts[a].domain), sim.delay(sim.entryDomain(e), sim.hosts[b].domain))
+		sim.after(maxDelay, func() {
+			load := func(h int) int { return sim.hosts[h].running + len(sim.hosts[h].queue) }
 			best := a
 			if load(b) < load(a) {
 				best = b
 			}
-			w.after(far, func() { send(best) })
+			sim.after(maxDelay, func() { send(best) })
 		})
 	})
 }
 
-// runCredits drives the real scheduler in one or more owners. Keys are spread evenly over the owners, and so are credits:
-// one for each slot and some extra ones, whose tasks wait at the sidecar.
-func runCredits(w *world, owners, extraCredits int) {
-	list := make([]*owner, owners)
+// runCredits runs the real scheduler in one or more owners. Keys and credits are distributed evenly over the owners. There
+// is one credit for each slot, and extraCredits per sidecar whose tasks wait at the sidecar.
+func runCredits(sim *simulation, owners, extraCredits int) {
+	list := make([]*simulatedOwner, owners)
 	for i := range list {
-		o := &owner{w: w, entry: i, tasks: map[encoder.TaskKey]queued{}}
+		o := &simulatedOwner{sim: sim, entry: i, tasks: map[encoder.TaskKey]simulatedTask{}}
 		list[i] = o
-		for h := range w.hosts {
+		for h := range sim.hosts {
 			id := fmt.Sprint(h)
-			o.scheduler.SetSidecar(scheduler.Sidecar{ID: id, Domain: fmt.Sprint(w.hosts[h].domain), Slots: slots,
-				Distance: timer.Millis(w.delay(w.entryDomain(i), w.hosts[h].domain) / 100)})
+			o.scheduler.SetSidecar(scheduler.Sidecar{ID: id, Domain: fmt.Sprint(sim.hosts[h].domain), Slots: slots,
+				Distance: timer.Millis(sim.delay(sim.entryDomain(i), sim.hosts[h].domain) / 100)})
 			share := (slots + extraCredits) / owners
 			if (h+i)%owners < (slots+extraCredits)%owners {
 				share++
@@ -127,42 +128,43 @@
 			o.scheduler.Grant(id, uint32(share))
 		}
 	}
-	w.domainChange(noticeDelay, func(out bool) {
+	sim.onDomainChange(propagationDelay, func(withdrawn bool) {
 		for _, o := range list {
-			o.scheduler.SetDomain("0", !out)
+			o.scheduler.SetDomain("0", !withdrawn)
 			o.place()
 		}
 	})
-	if w.fault.cancel {
-		w.after(30_000_000, func() {
-			for i, j := range w.jobs {
-				if j.cancels && j.at < w.now && j.left > 0 {
-					list[i%owners].fail(j)
+	if sim.fault.cancel {
+		sim.after(30_000_000, func() {
+			for i, j := range sim.jobs {
+				if j.toCancel && j.arrival < sim.now && j.remaining > 0 {
+					list[i%owners].failJob(j)
 				}
 			}
 		})
 	}
-	for i, j := range w.jobs {
+	for i, j := range sim.jobs {
 		o := list[i%owners]
 		hop := int64(0)
 		if o.entry != j.entry {
-			hop = w.delay(w.entryDomain(j.entry), w.entryDomain(o.entry))
-			w.messages += 2
+			hop = sim.delay(sim.entryDomain(j.entry), sim.entryDomain(o.entry))
+			sim.messages += 2
 		}
-		w.after(j.at+callerHop+hop, func() { o.submit(j, callerHop+hop) })
+		sim.after(j.arrival+callerDelay+hop, func() { o.submit(j, callerDelay+hop) })
 	}
 }
 
-func (o *owner) now() timer.Millis { return timer.Millis(o.w.now / 1000) }
+func (o *simulatedOwner) now() timer.Millis { return timer.Millis(o.sim.now / 1000) }
 
-func (o *owner) submit(j *jobSpec, answerDelay int64) {
+func (o *simulatedOwner) submit(j *jobSpec, answerDelay int64) {
 	tasks := make([]scheduler.Task, len(j.runs))
 	for i, r := range j.runs {
 		k := encoder.TaskKey{Job: j.key, Index: uint32(i)}
-		o.tasks[k] = queued{j, r, uint32(answerDelay)}
-		tasks[i] = scheduler.Task{Key: k, Kind: "quote", Arrived: o.now(), JobLeft: uint32(j.left), RunTime: o.declare(i, r)}
-		if o.w.fault.deadline != 0 {
-			tasks[i].Deadline = timer.Millis((j.at + o.w.fault.deadline) / 1000)
+		o.tasks[k] = simulatedTask{j, r, uint32(answerDelay)}
+		tasks[i] = scheduler.Task{Key: k, Kind: "quote", Arrived: o.now(), JobLeft: uint32(j.remaining),
+			RunTime: o.declaredRunTime(i, r)}
+		if o.sim.fault.deadline != 0 {
+			tasks[i].Deadline = timer.Millis((j.arrival + o.sim.fault.deadline) / 1000)
 		}
 	}
 	if a := o.scheduler.Admit(o.now(), tasks); a.Code != 0 {
@@ -175,29 +177,30 @@
 	o.place()
 }
 
-// declare returns the declared run time of a task, wrong by ten times when the fault says so.
-func (o *owner) declare(index int, run int64) timer.Millis {
+// declaredRunTime returns the declared run time of a task. With the misdeclared fault it is alternately a tenth and ten
+// times the real one.
+func (o *simulatedOwner) declaredRunTime(index int, run int64) timer.Millis {
 	switch {
-	case o.w.fault.declared && index%2 == 0:
+	case o.sim.fault.misdeclared && index%2 == 0:
 		return timer.Millis(run / 10_000)
-	case o.w.fault.declared:
+	case o.sim.fault.misdeclared:
 		return timer.Millis(run / 100)
 	}
 	return timer.Millis(run / 1000)
 }
 
-// fail drops the queued tasks of a job.
-func (o *owner) fail(j *jobSpec) {
+// failJob marks a job as failed and cancels its queued tasks.
+func (o *simulatedOwner) failJob(j *jobSpec) {
 	j.failed = true
 	for range o.scheduler.CancelJob(j.key) {
-		o.w.taskEnded(j, 0, false, 0)
+		o.sim.taskEnded(j, 0, false, 0)
 	}
 }
 
-func (o *owner) place() {
+func (o *simulatedOwner) place() {
 	for _, t := range o.scheduler.Expired(o.now()) {
-		o.fail(o.tasks[t.Key].j)
-		o.w.taskEnded(o.tasks[t.Key].j, 0, false, 0)
+		o.failJob(o.tasks[t.Key].job)
+		o.sim.taskEnded(o.tasks[t.Key].job, 0, false, 0)
 	}
 	for {
 		p, ok := o.scheduler.Next(o.now())
@@ -208,37 +211,37 @@
 	}
 }
 
-func (o *owner) start(p scheduler.Placement) {
-	w := o.w
+func (o *simulatedOwner) start(p scheduler.Placement) {
+	sim := o.sim
 	var h int
 	_, _ = fmt.Sscan(p.Sidecar, &h)
 	x := o.tasks[p.Task.Key]
-	net := w.delay(w.entryDomain(o.entry), w.hosts[h].domain)
-	w.messages++
-	w.after(net, func() {
-		w.hosts[h].queue = append(w.hosts[h].queue, func() { o.run(p, x, h, net) })
-		w.pump(h)
+	net := sim.delay(sim.entryDomain(o.entry), sim.hosts[h].domain)
+	sim.messages++
+	sim.after(net, func() {
+		sim.hosts[h].queue = append(sim.hosts[h].queue, func() { o.run(p, x, h, net) })
+		sim.startQueued(h)
 	})
 }
 
-// run runs a task that has a slot, and brings its result and credit back.
-func (o *owner) run(p scheduler.Placement, x queued, h int, net int64) {
-	w := o.w
-	started := w.now
-	w.occupy(h, x.run, func(ok bool) {
-		w.pump(h)
-		ran := timer.Millis((w.now - started) / 1000)
-		w.messages++
-		w.after(net, func() {
+// run runs a task that has a slot, and returns its result and credit to the owner.
+func (o *simulatedOwner) run(p scheduler.Placement, x simulatedTask, h int, net int64) {
+	sim := o.sim
+	started := sim.now
+	sim.runTask(h, x.runTime, func(ok bool) {
+		sim.startQueued(h)
+		ran := timer.Millis((sim.now - started) / 1000)
+		sim.messages++
+		sim.after(net, func() {
 			status := encoder.StatusDone
 			if !ok {
 				status = encoder.StatusFailed
 			}
 			o.scheduler.Finished(p.Sidecar, p.Task, status, ran)
 			o.scheduler.Grant(p.Sidecar, 1)
-			w.taskEnded(x.j, x.run, ok, int64(x.seq))
-			if x.j.failed {
-				o.fail(x.j)
+			sim.taskEnded(x.job, x.runTime, ok, int64(x.answerDelay))
+			if x.job.failed {
+				o.failJob(x.job)
 			}
 			o.place()
 		})
--- a/scheduler/queue.go
+++ b/scheduler/queue.go
@@ -8,70 +8,72 @@
 )
 
 const (
-	// maxRoom bounds the tasks for which a new part of a job reserves room.
-	maxRoom = 128
-	// urgencyHorizon is how long before its latest start a job with a deadline overtakes jobs that arrived earlier.
+	// maxPreallocatedTasks limits the capacity that is allocated up front for the task list of a new job part.
+	maxPreallocatedTasks = 128
+	// urgencyHorizon is how long before its latest start time a job with a deadline takes precedence over jobs that
+	// arrived earlier.
 	urgencyHorizon = 2 * timer.Second
-	// virtualUnit scales run times to virtual time, so that weights up to this value keep their precision.
-	virtualUnit = 1024
+	// virtualTimeScale is the number of units of virtual time per millisecond of run time at weight 1. It keeps the
+	// integer division by weights up to this value precise.
+	virtualTimeScale = 1024
 )
 
 type (
-	// queue holds the queued tasks by class, team and job. Teams share by start-time fair queueing, jobs of a team are
-	// ordered by rank, and tasks of a job by index of arrival.
+	// queue holds the queued tasks by class, team and job. Teams share capacity by start-time fair queueing, the jobs of
+	// a team are ordered by rank, and the tasks of a job are served in the order in which they were queued.
 	queue struct {
-		classes []*class
-		teams   map[string]*team
-		jobs    map[string][]*job // one job has one part for each class that its tasks need
-		length  int
-		work    timer.Millis // estimated run time of all queued tasks
-		virtual int64        // virtual time of the last placed task
-		expiry  expiryHeap
+		classes     []*taskClass
+		teams       map[string]*team
+		jobs        map[string][]*job // by job key; a job has one part per task class
+		length      int
+		queuedWork  timer.Millis // estimated run time of all queued tasks
+		virtualTime int64        // virtual time at which the last placed task started
+		expiry      expiryHeap
 	}
 
-	// class is the set of queued tasks that need the same kind and memory.
-	class struct {
-		kind     string
-		memoryMB uint64
-		active   laneHeap // lanes with queued jobs whose team is below its quota
-		lanes    map[*team]*lane
-		shapes   []*shape // sidecar shapes that fit; kept by the fleet
+	// taskClass groups the queued tasks that have the same kind and memory requirement.
+	taskClass struct {
+		kind       string
+		memoryMB   uint64
+		active     teamQueueHeap // queues with jobs whose team is below its quota
+		teamQueues map[*team]*teamQueue
+		shapes     []*shape // sidecar shapes that can run the class; maintained by fleet
 	}
 
-	// lane holds one team's jobs within one class.
-	lane struct {
-		class *class
+	// teamQueue holds the jobs of one team within one task class.
+	teamQueue struct {
+		class *taskClass
 		team  *team
 		jobs  jobHeap
-		// finish is the team's virtual finish time when the lane was last ordered. It only grows, so an old value is
-		// corrected when the lane comes to the top.
-		finish int64
-		index  int // position in the class's active lanes, -1 when not there
+		// orderedFinish is the team's virtualFinish as of the last time the queue was positioned in the heap. virtualFinish
+		// never decreases, so it is enough to correct a stale value when the queue reaches the top of the heap.
+		orderedFinish int64
+		index         int // position in the class's active heap, -1 when absent
 	}
 
 	team struct {
-		name    string
-		weight  uint32
-		quota   uint32
-		running uint32
-		queued  int
-		finish  int64   // virtual finish time of the team's last placed task
-		waiting []*lane // lanes left out because the quota is reached
+		name          string
+		weight        uint32
+		quota         uint32
+		running       uint32
+		queued        int
+		virtualFinish int64        // virtual finish time of the team's last placed task
+		blocked       []*teamQueue // queues removed from their active heaps while the team is at its quota
 	}
 
 	job struct {
-		key   string
-		rank  timer.Millis
-		run   timer.Millis // estimated run time of one task
-		tasks []Task
-		head  int
-		lane  *lane
-		index int // position in the lane's heap
+		key     string
+		rank    timer.Millis
+		runTime timer.Millis // estimated run time of one task
+		tasks   []Task
+		head    int
+		queue   *teamQueue
+		index   int // position in the queue's job heap
 	}
 
 	jobHeap []*job
 
-	laneHeap []*lane
+	teamQueueHeap []*teamQueue
 
 	expiryItem struct {
 		deadline timer.Millis
@@ -84,7 +86,7 @@
 func (q *queue) setTeam(name string, weight, quota uint32) {
 	t := q.team(name)
 	t.weight, t.quota = max(weight, 1), quota
-	t.release()
+	t.unblock()
 }
 
 func (q *queue) team(name string) *team {
@@ -99,19 +101,19 @@
 	return t
 }
 
-func (q *queue) push(t Task, run timer.Millis, c *class) {
+func (q *queue) push(t Task, runTime timer.Millis, c *taskClass) {
 	if q.jobs == nil {
 		q.jobs = map[string][]*job{}
 	}
 	tm := q.team(t.Team)
 	if tm.queued == 0 {
-		// A team that was idle starts at the present virtual time; it saves up no share.
-		tm.finish = max(tm.finish, q.virtual)
+		// An idle team does not accumulate a share: it resumes at the current virtual time.
+		tm.virtualFinish = max(tm.virtualFinish, q.virtualTime)
 	}
 	tm.queued++
 	q.length++
-	j := q.part(t, run, c, tm)
-	q.work += j.run
+	j := q.jobPart(t, runTime, c, tm)
+	q.queuedWork += j.runTime
 	if j.head > 0 && len(j.tasks) == cap(j.tasks) {
 		j.tasks = j.tasks[:copy(j.tasks, j.tasks[j.head:])]
 		j.head = 0
@@ -122,137 +124,140 @@
 	}
 }
 
-// part returns the job's part in the class and puts it into its lane when it is new.
-func (q *queue) part(t Task, run timer.Millis, c *class, tm *team) *job {
+// jobPart returns the part of the task's job in class c, and creates and enqueues it if needed.
+func (q *queue) jobPart(t Task, runTime timer.Millis, c *taskClass, tm *team) *job {
 	for _, j := range q.jobs[t.Key.Job] {
-		if j.lane.team == tm && j.lane.class == c {
+		if j.queue.team == tm && j.queue.class == c {
 			return j
 		}
 	}
-	j := &job{key: t.Key.Job, run: run, rank: rank(t, run), lane: q.lane(c, tm)}
-	j.tasks = make([]Task, 0, min(max(t.JobLeft, 1), maxRoom)) // usually all tasks of a job are queued together
+	j := &job{key: t.Key.Job, runTime: runTime, rank: rank(t, runTime), queue: q.teamQueue(c, tm)}
+	j.tasks = make([]Task, 0, min(max(t.JobLeft, 1), maxPreallocatedTasks)) // all tasks of a job are usually queued together
 	q.jobs[t.Key.Job] = append(q.jobs[t.Key.Job], j)
-	heap.Push(&j.lane.jobs, j)
-	j.lane.order()
+	heap.Push(&j.queue.jobs, j)
+	j.queue.reposition()
 	return j
 }
 
-func (q *queue) lane(c *class, tm *team) *lane {
-	l := c.lanes[tm]
-	if l == nil {
-		if c.lanes == nil {
-			c.lanes = map[*team]*lane{}
+func (q *queue) teamQueue(c *taskClass, tm *team) *teamQueue {
+	tq := c.teamQueues[tm]
+	if tq == nil {
+		if c.teamQueues == nil {
+			c.teamQueues = map[*team]*teamQueue{}
 			q.classes = append(q.classes, c)
 		}
-		l = &lane{class: c, team: tm, index: -1}
-		c.lanes[tm] = l
+		tq = &teamQueue{class: c, team: tm, index: -1}
+		c.teamQueues[tm] = tq
 	}
-	return l
+	return tq
 }
 
-// order puts the lane in its place among the active lanes of its class, or out of them when it has no jobs.
-func (l *lane) order() {
+// reposition restores the queue's position in the active heap of its class, and removes it when it has no jobs. A queue
+// that is blocked by its team's quota stays out.
+func (tq *teamQueue) reposition() {
 	switch {
-	case len(l.jobs) == 0 && l.index >= 0:
-		heap.Remove(&l.class.active, l.index)
-	case len(l.jobs) == 0:
-	case l.index >= 0:
-		heap.Fix(&l.class.active, l.index)
-	case !slices.Contains(l.team.waiting, l):
-		l.finish = l.team.finish
-		heap.Push(&l.class.active, l)
+	case len(tq.jobs) == 0 && tq.index >= 0:
+		heap.Remove(&tq.class.active, tq.index)
+	case len(tq.jobs) == 0:
+	case tq.index >= 0:
+		heap.Fix(&tq.class.active, tq.index)
+	case !slices.Contains(tq.team.blocked, tq):
+		tq.orderedFinish = tq.team.virtualFinish
+		heap.Push(&tq.class.active, tq)
 	}
 }
 
-// top returns the lane whose team comes next, or nil.
-func (c *class) top() *lane {
+// nextQueue returns the active queue with the lowest virtual finish time, or nil. It moves queues of teams at their quota
+// to the team's blocked list.
+func (c *taskClass) nextQueue() *teamQueue {
 	for len(c.active) > 0 {
-		l := c.active[0]
+		tq := c.active[0]
 		switch {
-		case l.team.quota != 0 && l.team.running >= l.team.quota:
+		case tq.team.quota != 0 && tq.team.running >= tq.team.quota:
 			heap.Pop(&c.active)
-			l.team.waiting = append(l.team.waiting, l)
-		case l.finish != l.team.finish:
-			l.finish = l.team.finish
+			tq.team.blocked = append(tq.team.blocked, tq)
+		case tq.orderedFinish != tq.team.virtualFinish:
+			tq.orderedFinish = tq.team.virtualFinish
 			heap.Fix(&c.active, 0)
 		default:
-			return l
+			return tq
 		}
 	}
 	return nil
 }
 
-// rank orders the jobs of a team: by arrival, but a job that must start soon to meet its deadline comes earlier.
-func rank(t Task, run timer.Millis) timer.Millis {
+// rank returns the sort key of a job within its team: the arrival time, or an earlier time if the job must start soon to
+// meet its deadline.
+func rank(t Task, runTime timer.Millis) timer.Millis {
 	if t.Deadline == 0 {
 		return t.Arrived
 	}
-	return min(t.Arrived, t.Deadline-run-urgencyHorizon)
+	return min(t.Arrived, t.Deadline-runTime-urgencyHorizon)
 }
 
-// best returns the job to place next and the sidecar for it, or nil when nothing can be placed.
-func (q *queue) best(f *fleet, now, wait timer.Millis) (*job, *sidecar) {
+// selectNext returns the next job to place and the sidecar for it, or nil if no task can be placed.
+func (q *queue) selectNext(f *fleet, now, wait timer.Millis) (*job, *sidecar) {
 	var chosen *job
 	var target *sidecar
 	for _, c := range q.classes {
-		l := c.top()
-		if l == nil || chosen != nil && !before(l.jobs[0], chosen) {
+		tq := c.nextQueue()
+		if tq == nil || chosen != nil && !precedes(tq.jobs[0], chosen) {
 			continue
 		}
-		if sc := f.pick(c, now, wait, l.jobs[0].run); sc != nil {
-			chosen, target = l.jobs[0], sc
+		if sc := f.pick(c, now, wait, tq.jobs[0].runTime); sc != nil {
+			chosen, target = tq.jobs[0], sc
 		}
 	}
 	return chosen, target
 }
 
-func before(a, b *job) bool {
-	if a.lane.team != b.lane.team && a.lane.team.finish != b.lane.team.finish {
-		return a.lane.team.finish < b.lane.team.finish
+func precedes(a, b *job) bool {
+	if a.queue.team != b.queue.team && a.queue.team.virtualFinish != b.queue.team.virtualFinish {
+		return a.queue.team.virtualFinish < b.queue.team.virtualFinish
 	}
 	return a.rank < b.rank
 }
 
-// pop takes the first task out of the job and charges its team.
+// pop removes the first task of the job part and charges its run time to the team.
 func (q *queue) pop(j *job) Task {
 	t := j.tasks[j.head]
 	j.tasks[j.head] = Task{}
 	j.head++
-	tm := j.lane.team
-	q.virtual = max(q.virtual, tm.finish)
-	tm.finish += int64(j.run) * virtualUnit / int64(max(tm.weight, 1))
+	tm := j.queue.team
+	q.virtualTime = max(q.virtualTime, tm.virtualFinish)
+	tm.virtualFinish += int64(j.runTime) * virtualTimeScale / int64(max(tm.weight, 1))
 	tm.running++
 	tm.queued--
 	q.length--
-	q.work -= j.run
+	q.queuedWork -= j.runTime
 	if j.head == len(j.tasks) {
-		q.drop(j)
+		q.removePart(j)
 	}
 	return t
 }
 
-func (q *queue) ended(name string) {
+func (q *queue) taskEnded(name string) {
 	t := q.teams[name]
 	if t == nil || t.running == 0 {
 		return
 	}
 	t.running--
-	t.release()
+	t.unblock()
 }
 
-// release brings the lanes back that were left out because of the quota.
-func (t *team) release() {
-	waiting := t.waiting
-	t.waiting = t.waiting[:0]
-	for _, l := range waiting {
-		l.order()
+// unblock returns the queues that were blocked by the team's quota to the active heaps.
+func (t *team) unblock() {
+	blocked := t.blocked
+	t.blocked = t.blocked[:0]
+	for _, tq := range blocked {
+		tq.reposition()
 	}
 }
 
-// drop removes a job part from its lane.
-func (q *queue) drop(j *job) {
-	heap.Remove(&j.lane.jobs, j.index)
-	j.lane.order()
+// removePart removes a job part from its queue and from the job index.
+func (q *queue) removePart(j *job) {
+	heap.Remove(&j.queue.jobs, j.index)
+	j.queue.reposition()
 	parts := q.jobs[j.key]
 	for i := range parts {
 		if parts[i] == j {
@@ -267,24 +272,24 @@
 	}
 }
 
-func (q *queue) cancel(key string) []Task {
+func (q *queue) cancelJob(key string) []Task {
 	var dropped []Task
 	for len(q.jobs[key]) > 0 {
 		j := q.jobs[key][0]
 		left := j.tasks[j.head:]
 		dropped = append(dropped, left...)
-		j.lane.team.queued -= len(left)
+		j.queue.team.queued -= len(left)
 		q.length -= len(left)
-		q.work -= j.run * timer.Millis(len(left))
-		q.drop(j)
+		q.queuedWork -= j.runTime * timer.Millis(len(left))
+		q.removePart(j)
 	}
 	return dropped
 }
 
-func (q *queue) expired(now timer.Millis) []Task {
+func (q *queue) removeExpired(now timer.Millis) []Task {
 	var dropped []Task
 	for len(q.expiry) > 0 && q.expiry[0].deadline <= now {
-		dropped = append(dropped, q.cancel(q.expiry[0].job)...)
+		dropped = append(dropped, q.cancelJob(q.expiry[0].job)...)
 		heap.Pop(&q.expiry)
 	}
 	return dropped
--- a/scheduler/scheduler.go
+++ b/scheduler/scheduler.go
@@ -1,5 +1,5 @@
-// Package scheduler orders an entry's queued tasks and places them on sidecars that granted credits. It is pure: it has
-// no clock and no I/O, and one goroutine calls it.
+// Package scheduler orders the queued tasks of an entry and places them on sidecars that granted credits. It is
+// deterministic: it reads no clock and does no I/O. It is not safe for concurrent use.
 package scheduler
 
 import (
@@ -14,7 +14,7 @@
 		Domain   string
 		Slots    uint32
 		MemoryMB uint64
-		Kinds    []string     // kinds of task that it runs; empty for all
+		Kinds    []string     // kinds of task that it can run; empty for all
 		Distance timer.Millis // one-way delay from this entry
 	}
 
@@ -24,10 +24,10 @@
 		Team     string
 		Kind     string
 		MemoryMB uint64
-		RunTime  timer.Millis // declared run time, a hint; 0 when unknown
-		Arrived  timer.Millis // arrival of the job
-		Deadline timer.Millis // point in time; 0 for none
-		JobLeft  uint32       // tasks of the job that have not ended
+		RunTime  timer.Millis // declared by the caller, a hint; 0 if unknown
+		Arrived  timer.Millis // arrival time of the job
+		Deadline timer.Millis // absolute time; 0 for none
+		JobLeft  uint32       // unfinished tasks of the job
 	}
 
 	// Placement is the decision to start a task on a sidecar.
@@ -38,8 +38,8 @@
 
 	// Scheduler holds the queue, the sidecars and their credits. The zero value is ready to use.
 	Scheduler struct {
-		// MaxWait is the longest expected wait in the queue with which a job without a deadline is admitted;
-		// 0 means 30 s.
+		// MaxWait is the longest expected wait in the queue at which jobs are still admitted. A job with a deadline may have
+		// a lower limit. 0 means 30 s.
 		MaxWait timer.Millis
 
 		now       timer.Millis
@@ -50,13 +50,13 @@
 	}
 )
 
-// SetSidecar adds a sidecar or replaces its description; its credits are kept.
+// SetSidecar adds a sidecar, or replaces its description and keeps its credits.
 func (s *Scheduler) SetSidecar(d Sidecar) { s.fleet.set(d) }
 
-// RemoveSidecar forgets a sidecar and its credits.
+// RemoveSidecar removes a sidecar and its credits.
 func (s *Scheduler) RemoveSidecar(id string) { s.fleet.remove(id) }
 
-// SetLeaving makes a sidecar's credits void; it gets nothing new.
+// SetLeaving drops a sidecar's credits, so that it gets no more tasks.
 func (s *Scheduler) SetLeaving(id string) {
 	if sc := s.fleet.byID[id]; sc != nil {
 		sc.leaving, sc.credits = true, 0
@@ -64,15 +64,15 @@
 	}
 }
 
-// SetDomain says whether a failure domain is in force. Credits of a withdrawn domain are not spent. The sidecars of a
-// domain that returns are on probation: they use half of their slots until the first success.
+// SetDomain sets whether a failure domain is in force or withdrawn. Credits of a withdrawn domain are not spent. When a
+// domain returns, each of its sidecars is on probation: it uses half of its slots until its first successful task.
 func (s *Scheduler) SetDomain(domain string, inForce bool) { s.fleet.setDomain(domain, inForce) }
 
-// SetTeam sets a team's share and the number of its tasks that may run at a time. A weight of 0 means 1, a quota of 0
-// means no limit.
+// SetTeam sets the fair-share weight of a team and the quota of its concurrently running tasks. A weight of 0 means 1, a
+// quota of 0 means no limit.
 func (s *Scheduler) SetTeam(name string, weight, quota uint32) { s.queue.setTeam(name, weight, quota) }
 
-// Grant adds credits of a sidecar.
+// Grant adds credits granted by a sidecar. Credits of unknown and leaving sidecars are ignored.
 func (s *Scheduler) Grant(id string, credits uint32) {
 	if sc := s.fleet.byID[id]; sc != nil && !sc.leaving {
 		sc.credits += credits
@@ -80,7 +80,7 @@
 	}
 }
 
-// Recall takes back up to the given number of unspent credits and returns how many it took.
+// Recall removes up to the given number of unspent credits of a sidecar and returns how many it removed.
 func (s *Scheduler) Recall(id string, credits uint32) uint32 {
 	sc := s.fleet.byID[id]
 	if sc == nil {
@@ -92,47 +92,47 @@
 	return taken
 }
 
-// Push queues a task.
+// Push adds a task to the queue.
 func (s *Scheduler) Push(t Task) {
-	run := s.estimates.runTime(t.Kind, t.RunTime)
-	s.queue.push(t, run, s.fleet.classOf(t.Kind, t.MemoryMB))
+	estimate := s.estimates.runTime(t.Kind, t.RunTime)
+	s.queue.push(t, estimate, s.fleet.classOf(t.Kind, t.MemoryMB))
 }
 
 // Queued returns the number of queued tasks.
 func (s *Scheduler) Queued() int { return s.queue.length }
 
-// Next takes the next task that can be placed at now out of the queue. ok is false when there is none.
+// Next removes the next task that can be placed at now from the queue. ok is false if there is none.
 func (s *Scheduler) Next(now timer.Millis) (p Placement, ok bool) {
 	s.now = now
 	if s.queue.length == 0 {
 		return p, false
 	}
-	s.fleet.releaseHeld(now)
-	j, sc := s.queue.best(&s.fleet, now, s.Wait())
+	s.fleet.resumeSuspended(now)
+	j, sc := s.queue.selectNext(&s.fleet, now, s.Wait())
 	if sc == nil {
 		return p, false
 	}
 	t := s.queue.pop(j)
 	sc.credits--
 	sc.running++
-	sc.placed()
+	sc.taskPlaced()
 	s.fleet.update(sc)
-	s.retries.earn()
+	s.retries.refill()
 	return Placement{Task: t, Sidecar: sc.ID}, true
 }
 
-// Finished reports the end of a placed task with its status and run time.
-func (s *Scheduler) Finished(id string, t Task, status encoder.Status, ran timer.Millis) {
-	s.queue.ended(t.Team)
+// Finished records the end of a placed task with its status and run time.
+func (s *Scheduler) Finished(id string, t Task, status encoder.Status, elapsed timer.Millis) {
+	s.queue.taskEnded(t.Team)
 	sc := s.fleet.byID[id]
 	if sc != nil && sc.running > 0 {
 		sc.running--
 	}
-	if status == encoder.StatusDone && ran > 0 {
+	if status == encoder.StatusDone && elapsed > 0 {
 		if sc != nil {
-			sc.observeSpeed(s.now, ran, s.estimates.runTime(t.Kind, t.RunTime), s.estimates.known(t.Kind))
+			sc.observeRunTime(s.now, elapsed, s.estimates.runTime(t.Kind, t.RunTime), s.estimates.known(t.Kind))
 		}
-		s.estimates.observe(t.Kind, ran)
+		s.estimates.observe(t.Kind, elapsed)
 	}
 	if sc != nil {
 		s.fleet.observeStatus(sc, s.now, status)
@@ -140,8 +140,8 @@
 	}
 }
 
-// Expected returns the longest run time that is expected of a task: the declared one, else the learnt one that one in
-// eight tasks of the kind exceeds, else 0. The mean would make two in five tasks of a kind look slow.
+// Expected returns the longest run time to expect of a task: the declared run time, else the observed run time that one in
+// eight tasks of the kind exceeds, else 0. With the mean, two in five tasks of a kind would count as slow.
 func (s *Scheduler) Expected(kind string, declared timer.Millis) timer.Millis {
 	if declared > 0 || !s.estimates.known(kind) {
 		return declared
@@ -149,11 +149,11 @@
 	return s.estimates.longest(kind, 0, 1)
 }
 
-// Refused reports that the sidecar did not start a placed task. The caller pushes the task again if it may run. A
-// sidecar that cannot start anything at present is left out for a while, so that the task does not come back to it.
+// Refused records that the sidecar did not start a placed task. The caller pushes the task again if it may still run. A
+// sidecar that cannot start any task at present is suspended, so that the task is not placed on it again at once.
 func (s *Scheduler) Refused(id string, t Task, reason encoder.RefusalReason) {
-	s.queue.ended(t.Team)
-	hold := s.retries.spend()
+	s.queue.taskEnded(t.Team)
+	backoff := s.retries.spend()
 	sc := s.fleet.byID[id]
 	if sc == nil {
 		return
@@ -164,16 +164,16 @@
 	switch reason {
 	case encoder.RefusalLeaseExpired, encoder.RefusalDomainWithdrawn, encoder.RefusalLeaving,
 		encoder.RefusalNotAnnounced, encoder.RefusalNoSlot:
-		s.fleet.hold(sc, s.now+hold)
+		s.fleet.suspend(sc, s.now+backoff)
 	}
 	s.fleet.update(sc)
 }
 
-// CancelJob drops the queued tasks of a job and returns them.
-func (s *Scheduler) CancelJob(job string) []Task { return s.queue.cancel(job) }
+// CancelJob removes the queued tasks of a job and returns them.
+func (s *Scheduler) CancelJob(job string) []Task { return s.queue.cancelJob(job) }
 
-// Expired drops queued tasks whose deadline has passed at now and returns them.
+// Expired removes the queued tasks of jobs whose deadline has passed at now and returns them.
 func (s *Scheduler) Expired(now timer.Millis) []Task {
 	s.now = now
-	return s.queue.expired(now)
+	return s.queue.removeExpired(now)
 }
--- a/scheduler/scheduler_test.go
+++ b/scheduler/scheduler_test.go
@@ -11,14 +11,14 @@
 	"github.com/crocuslb/crocuslb/timer"
 )
 
-// A fixed seed makes runs repeatable; -rapid.seed tries others.
+// A fixed seed makes runs reproducible; -rapid.seed overrides it.
 var _ = flag.Set("rapid.seed", "1")
 
 func task(job string, index uint32, team string, arrived timer.Millis) Task {
 	return Task{Key: encoder.TaskKey{Job: job, Index: index}, Team: team, Kind: "quote", Arrived: arrived}
 }
 
-func fill(s *Scheduler, sidecars, slots int) {
+func addSidecars(s *Scheduler, sidecars, slots int) {
 	for i := range sidecars {
 		id := fmt.Sprintf("s%d", i)
 		s.SetSidecar(Sidecar{ID: id, Domain: fmt.Sprintf("d%d", i%4), Slots: uint32(slots), Distance: timer.Millis(i % 4)})
@@ -26,7 +26,7 @@
 	}
 }
 
-// TestOrder guards against placing tasks in another order than slack, arrival and team shares ask for.
+// TestOrder guards against placing tasks in an order that does not follow deadline slack, arrival and team shares.
 func TestOrder(t *testing.T) {
 	cases := []struct {
 		name  string
@@ -59,7 +59,7 @@
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			var s Scheduler
-			fill(&s, 1, 8)
+			addSidecars(&s, 1, 8)
 			if c.setup != nil {
 				c.setup(&s)
 			}
@@ -81,7 +81,7 @@
 	}
 }
 
-// TestAdmit guards against queueing a job that can never run or that would miss its deadline.
+// TestAdmit guards against admitting a job that no sidecar can run or that would miss its deadline.
 func TestAdmit(t *testing.T) {
 	cases := []struct {
 		name   string
@@ -112,16 +112,16 @@
 				t.Errorf("got %d (%s), want %d", got.Code, got.Reason, c.want)
 			}
 			if got.Code == encoder.CodeOverload && got.RetryAfter <= 0 {
-				t.Errorf("got no retry time for a refusal by overload")
+				t.Errorf("got no RetryAfter with an overload refusal")
 			}
 		})
 	}
 }
 
-// TestBreaker guards against a worker that fails every task and so attracts all the work.
+// TestBreaker guards against a worker that fails every task quickly, always has free slots and so attracts most tasks.
 func TestBreaker(t *testing.T) {
 	var s Scheduler
-	fill(&s, 4, 1)
+	addSidecars(&s, 4, 1)
 	now, failed := timer.Millis(0), 0
 	for i := range 200 {
 		now += 10
@@ -137,19 +137,19 @@
 		s.Finished(p.Sidecar, p.Task, status, 10)
 		s.Grant(p.Sidecar, 1)
 	}
-	if failed > failuresToOpen+2 {
-		t.Errorf("got %d failures, want at most %d with probes over 2 s", failed, failuresToOpen+2)
+	if failed > failureThreshold+2 {
+		t.Errorf("got %d failures, want at most %d with probes over 2 s", failed, failureThreshold+2)
 	}
 }
 
-// TestSchedulerProperties guards against lost or doubled tasks and against placements without a usable credit, over any
-// order of events.
+// TestSchedulerProperties guards against lost or duplicated tasks and against placements without a usable credit, for
+// random sequences of events.
 func TestSchedulerProperties(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var s Scheduler
-		fill(&s, 4, 2)
+		addSidecars(&s, 4, 2)
 		credits := map[string]uint32{"s0": 2, "s1": 2, "s2": 2, "s3": 2}
-		out, leaving := map[string]bool{}, map[string]bool{}
+		withdrawn, leaving := map[string]bool{}, map[string]bool{}
 		var placed []Placement
 		var now timer.Millis
 		queued := map[encoder.TaskKey]bool{}
@@ -173,8 +173,8 @@
 					return
 				}
 				d := "d" + p.Sidecar[1:]
-				if credits[p.Sidecar] == 0 || out[d] || leaving[p.Sidecar] || !queued[p.Task.Key] {
-					t.Fatalf("got %v with %d credits, withdrawn %v, leaving %v, queued %v", p, credits[p.Sidecar], out[d],
+				if credits[p.Sidecar] == 0 || withdrawn[d] || leaving[p.Sidecar] || !queued[p.Task.Key] {
+					t.Fatalf("got %v with %d credits, withdrawn %v, leaving %v, queued %v", p, credits[p.Sidecar], withdrawn[d],
 						leaving[p.Sidecar], queued[p.Task.Key])
 				}
 				credits[p.Sidecar]--
@@ -214,7 +214,7 @@
 			"domain": func(t *rapid.T) {
 				d, in := "d"+id.Draw(t, "id")[1:], rapid.Bool().Draw(t, "in")
 				s.SetDomain(d, in)
-				out[d] = !in
+				withdrawn[d] = !in
 			},
 			"leave": func(t *rapid.T) {
 				i := id.Draw(t, "id")
@@ -239,20 +239,20 @@
 				if got, want := s.Queued(), len(queued); got != want {
 					t.Fatalf("got %d queued tasks, want %d", got, want)
 				}
-				if (len(queued) == 0) != (s.queue.work == 0) {
-					t.Fatalf("got %v of queued work for %d tasks", s.queue.work, len(queued))
+				if (len(queued) == 0) != (s.queue.queuedWork == 0) {
+					t.Fatalf("got queued work of %v for %d tasks", s.queue.queuedWork, len(queued))
 				}
 			},
 		})
 	})
 }
 
-// BenchmarkPlace measures one push, placement, end and grant with 1,700 workers in view and 800 teams.
+// BenchmarkPlace measures one push, placement, end and grant with 1,700 sidecars and 1 or 800 teams.
 func BenchmarkPlace(b *testing.B) {
 	for _, teams := range []int{1, 800} {
 		b.Run(fmt.Sprintf("teams-%d", teams), func(b *testing.B) {
 			var s Scheduler
-			fill(&s, 1700, 8)
+			addSidecars(&s, 1700, 8)
 			tasks := make([]Task, 1700*4)
 			for i := range tasks {
 				tasks[i] = task(fmt.Sprintf("j%d", i/20), uint32(i), fmt.Sprintf("t%d", i/20%teams), timer.Millis(i/20))
