--- a/archiver/archiver.go
+++ b/archiver/archiver.go
@@ -67,7 +67,7 @@
 // Jobs returns the jobs in the order of their identifiers.
 func (a *Archive) Jobs() []*marshaler.JobRecord {
 	var jobs []*marshaler.JobRecord
-	for _, j := range marshaler.InOrder(a.jobs) {
+	for _, j := range marshaler.SortedByKey(a.jobs) {
 		jobs = append(jobs, j)
 	}
 	return jobs
--- a/archiver/archiver_test.go
+++ b/archiver/archiver_test.go
@@ -83,7 +83,7 @@
 
 // TestForeignRecords guards against records of other writers that end the replay.
 func TestForeignRecords(t *testing.T) {
-	for _, body := range [][]byte{nil, {0xff}, []byte("text"), marshaler.Append(nil, &marshaler.Beat{})} {
+	for _, body := range [][]byte{nil, {0xff}, []byte("text"), marshaler.Append(nil, &marshaler.Heartbeat{})} {
 		var a Archive
 		if err := a.Add(body); err == nil || len(a.Jobs()) != 0 {
 			t.Errorf("%q: got error %v, %d jobs, want an error and none", body, err, len(a.Jobs()))
--- a/cmd/platformnode/main.go
+++ b/cmd/platformnode/main.go
@@ -7,12 +7,12 @@
 	"os/signal"
 	"syscall"
 
-	"github.com/crocuslb/crocuslb/conductor"
+	"github.com/crocuslb/crocuslb/runner"
 )
 
 func main() {
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
-	p := conductor.Program{Args: os.Args[1:], Environ: os.Environ(), Stdout: os.Stdout}
+	p := runner.Program{Args: os.Args[1:], Environ: os.Environ(), Stdout: os.Stdout}
 	status := p.Run(ctx)
 	stop()
 	os.Exit(status)
--- a/carrier/node.go
+++ b/connector/node.go
@@ -1,4 +1,4 @@
-package carrier
+package connector
 
 import (
 	"bufio"
@@ -10,8 +10,8 @@
 
 	"github.com/gravitational/trace"
 
-	"github.com/crocuslb/crocuslb/catcher"
 	"github.com/crocuslb/crocuslb/marshaler"
+	"github.com/crocuslb/crocuslb/recoverer"
 )
 
 const (
@@ -30,13 +30,13 @@
 	// called from a session's reader goroutine, and sequentially for one session.
 	Node struct {
 		// Hello returns the opening message of a new session. Its Session field is set by the Node.
-		Hello     func() marshaler.Hello
-		OnUp      func(s *Session)
-		OnMessage func(s *Session, batch []marshaler.Message)
-		OnDown    func(s *Session, cause error)
-		// OnFail is called when a connection could not be accepted or opened, or its peer sent no valid Hello. It may be
+		Hello        func() marshaler.Hello
+		OnConnect    func(s *Session)
+		OnMessage    func(s *Session, batch []marshaler.Message)
+		OnDisconnect func(s *Session, cause error)
+		// OnConnectError is called when a connection could not be accepted or opened, or its peer sent no valid Hello. It may be
 		// called from several goroutines, and may be nil.
-		OnFail func(address string, err error)
+		OnConnectError func(address string, err error)
 		// OnPanic is called when the decoding of a message, or the handling of a message or of a session's start or end,
 		// panicked. Only the session in question is closed. It may be nil.
 		OnPanic func(s *Session, err error)
@@ -67,7 +67,7 @@
 				time.Sleep(minRetryDelay)
 				continue
 			}
-			n.goroutines.Go(func() { _ = n.serve(ctx, newSession(conn, false, &n.Traffic)) }) // OnDown reports the cause
+			n.goroutines.Go(func() { _ = n.serve(ctx, newSession(conn, false, &n.Traffic)) }) // OnDisconnect reports the cause
 		}
 	})
 	return listener.Addr().String(), nil
@@ -99,8 +99,8 @@
 func (n *Node) Wait() { n.goroutines.Wait() }
 
 func (n *Node) connectFailed(address string, err error) {
-	if n.OnFail != nil {
-		n.OnFail(address, err)
+	if n.OnConnectError != nil {
+		n.OnConnectError(address, err)
 	}
 }
 
@@ -123,17 +123,17 @@
 		return false
 	}
 	n.recoverPanic(s, func() {
-		n.OnUp(s)
+		n.OnConnect(s)
 		err = s.read(r, func(batch []marshaler.Message) { n.OnMessage(s, batch) })
 	})
 	s.Close(err)
-	n.recoverPanic(s, func() { n.OnDown(s, s.cause) })
+	n.recoverPanic(s, func() { n.OnDisconnect(s, s.cause) })
 	return true
 }
 
 // recoverPanic calls f, and closes the session if it panics.
 func (n *Node) recoverPanic(s *Session, f func()) {
-	err := catcher.Catch(f)
+	err := recoverer.Call(f)
 	if err == nil {
 		return
 	}
--- a/carrier/node_test.go
+++ b/connector/node_test.go
@@ -1,4 +1,4 @@
-package carrier
+package connector
 
 import (
 	"context"
@@ -21,9 +21,9 @@
 func newTestNode(name string) *testNode {
 	e := &testNode{}
 	e.Hello = func() marshaler.Hello { return marshaler.Hello{Role: marshaler.RoleEntry, Name: name} }
-	e.OnUp = func(s *Session) { e.latest.Store(s); e.up.Add(1) }
+	e.OnConnect = func(s *Session) { e.latest.Store(s); e.up.Add(1) }
 	e.OnMessage = func(_ *Session, batch []marshaler.Message) { e.messages.Add(int64(len(batch))) }
-	e.OnDown = func(*Session, error) { e.down.Add(1) }
+	e.OnDisconnect = func(*Session, error) { e.down.Add(1) }
 	return e
 }
 
@@ -51,7 +51,7 @@
 		t.Errorf("got the Hello %+v, want that of b with session 1", got)
 	}
 	for range 5000 {
-		b.latest.Load().Send(&marshaler.Beat{Offset: 7})
+		b.latest.Load().Send(&marshaler.Heartbeat{Offset: 7})
 	}
 	b.latest.Load().Send(&marshaler.Configuration{Body: make([]byte, 100_000)})
 	eventually(t, "messages", func() bool { return a.messages.Load() == 5001 })
@@ -79,7 +79,7 @@
 	defer cancel()
 	a := newTestNode("a")
 	var failed atomic.Int64
-	a.OnFail = func(string, error) { failed.Add(1) }
+	a.OnConnectError = func(string, error) { failed.Add(1) }
 	address, err := a.Listen(ctx, "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -151,7 +151,7 @@
 	good, bad := newTestNode("good"), newTestNode("bad")
 	good.Connect(ctx, address)
 	eventually(t, "session", func() bool { return good.up.Load() == 1 })
-	bad.OnUp = func(s *Session) { s.Send(&marshaler.Beat{}) }
+	bad.OnConnect = func(s *Session) { s.Send(&marshaler.Heartbeat{}) }
 	bad.Connect(ctx, address)
 	eventually(t, "panic", func() bool { return panics.Load() > 0 })
 	for _, garbage := range []string{"\x00\x00\x00\x00", "\xff\xff\xff\xff", "\x00\x00\x00\x05\x01\xff\xff\xff\xff", "GET / HTTP/1.1\r\n\r\n"} {
@@ -164,7 +164,7 @@
 		}
 		_ = conn.Close() // the bytes are written
 	}
-	good.latest.Load().Send(&marshaler.Beat{})
+	good.latest.Load().Send(&marshaler.Heartbeat{})
 	eventually(t, "message of another session", func() bool { return a.messages.Load() == 1 })
 	if got := good.down.Load(); got != 0 {
 		t.Errorf("got %d disconnects of another session, want 0", got)
@@ -179,12 +179,12 @@
 func TestTraffic(t *testing.T) {
 	var traffic Traffic
 	s := newSession(nil, false, &traffic)
-	for _, m := range []marshaler.Message{&marshaler.Beat{Offset: 1}, &marshaler.Beat{}, &marshaler.Load{Accepting: true}} {
+	for _, m := range []marshaler.Message{&marshaler.Heartbeat{Offset: 1}, &marshaler.Heartbeat{}, &marshaler.Load{Accepting: true}} {
 		s.Send(m)
 	}
-	want := []Sent{{"beat", 2, uint64(len(marshaler.Append(nil, &marshaler.Beat{Offset: 1}))+len(marshaler.Append(nil, &marshaler.Beat{}))) + 2*headerSize},
+	want := []TypeStats{{"beat", 2, uint64(len(marshaler.Append(nil, &marshaler.Heartbeat{Offset: 1}))+len(marshaler.Append(nil, &marshaler.Heartbeat{}))) + 2*headerSize},
 		{"load", 1, uint64(len(marshaler.Append(nil, &marshaler.Load{Accepting: true}))) + headerSize}}
-	if got := traffic.Sent(); !slices.Equal(got, want) {
+	if got := traffic.Stats(); !slices.Equal(got, want) {
 		t.Errorf("got %v, want %v", got, want)
 	}
 	if got, want := marshaler.KindName(200), "type200"; got != want {
--- a/carrier/session.go
+++ b/connector/session.go
@@ -1,6 +1,6 @@
-// Package carrier maintains message sessions between processes over TCP. Messages are sent as length-prefixed frames, writes
+// Package connector maintains message sessions between processes over TCP. Messages are sent as length-prefixed frames, writes
 // are batched and never block the sender, and each side starts with a Hello.
-package carrier
+package connector
 
 import (
 	"bufio"
--- a/carrier/traffic.go
+++ b/connector/traffic.go
@@ -1,4 +1,4 @@
-package carrier
+package connector
 
 import (
 	"sync/atomic"
@@ -16,9 +16,9 @@
 		byType [messageTypes]typeCounters
 	}
 
-	// Sent is the number of messages of one type and of the bytes in their frames, without TCP overhead.
-	Sent struct {
-		Message  string
+	// TypeStats is the number of messages of one type and of the bytes in their frames, without TCP overhead.
+	TypeStats struct {
+		Type     string
 		Messages uint64
 		Bytes    uint64
 	}
@@ -35,11 +35,11 @@
 	k.bytes.Add(uint64(bytes))
 }
 
-// Sent returns the counters of all types of which messages were sent, ordered by type.
-func (t *Traffic) Sent() (all []Sent) {
+// Stats returns the counters of all types of which messages were sent, ordered by type.
+func (t *Traffic) Stats() (all []TypeStats) {
 	for kind := range t.byType {
 		if n := t.byType[kind].messages.Load(); n > 0 {
-			all = append(all, Sent{marshaler.KindName(byte(kind)), n, t.byType[kind].bytes.Load()})
+			all = append(all, TypeStats{marshaler.KindName(byte(kind)), n, t.byType[kind].bytes.Load()})
 		}
 	}
 	return all
--- a/follower/follower.go
+++ b/consumer/consumer.go
@@ -1,6 +1,6 @@
-// Package follower consumes a compacted topic of the platform's store: it reads the newest record of each key and then all
+// Package consumer consumes a compacted topic of the platform's store: it reads the newest record of each key and then all
 // later records.
-package follower
+package consumer
 
 import (
 	"context"
@@ -9,7 +9,7 @@
 
 	"github.com/gravitational/trace"
 
-	"github.com/crocuslb/crocuslb/catcher"
+	"github.com/crocuslb/crocuslb/recoverer"
 )
 
 const (
@@ -32,8 +32,8 @@
 		Next    uint64
 	}
 
-	// Follower consumes one topic. The fields must be set before Run is called.
-	Follower struct {
+	// Consumer consumes one topic. The fields must be set before Run is called.
+	Consumer struct {
 		// Newest returns the newest record of each key.
 		Newest func(ctx context.Context) (Page, error)
 		// Read returns the records from a position on, as a long poll if there are none yet. Its error satisfies
@@ -41,16 +41,16 @@
 		Read func(ctx context.Context, from uint64) (Page, error)
 		// Apply handles records in order. whole says that the page is a snapshot: keys without a record in it do not exist.
 		Apply func(p Page, whole bool)
-		// Lost and Regained report that the store has become unavailable or available, once per change.
-		Lost     func(err error)
-		Regained func()
+		// OnUnavailable and OnAvailable report that the store has become unavailable or available, once per change.
+		OnUnavailable func(err error)
+		OnAvailable   func()
 
 		unavailable bool
 	}
 )
 
 // Run consumes the topic until ctx is done.
-func (f *Follower) Run(ctx context.Context) {
+func (f *Consumer) Run(ctx context.Context) {
 	delay := minRetryDelay
 	var next uint64
 	known := false
@@ -67,7 +67,7 @@
 		delay = minRetryDelay
 		if f.unavailable {
 			f.unavailable = false
-			f.Regained()
+			f.OnAvailable()
 		}
 		if !known || len(page.Records) > 0 {
 			f.Apply(page, !known)
@@ -78,8 +78,8 @@
 
 // readNext reads the next records, or a snapshot if no position is known. It returns a panic in the handling of the store's
 // response as an error.
-func (f *Follower) readNext(ctx context.Context, next uint64, known bool) (page Page, err error) {
-	panicked := catcher.Catch(func() {
+func (f *Consumer) readNext(ctx context.Context, next uint64, known bool) (page Page, err error) {
+	panicked := recoverer.Call(func() {
 		if known {
 			page, err = f.Read(ctx, next)
 		} else {
@@ -93,13 +93,13 @@
 }
 
 // backOff reports the loss of the store and waits for a random time between half of delay and delay, which it doubles.
-func (f *Follower) backOff(ctx context.Context, err error, delay *time.Duration) {
+func (f *Consumer) backOff(ctx context.Context, err error, delay *time.Duration) {
 	if ctx.Err() != nil {
 		return
 	}
 	if !f.unavailable {
 		f.unavailable = true
-		f.Lost(err)
+		f.OnUnavailable(err)
 	}
 	select {
 	case <-ctx.Done():
--- a/follower/follower_test.go
+++ b/consumer/consumer_test.go
@@ -1,4 +1,4 @@
-package follower
+package consumer
 
 import (
 	"context"
@@ -47,12 +47,12 @@
 			}
 			return s.page, s.err
 		}
-		f := &Follower{
-			Newest:   func(context.Context) (Page, error) { return call("newest") },
-			Read:     func(context.Context, uint64) (Page, error) { return call("read") },
-			Apply:    func(p Page, w bool) { applied, whole = append(applied, p), append(whole, w) },
-			Lost:     func(error) { lost++ },
-			Regained: func() { regained++ },
+		f := &Consumer{
+			Newest:        func(context.Context) (Page, error) { return call("newest") },
+			Read:          func(context.Context, uint64) (Page, error) { return call("read") },
+			Apply:         func(p Page, w bool) { applied, whole = append(applied, p), append(whole, w) },
+			OnUnavailable: func(error) { lost++ },
+			OnAvailable:   func() { regained++ },
 		}
 		f.Run(ctx)
 		if !reflect.DeepEqual(applied, c.applied) || !reflect.DeepEqual(whole, c.whole) || lost != c.lost || regained != c.lost {
--- a/marshaler/append.go
+++ b/marshaler/append.go
@@ -29,7 +29,7 @@
 	kindOwnedPartitions
 	kindClaim
 	kindRelease
-	kindPartitionReport
+	kindCensus
 	kindOutcomeAck
 	kindCall
 	kindReply
@@ -49,10 +49,10 @@
 		dst = appender.AppendText(dst, 5, m.Address)
 		dst = appender.AppendUint(dst, 6, m.Weight)
 		return appender.AppendUint(dst, 7, m.Session)
-	case *Beat:
+	case *Heartbeat:
 		dst = appender.AppendUint(append(dst, kindHeartbeat), 1, m.Offset)
 		dst = appendBool(dst, 2, m.Leaving)
-		return appendBool(dst, 3, m.Kept)
+		return appendBool(dst, 3, m.DurableInUse)
 	case *Peers:
 		dst = append(dst, kindPeers)
 		for i := range m.Peers {
@@ -67,14 +67,14 @@
 		return appendRunKey(append(dst, kindStop), 1, &m.Run)
 	case *Outcome:
 		return appendOutcome(append(dst, kindOutcome), m)
-	case *Held:
+	case *ActiveRuns:
 		dst = append(dst, kindActiveRuns)
 		for i := range m.Runs {
 			dst = appendRunKey(dst, 1, &m.Runs[i])
 		}
 		return dst
-	case *Subscribe:
-		return appendBool(append(dst, kindLoadSubscription), 1, m.On)
+	case *LoadSubscription:
+		return appendBool(append(dst, kindLoadSubscription), 1, m.Enabled)
 	}
 	return appendPlacement(dst, m)
 }
@@ -84,17 +84,17 @@
 	switch m := m.(type) {
 	case *Backend:
 		dst = appender.AppendText(append(dst, kindBackend), 1, m.ID)
-		dst = appender.AppendUint(dst, 2, m.Born)
+		dst = appender.AppendUint(dst, 2, m.StartTime)
 		dst = appender.AppendText(dst, 3, m.Service)
 		for _, l := range m.Labels {
 			dst = appendBytes(dst, 4, []byte(l))
 		}
-		return appendResources(dst, 5, m.Total)
+		return appendResources(dst, 5, m.Capacity)
 	case *Load:
 		return appendLoad(append(dst, kindLoad), m)
-	case *Ask:
+	case *ResourceRequest:
 		return appendResourceRequest(append(dst, kindResourceRequest), m)
-	case *Withdraw:
+	case *CancelResourceRequest:
 		dst = appender.AppendText(append(dst, kindCancelResourceRequest), 1, m.Job)
 		return appender.AppendUint(dst, 2, m.Step)
 	case *Grant:
@@ -116,7 +116,7 @@
 	dst = appendRunKey(dst, 1, &m.Run)
 	dst = appender.AppendUint(dst, 2, uint64(m.Status))
 	dst = appender.AppendText(dst, 3, m.Reason)
-	dst = appendZigZag(dst, 4, int64(m.Ran))
+	dst = appendZigZag(dst, 4, int64(m.RunTime))
 	dst = appender.AppendUint(dst, 5, m.Number)
 	return appendBool(dst, 6, m.Stale)
 }
@@ -124,18 +124,18 @@
 func appendStart(dst []byte, m *Start) []byte {
 	dst = appendRunKey(dst, 1, &m.Run)
 	dst = appender.AppendText(dst, 2, m.Spec)
-	dst = appendResources(dst, 3, m.Room)
+	dst = appendResources(dst, 3, m.Resources)
 	dst = appendZigZag(dst, 4, int64(m.Estimate))
 	dst = appendZigZag(dst, 5, m.NotAfter)
 	return appender.AppendUint(dst, 6, m.Epoch)
 }
 
-func appendResourceRequest(dst []byte, m *Ask) []byte {
+func appendResourceRequest(dst []byte, m *ResourceRequest) []byte {
 	dst = appender.AppendText(dst, 1, m.Job)
 	dst = appender.AppendText(dst, 2, m.Service)
 	dst = appender.AppendText(dst, 3, m.Queue)
 	dst = appender.AppendUint(dst, 4, m.Tasks)
-	dst = appendResources(dst, 5, m.Room)
+	dst = appendResources(dst, 5, m.Resources)
 	dst = appendZigZag(dst, 6, int64(m.Estimate))
 	dst = appendZigZag(dst, 7, int64(m.Slack))
 	dst = appender.AppendUint(dst, 8, m.Priority)
@@ -146,11 +146,11 @@
 	dst = appender.AppendUint(dst, 11, m.Step)
 	dst = appender.AppendText(dst, 12, m.Label)
 	dst = appender.AppendText(dst, 13, m.Rack)
-	dst = appender.AppendUint(dst, 14, m.PerServer)
+	dst = appender.AppendUint(dst, 14, m.MaxPerServer)
 	for _, name := range m.Placed {
 		dst = appendBytes(dst, 15, []byte(name))
 	}
-	return appendZigZag(dst, 16, int64(m.Patience))
+	return appendZigZag(dst, 16, int64(m.MaxWait))
 }
 
 func appendLoad(dst []byte, m *Load) []byte {
@@ -159,17 +159,17 @@
 	dst = appendResources(dst, 3, m.Free)
 	dst = appendZigZag(dst, 4, m.Clock)
 	dst = appender.AppendUint(dst, 5, m.Speed)
-	for _, job := range m.Seen {
+	for _, job := range m.HandledStarts {
 		dst = appendBytes(dst, 6, []byte(job))
 	}
-	for i := range m.Settled {
-		s := &m.Settled[i]
+	for i := range m.CompletedRuns {
+		s := &m.CompletedRuns[i]
 		dst = appendNested(dst, 7, func(b []byte) []byte {
 			b = appender.AppendText(b, 1, s.Job)
 			b = appender.AppendUint(b, 2, uint64(s.Status))
-			b = appendZigZag(b, 3, int64(s.Ran))
+			b = appendZigZag(b, 3, int64(s.RunTime))
 			b = appendZigZag(b, 4, int64(s.Estimate))
-			return appendResources(b, 5, s.Room)
+			return appendResources(b, 5, s.Resources)
 		})
 	}
 	return dst
@@ -189,7 +189,7 @@
 	})
 }
 
-func appendResources(dst []byte, tag protowire.Number, r Room) []byte {
+func appendResources(dst []byte, tag protowire.Number, r Resources) []byte {
 	return appendNested(dst, tag, func(b []byte) []byte {
 		b = appendZigZag(b, 1, r.CPU)
 		b = appendZigZag(b, 2, r.MemoryMB)
--- a/marshaler/codec_test.go
+++ b/marshaler/codec_test.go
@@ -12,9 +12,9 @@
 
 func allMessages() []Message {
 	return []Message{
-		&Hello{}, &Beat{}, &Peers{}, &Configuration{}, &Backend{}, &Load{}, &Start{}, &Stop{}, &Outcome{}, &Held{}, &Subscribe{},
-		&Ask{}, &Withdraw{}, &Grant{}, &Reject{}, &JobRecord{}, &EndRecord{}, &CancelRecord{}, &Owned{}, &Claim{}, &Release{}, &Census{},
-		&Noted{}, &Call{}, &Reply{}, &Waiting{}, &OwnerRecord{}, &Handover{},
+		&Hello{}, &Heartbeat{}, &Peers{}, &Configuration{}, &Backend{}, &Load{}, &Start{}, &Stop{}, &Outcome{}, &ActiveRuns{}, &LoadSubscription{},
+		&ResourceRequest{}, &CancelResourceRequest{}, &Grant{}, &Reject{}, &JobRecord{}, &EndRecord{}, &CancelRecord{}, &OwnedPartitions{}, &Claim{}, &Release{}, &Census{},
+		&OutcomeAck{}, &Call{}, &Reply{}, &QueueBacklog{}, &OwnerRecord{}, &Handover{},
 	}
 }
 
@@ -37,7 +37,7 @@
 			fillRandom(t, v.Index(i))
 		}
 	case reflect.String:
-		v.SetString(rapid.StringN(0, 20, MaxName).Draw(t, "text"))
+		v.SetString(rapid.StringN(0, 20, MaxNameLen).Draw(t, "text"))
 	case reflect.Bool:
 		v.SetBool(rapid.Bool().Draw(t, "flag"))
 	case reflect.Int64:
@@ -98,7 +98,7 @@
 	}{
 		{"empty", nil}, {"unknown type", []byte{200}}, {"truncated", start[:len(start)-1]}, {"truncated in the key", start[:4]},
 		{"wrong wire type", []byte{kindHeartbeat, 0x0d, 1, 2, 3, 4}}, {"text for a number", []byte{kindHeartbeat, 0x0a, 1, 'x'}},
-		{"name too long", Append(nil, &Withdraw{Job: string(make([]byte, MaxName+1))})},
+		{"name too long", Append(nil, &CancelResourceRequest{Job: string(make([]byte, MaxNameLen+1))})},
 	}
 	for _, c := range cases {
 		if m, err := Decode(c.frame); err == nil {
--- a/marshaler/decode.go
+++ b/marshaler/decode.go
@@ -32,7 +32,7 @@
 		m := &Hello{}
 		return m, m.setField
 	case kindHeartbeat:
-		m := &Beat{}
+		m := &Heartbeat{}
 		return m, m.setField
 	case kindPeers:
 		m := &Peers{}
@@ -56,16 +56,16 @@
 		m := &Outcome{}
 		return m, m.setField
 	case kindActiveRuns:
-		m := &Held{}
+		m := &ActiveRuns{}
 		return m, m.setField
 	case kindLoadSubscription:
-		m := &Subscribe{}
-		return m, func(f appender.Field) error { return setBool(f, &m.On) }
+		m := &LoadSubscription{}
+		return m, func(f appender.Field) error { return setBool(f, &m.Enabled) }
 	case kindResourceRequest:
-		m := &Ask{}
+		m := &ResourceRequest{}
 		return m, m.setField
 	case kindCancelResourceRequest:
-		m := &Withdraw{}
+		m := &CancelResourceRequest{}
 		return m, m.setField
 	case kindGrant:
 		m := &Grant{}
@@ -82,13 +82,13 @@
 	case 1:
 		return setUint8(f, &m.Role)
 	case 2:
-		return f.Text(&m.Name, MaxName)
+		return f.Text(&m.Name, MaxNameLen)
 	case 3:
 		return f.Uint(&m.Incarnation)
 	case 4:
-		return f.Text(&m.Domain, MaxName)
+		return f.Text(&m.Domain, MaxNameLen)
 	case 5:
-		return f.Text(&m.Address, MaxName)
+		return f.Text(&m.Address, MaxNameLen)
 	case 6:
 		return f.Uint(&m.Weight)
 	case 7:
@@ -97,14 +97,14 @@
 	return nil
 }
 
-func (m *Beat) setField(f appender.Field) error {
+func (m *Heartbeat) setField(f appender.Field) error {
 	switch f.Tag {
 	case 1:
 		return f.Uint(&m.Offset)
 	case 2:
 		return setBool(f, &m.Leaving)
 	case 3:
-		return setBool(f, &m.Kept)
+		return setBool(f, &m.DurableInUse)
 	}
 	return nil
 }
@@ -120,9 +120,9 @@
 	return decodeNested(f, func(f appender.Field) error {
 		switch f.Tag {
 		case 1:
-			return f.Text(&p.Name, MaxName)
+			return f.Text(&p.Name, MaxNameLen)
 		case 2:
-			return f.Text(&p.Address, MaxName)
+			return f.Text(&p.Address, MaxNameLen)
 		case 3:
 			return f.Uint(&p.Incarnation)
 		}
@@ -142,15 +142,15 @@
 func (m *Backend) setField(f appender.Field) error {
 	switch f.Tag {
 	case 1:
-		return f.Text(&m.ID, MaxName)
+		return f.Text(&m.ID, MaxNameLen)
 	case 2:
-		return f.Uint(&m.Born)
+		return f.Uint(&m.StartTime)
 	case 3:
-		return f.Text(&m.Service, MaxName)
+		return f.Text(&m.Service, MaxNameLen)
 	case 4:
 		return appendDecodedText(f, &m.Labels)
 	case 5:
-		return setResources(f, &m.Total)
+		return setResources(f, &m.Capacity)
 	}
 	return nil
 }
@@ -168,9 +168,9 @@
 	case 5:
 		return f.Uint(&m.Speed)
 	case 6:
-		return appendDecodedText(f, &m.Seen)
+		return appendDecodedText(f, &m.HandledStarts)
 	case 7:
-		s, err := appendZero(&m.Settled)
+		s, err := appendZero(&m.CompletedRuns)
 		if err != nil {
 			return err
 		}
@@ -179,18 +179,18 @@
 	return nil
 }
 
-func (s *Settled) setField(f appender.Field) error {
+func (s *CompletedRun) setField(f appender.Field) error {
 	switch f.Tag {
 	case 1:
-		return f.Text(&s.Job, MaxName)
+		return f.Text(&s.Job, MaxNameLen)
 	case 2:
 		return setUint8(f, &s.Status)
 	case 3:
-		return setMillis(f, &s.Ran)
+		return setMillis(f, &s.RunTime)
 	case 4:
 		return setMillis(f, &s.Estimate)
 	case 5:
-		return setResources(f, &s.Room)
+		return setResources(f, &s.Resources)
 	}
 	return nil
 }
@@ -200,9 +200,9 @@
 	case 1:
 		return setRunKey(f, &m.Run)
 	case 2:
-		return f.Text(&m.Spec, MaxSpec)
+		return f.Text(&m.Spec, MaxSpecLen)
 	case 3:
-		return setResources(f, &m.Room)
+		return setResources(f, &m.Resources)
 	case 4:
 		return setMillis(f, &m.Estimate)
 	case 5:
@@ -220,9 +220,9 @@
 	case 2:
 		return setUint8(f, &m.Status)
 	case 3:
-		return f.Text(&m.Reason, MaxName)
+		return f.Text(&m.Reason, MaxNameLen)
 	case 4:
-		return setMillis(f, &m.Ran)
+		return setMillis(f, &m.RunTime)
 	case 5:
 		return f.Uint(&m.Number)
 	case 6:
@@ -231,7 +231,7 @@
 	return nil
 }
 
-func (m *Held) setField(f appender.Field) error {
+func (m *ActiveRuns) setField(f appender.Field) error {
 	if f.Tag != 1 {
 		return nil
 	}
@@ -242,18 +242,18 @@
 	return setRunKey(f, r)
 }
 
-func (m *Ask) setField(f appender.Field) error {
+func (m *ResourceRequest) setField(f appender.Field) error {
 	switch f.Tag {
 	case 1:
-		return f.Text(&m.Job, MaxName)
+		return f.Text(&m.Job, MaxNameLen)
 	case 2:
-		return f.Text(&m.Service, MaxName)
+		return f.Text(&m.Service, MaxNameLen)
 	case 3:
-		return f.Text(&m.Queue, MaxName)
+		return f.Text(&m.Queue, MaxNameLen)
 	case 4:
 		return f.Uint(&m.Tasks)
 	case 5:
-		return setResources(f, &m.Room)
+		return setResources(f, &m.Resources)
 	case 6:
 		return setMillis(f, &m.Estimate)
 	case 7:
@@ -267,23 +267,23 @@
 	case 11:
 		return f.Uint(&m.Step)
 	case 12:
-		return f.Text(&m.Label, MaxName)
+		return f.Text(&m.Label, MaxNameLen)
 	case 13:
-		return f.Text(&m.Rack, MaxName)
+		return f.Text(&m.Rack, MaxNameLen)
 	case 14:
-		return f.Uint(&m.PerServer)
+		return f.Uint(&m.MaxPerServer)
 	case 15:
 		return appendDecodedText(f, &m.Placed)
 	case 16:
-		return setMillis(f, &m.Patience)
+		return setMillis(f, &m.MaxWait)
 	}
 	return nil
 }
 
-func (m *Withdraw) setField(f appender.Field) error {
+func (m *CancelResourceRequest) setField(f appender.Field) error {
 	switch f.Tag {
 	case 1:
-		return f.Text(&m.Job, MaxName)
+		return f.Text(&m.Job, MaxNameLen)
 	case 2:
 		return f.Uint(&m.Step)
 	}
@@ -293,7 +293,7 @@
 func (m *Grant) setField(f appender.Field) error {
 	switch f.Tag {
 	case 1:
-		return f.Text(&m.Job, MaxName)
+		return f.Text(&m.Job, MaxNameLen)
 	case 2:
 		return appendDecodedText(f, &m.Sidecars)
 	case 3:
@@ -305,9 +305,9 @@
 func (m *Reject) setField(f appender.Field) error {
 	switch f.Tag {
 	case 1:
-		return f.Text(&m.Job, MaxName)
+		return f.Text(&m.Job, MaxNameLen)
 	case 2:
-		return f.Text(&m.Reason, MaxName)
+		return f.Text(&m.Reason, MaxNameLen)
 	case 3:
 		return setMillis(f, &m.RetryAfter)
 	case 4:
@@ -331,7 +331,7 @@
 	return decodeNested(f, func(f appender.Field) error {
 		switch f.Tag {
 		case 1:
-			return f.Text(&r.Job, MaxName)
+			return f.Text(&r.Job, MaxNameLen)
 		case 2:
 			return f.Uint(&r.Index)
 		case 3:
@@ -341,7 +341,7 @@
 	})
 }
 
-func setResources(f appender.Field, r *Room) error {
+func setResources(f appender.Field, r *Resources) error {
 	return decodeNested(f, func(f appender.Field) error {
 		switch f.Tag {
 		case 1:
@@ -393,13 +393,13 @@
 	if err != nil {
 		return err
 	}
-	return f.Text(s, MaxName)
+	return f.Text(s, MaxNameLen)
 }
 
 // appendZero appends a zero element, which the caller decodes into.
 func appendZero[T any](list *[]T) (*T, error) {
-	if len(*list) >= MaxList {
-		return nil, trace.LimitExceeded("list exceeds %d elements", MaxList)
+	if len(*list) >= MaxListLen {
+		return nil, trace.LimitExceeded("list exceeds %d elements", MaxListLen)
 	}
 	var zero T
 	*list = append(*list, zero)
--- a/marshaler/durable.go
+++ b/marshaler/durable.go
@@ -21,17 +21,17 @@
 
 	// Step is a group of identical tasks of a job.
 	Step struct {
-		Tasks    uint64
-		Room     Room         // of each task
-		Estimate timer.Millis // of each task's run time
+		Tasks     uint64
+		Resources Resources    // of each task
+		Estimate  timer.Millis // of each task's run time
 		// After lists the indexes of earlier steps whose tasks must all be done before a task of this step starts.
 		After []uint64
 		// Label is the required label of the backend server; empty for none.
 		Label string
 		// Rack is the rack on which the tasks run fastest; empty for none.
 		Rack string
-		// PerServer is the maximum number of tasks of the step on one backend server; 0 means no limit.
-		PerServer uint64
+		// MaxPerServer is the maximum number of tasks of the step on one backend server; 0 means no limit.
+		MaxPerServer uint64
 	}
 
 	// JobRecord is the complete state of a durable job in the store. It is written when the job is accepted, and again
@@ -76,9 +76,9 @@
 		Previous uint64 // epoch of the previous owner; 0 if unknown
 	}
 
-	// Owned lists the partitions that the sender owns. It is sent to the other entries when a session opens and after each
+	// OwnedPartitions lists the partitions that the sender owns. It is sent to the other entries when a session opens and after each
 	// change.
-	Owned struct{ Partitions []Partition }
+	OwnedPartitions struct{ Partitions []Partition }
 
 	// Claim tells a sidecar which partitions the sender owns. The sidecar transfers the runs of earlier owners to the sender
 	// and replies with one report per partition.
@@ -101,9 +101,9 @@
 		Ends      []Outcome
 	}
 
-	// Noted acknowledges an end: it is recorded and need not be listed again. Void means that the end must not count: the
+	// OutcomeAck acknowledges an end: it is recorded and need not be listed again. Void means that the end must not count: the
 	// task was started again because its end could not be determined.
-	Noted struct {
+	OutcomeAck struct {
 		Number uint64
 		Run    RunKey
 		Void   bool
@@ -126,8 +126,8 @@
 		RetryAfter timer.Millis
 	}
 
-	// Waiting tells another entry how many durable jobs of a queue have not started yet at the sender.
-	Waiting struct {
+	// QueueBacklog tells another entry how many durable jobs of a queue have not started yet at the sender.
+	QueueBacklog struct {
 		Queue string
 		Jobs  uint64
 	}
--- a/marshaler/durablecodec.go
+++ b/marshaler/durablecodec.go
@@ -20,7 +20,7 @@
 		return appender.AppendUint(append(dst, kindOwnerRecord), 1, m.Epoch)
 	case *CancelRecord:
 		return appender.AppendText(append(dst, kindCancelRecord), 1, m.Job)
-	case *Owned:
+	case *OwnedPartitions:
 		return appendPartitions(append(dst, kindOwnedPartitions), m.Partitions)
 	case *Claim:
 		return appendPartitions(append(dst, kindClaim), m.Partitions)
@@ -33,8 +33,8 @@
 		}
 		return dst
 	case *Census:
-		return appendPartitionReport(append(dst, kindPartitionReport), m)
-	case *Noted:
+		return appendPartitionReport(append(dst, kindCensus), m)
+	case *OutcomeAck:
 		dst = appender.AppendUint(append(dst, kindOutcomeAck), 1, m.Number)
 		dst = appendRunKey(dst, 2, &m.Run)
 		return appendBool(dst, 3, m.Void)
@@ -49,7 +49,7 @@
 		dst = appender.AppendUint(dst, 2, uint64(m.Kind))
 		dst = appender.AppendText(dst, 3, m.Reason)
 		return appendZigZag(dst, 4, int64(m.RetryAfter))
-	case *Waiting:
+	case *QueueBacklog:
 		dst = appender.AppendText(append(dst, kindQueueBacklog), 1, m.Queue)
 		return appender.AppendUint(dst, 2, m.Jobs)
 	}
@@ -80,14 +80,14 @@
 
 func appendStep(b []byte, s *Step) []byte {
 	b = appender.AppendUint(b, 1, s.Tasks)
-	b = appendResources(b, 2, s.Room)
+	b = appendResources(b, 2, s.Resources)
 	b = appendZigZag(b, 3, int64(s.Estimate))
 	for _, n := range s.After {
 		b = protowire.AppendVarint(protowire.AppendTag(b, 4, protowire.VarintType), n)
 	}
 	b = appender.AppendText(b, 5, s.Label)
 	b = appender.AppendText(b, 6, s.Rack)
-	return appender.AppendUint(b, 7, s.PerServer)
+	return appender.AppendUint(b, 7, s.MaxPerServer)
 }
 
 func appendPartitions(dst []byte, list []Partition) []byte {
@@ -127,9 +127,9 @@
 		return m, m.setField
 	case kindCancelRecord:
 		m := &CancelRecord{}
-		return m, func(f appender.Field) error { return f.Text(&m.Job, MaxName) }
+		return m, func(f appender.Field) error { return f.Text(&m.Job, MaxNameLen) }
 	case kindOwnedPartitions:
-		m := &Owned{}
+		m := &OwnedPartitions{}
 		return m, func(f appender.Field) error { return appendDecodedPartition(f, &m.Partitions) }
 	case kindClaim:
 		m := &Claim{}
@@ -140,11 +140,11 @@
 	case kindHandover:
 		m := &Handover{}
 		return m, m.setField
-	case kindPartitionReport:
+	case kindCensus:
 		m := &Census{}
 		return m, m.setField
 	case kindOutcomeAck:
-		m := &Noted{}
+		m := &OutcomeAck{}
 		return m, m.setField
 	case kindCall:
 		m := &Call{}
@@ -156,7 +156,7 @@
 		m := &OwnerRecord{}
 		return m, func(f appender.Field) error { return f.Uint(&m.Epoch) }
 	case kindQueueBacklog:
-		m := &Waiting{}
+		m := &QueueBacklog{}
 		return m, m.setField
 	}
 	return nil, nil
@@ -165,17 +165,17 @@
 func (m *JobRecord) setField(f appender.Field) error {
 	switch f.Tag {
 	case 1:
-		return f.Text(&m.ID, MaxName)
+		return f.Text(&m.ID, MaxNameLen)
 	case 2:
-		return f.Text(&m.Queue, MaxName)
+		return f.Text(&m.Queue, MaxNameLen)
 	case 3:
-		return f.Text(&m.Service, MaxName)
+		return f.Text(&m.Service, MaxNameLen)
 	case 4:
 		return f.Uint(&m.Attempts)
 	case 5:
 		return f.Uint(&m.Priority)
 	case 6:
-		return f.Text(&m.Spec, MaxSpec)
+		return f.Text(&m.Spec, MaxSpecLen)
 	case 7:
 		s, err := appendZero(&m.Steps)
 		if err != nil {
@@ -199,7 +199,7 @@
 	case 1:
 		return f.Uint(&s.Tasks)
 	case 2:
-		return setResources(f, &s.Room)
+		return setResources(f, &s.Resources)
 	case 3:
 		return setMillis(f, &s.Estimate)
 	case 4:
@@ -209,11 +209,11 @@
 		}
 		return f.Uint(n)
 	case 5:
-		return f.Text(&s.Label, MaxName)
+		return f.Text(&s.Label, MaxNameLen)
 	case 6:
-		return f.Text(&s.Rack, MaxName)
+		return f.Text(&s.Rack, MaxNameLen)
 	case 7:
-		return f.Uint(&s.PerServer)
+		return f.Uint(&s.MaxPerServer)
 	}
 	return nil
 }
@@ -296,7 +296,7 @@
 	return nil
 }
 
-func (m *Noted) setField(f appender.Field) error {
+func (m *OutcomeAck) setField(f appender.Field) error {
 	switch f.Tag {
 	case 1:
 		return f.Uint(&m.Number)
@@ -315,9 +315,9 @@
 	case 2:
 		return setUint8(f, &m.Verb)
 	case 3:
-		return f.Text(&m.Job, MaxName)
+		return f.Text(&m.Job, MaxNameLen)
 	case 4:
-		return f.Text(&m.Queue, MaxName)
+		return f.Text(&m.Queue, MaxNameLen)
 	case 5:
 		b, err := f.Message(maxNestedLen)
 		m.Body = append([]byte(nil), b...)
@@ -333,17 +333,17 @@
 	case 2:
 		return setUint8(f, &m.Kind)
 	case 3:
-		return f.Text(&m.Reason, MaxName)
+		return f.Text(&m.Reason, MaxNameLen)
 	case 4:
 		return setMillis(f, &m.RetryAfter)
 	}
 	return nil
 }
 
-func (m *Waiting) setField(f appender.Field) error {
+func (m *QueueBacklog) setField(f appender.Field) error {
 	switch f.Tag {
 	case 1:
-		return f.Text(&m.Queue, MaxName)
+		return f.Text(&m.Queue, MaxNameLen)
 	case 2:
 		return f.Uint(&m.Jobs)
 	}
--- a/marshaler/kindname.go
+++ b/marshaler/kindname.go
@@ -25,7 +25,7 @@
 	kindOwnedPartitions:       "owned",
 	kindClaim:                 "claim",
 	kindRelease:               "release",
-	kindPartitionReport:       "census",
+	kindCensus:                "census",
 	kindOutcomeAck:            "noted",
 	kindCall:                  "call",
 	kindReply:                 "reply",
--- a/marshaler/link.go
+++ b/marshaler/link.go
@@ -3,13 +3,13 @@
 import "github.com/crocuslb/crocuslb/timer"
 
 const (
-	// IdleBeatPeriod is the heartbeat interval of an idle session, on which no work depends at present. Most sessions are
+	// IdleHeartbeatInterval is the heartbeat interval of an idle session, on which no work depends at present. Most sessions are
 	// idle, and their number grows with the number of entries times the number of sidecars.
-	IdleBeatPeriod = 600 * timer.Millisecond
-	// IdleSilenceLimit is the time without a message after which the peer of an idle session is considered lost.
-	IdleSilenceLimit = 1400 * timer.Millisecond
-	// PauseLimit is the time between two ticks from which a process assumes that it was paused. Ticks are 25 ms apart.
-	PauseLimit = 100 * timer.Millisecond
+	IdleHeartbeatInterval = 600 * timer.Millisecond
+	// IdleTimeout is the time without a message after which the peer of an idle session is considered lost.
+	IdleTimeout = 1400 * timer.Millisecond
+	// PauseThreshold is the time between two ticks from which a process assumes that it was paused. Ticks are 25 ms apart.
+	PauseThreshold = 100 * timer.Millisecond
 )
 
 // Link is the sending side of a session. Its functions never block.
--- a/marshaler/messages.go
+++ b/marshaler/messages.go
@@ -25,19 +25,19 @@
 	StatusStalled
 	// StatusRefused means that the run was not started and will not be.
 	StatusRefused
-	// StatusOld means that the run was not started because the backend server has already seen this attempt of the task or
+	// StatusSuperseded means that the run was not started because the backend server has already seen this attempt of the task or
 	// a later one.
-	StatusOld
+	StatusSuperseded
 )
 
 // Field limits, enforced when decoding.
 const (
-	// MaxName is the maximum length in bytes of a name, address, label or reason.
-	MaxName = 255
-	// MaxSpec is the maximum length of a task specification in bytes.
-	MaxSpec = 64 << 10
-	// MaxList is the maximum number of elements in a list.
-	MaxList = 16384
+	// MaxNameLen is the maximum length in bytes of a name, address, label or reason.
+	MaxNameLen = 255
+	// MaxSpecLen is the maximum length of a task specification in bytes.
+	MaxSpecLen = 64 << 10
+	// MaxListLen is the maximum number of elements in a list.
+	MaxListLen = 16384
 )
 
 type (
@@ -50,8 +50,8 @@
 	// Message is a pointer to one of this package's message types.
 	Message any
 
-	// Room is an amount of resources of a worker or a task.
-	Room struct {
+	// Resources is an amount of resources of a worker or a task.
+	Resources struct {
 		CPU          int64 // millicores
 		MemoryMB     int64
 		Accelerators int64
@@ -82,12 +82,12 @@
 		Session     uint64 // increases with each session that the process opens
 	}
 
-	// Beat is a heartbeat.
-	Beat struct {
+	// Heartbeat is a heartbeat.
+	Heartbeat struct {
 		Offset  uint64 // store offset of the sender's configuration
 		Leaving bool   // the sender is shutting down and accepts no new work
-		// Kept is set when durable jobs are in use or when the sender does not know yet whether they are.
-		Kept bool
+		// DurableInUse is set when durable jobs are in use or when the sender does not know yet whether they are.
+		DurableInUse bool
 	}
 
 	// Peers lists the entries known to the sender.
@@ -98,39 +98,39 @@
 
 	// Backend describes the sidecar's backend server. It is sent when a session opens and whenever a field changes.
 	Backend struct {
-		ID      string
-		Born    uint64 // start time of the backend server in Unix milliseconds
-		Service string
-		Labels  []string
-		Total   Room
+		ID        string
+		StartTime uint64 // start time of the backend server in Unix milliseconds
+		Service   string
+		Labels    []string
+		Capacity  Resources
 	}
 
 	// Load reports a sidecar's free resources and the runs that ended. It also serves as the sidecar's heartbeat.
 	Load struct {
-		Offset    uint64
-		Accepting bool
-		Free      Room
-		Clock     int64    // the backend server's clock in milliseconds
-		Speed     uint64   // thousandths of the speed that run time estimates assume
-		Seen      []string // job of each start handled since the previous report on this session
-		Settled   []Settled
+		Offset        uint64
+		Accepting     bool
+		Free          Resources
+		Clock         int64    // the backend server's clock in milliseconds
+		Speed         uint64   // thousandths of the speed that run time estimates assume
+		HandledStarts []string // job of each start handled since the previous report on this session
+		CompletedRuns []CompletedRun
 	}
 
-	// Settled describes a run that ended. Receivers use it to track failures and run times.
-	Settled struct {
-		Job      string
-		Status   Status
-		Ran      timer.Millis
-		Estimate timer.Millis
-		Room     Room
+	// CompletedRun describes a run that ended. Receivers use it to track failures and run times.
+	CompletedRun struct {
+		Job       string
+		Status    Status
+		RunTime   timer.Millis
+		Estimate  timer.Millis
+		Resources Resources
 	}
 
 	// Start tells a sidecar to run a task.
 	Start struct {
-		Run      RunKey
-		Spec     string
-		Room     Room
-		Estimate timer.Millis
+		Run       RunKey
+		Spec      string
+		Resources Resources
+		Estimate  timer.Millis
 		// NotAfter is the time on the backend server's clock, in milliseconds, after which the start is refused.
 		NotAfter int64
 		// Epoch is the epoch under which the sender owns the job's partition; 0 for a job that is not durable.
@@ -142,10 +142,10 @@
 
 	// Outcome reports the end of an attempt to the entry that requested it.
 	Outcome struct {
-		Run    RunKey
-		Status Status
-		Reason string
-		Ran    timer.Millis
+		Run     RunKey
+		Status  Status
+		Reason  string
+		RunTime timer.Millis
 		// Number is the number that the backend server gave to this end. The backend server lists the end until the entry
 		// has acknowledged it. It is 0 when no acknowledgement is needed.
 		Number uint64
@@ -154,39 +154,39 @@
 		Stale bool
 	}
 
-	// Held lists the receiving entry's attempts that the sidecar still has. It is sent when a session opens.
+	// ActiveRuns lists the receiving entry's attempts that the sidecar still has. It is sent when a session opens.
 	// Attempts from earlier sessions that are not listed are known to have ended.
-	Held struct{ Runs []RunKey }
-
-	// Subscribe asks a sidecar to report its load whenever a run ends instead of only with each heartbeat.
-	Subscribe struct{ On bool }
-
-	// Ask requests resources for tasks of one step of a job from the placing entry.
-	Ask struct {
-		Job      string
-		Service  string
-		Queue    string
-		Tasks    uint64
-		Room     Room
-		Estimate timer.Millis
-		Slack    timer.Millis // time until the latest start that meets the expected response time
-		Priority uint64
-		Started  bool     // a task of the job has started, so the request is not refused
-		Avoid    []string // sidecars that failed a task of the job or that the requesting entry cannot reach
-		Step     uint64   // index of the step within the job
-		Label    string   // required label of the backend server; empty for none
-		Rack     string   // rack on which the tasks run fastest; empty for none
-		// PerServer is the maximum number of tasks of the step on one backend server; 0 means no limit. Placed lists the
+	ActiveRuns struct{ Runs []RunKey }
+
+	// LoadSubscription asks a sidecar to report its load whenever a run ends instead of only with each heartbeat.
+	LoadSubscription struct{ Enabled bool }
+
+	// ResourceRequest requests resources for tasks of one step of a job from the placing entry.
+	ResourceRequest struct {
+		Job       string
+		Service   string
+		Queue     string
+		Tasks     uint64
+		Resources Resources
+		Estimate  timer.Millis
+		Slack     timer.Millis // time until the latest start that meets the expected response time
+		Priority  uint64
+		Started   bool     // a task of the job has started, so the request is not refused
+		Avoid     []string // sidecars that failed a task of the job or that the requesting entry cannot reach
+		Step      uint64   // index of the step within the job
+		Label     string   // required label of the backend server; empty for none
+		Rack      string   // rack on which the tasks run fastest; empty for none
+		// MaxPerServer is the maximum number of tasks of the step on one backend server; 0 means no limit. Placed lists the
 		// sidecars of tasks that are already placed, with one element per task.
-		PerServer uint64
-		Placed    []string
-		// Patience is the maximum time that the request may wait when the expected response time can no longer be met. It is
+		MaxPerServer uint64
+		Placed       []string
+		// MaxWait is the maximum time that the request may wait when the expected response time can no longer be met. It is
 		// at least Slack; 0 means Slack.
-		Patience timer.Millis
+		MaxWait timer.Millis
 	}
 
-	// Withdraw cancels the part of a resource request that is not granted yet.
-	Withdraw struct {
+	// CancelResourceRequest cancels the part of a resource request that is not granted yet.
+	CancelResourceRequest struct {
 		Job  string
 		Step uint64
 	}
@@ -219,17 +219,17 @@
 }
 
 // Add returns the sum of r and o.
-func (r Room) Add(o Room) Room {
-	return Room{r.CPU + o.CPU, r.MemoryMB + o.MemoryMB, r.Accelerators + o.Accelerators}
+func (r Resources) Add(o Resources) Resources {
+	return Resources{r.CPU + o.CPU, r.MemoryMB + o.MemoryMB, r.Accelerators + o.Accelerators}
 }
 
 // Sub returns r minus o.
-func (r Room) Sub(o Room) Room {
-	return Room{r.CPU - o.CPU, r.MemoryMB - o.MemoryMB, r.Accelerators - o.Accelerators}
+func (r Resources) Sub(o Resources) Resources {
+	return Resources{r.CPU - o.CPU, r.MemoryMB - o.MemoryMB, r.Accelerators - o.Accelerators}
 }
 
-// Holds reports whether r has at least the resources o.
-func (r Room) Holds(o Room) bool {
+// Contains reports whether r has at least the resources o.
+func (r Resources) Contains(o Resources) bool {
 	return r.CPU >= o.CPU && r.MemoryMB >= o.MemoryMB && r.Accelerators >= o.Accelerators
 }
 
--- a/marshaler/sorted.go
+++ b/marshaler/sorted.go
@@ -8,9 +8,9 @@
 	"strings"
 )
 
-// InOrder iterates over a map in key order, so that decisions do not depend on Go's random map iteration order. The loop
+// SortedByKey iterates over a map in key order, so that decisions do not depend on Go's random map iteration order. The loop
 // body may delete entries; deleted ones are not visited.
-func InOrder[K cmp.Ordered, V any](m map[K]V) iter.Seq2[K, V] {
+func SortedByKey[K cmp.Ordered, V any](m map[K]V) iter.Seq2[K, V] {
 	return func(yield func(K, V) bool) {
 		for _, key := range slices.Sorted(maps.Keys(m)) {
 			if v, ok := m[key]; ok && !yield(key, v) {
@@ -20,8 +20,8 @@
 	}
 }
 
-// RunsInOrder returns the sorted keys of a map of runs.
-func RunsInOrder[V any](m map[RunKey]V) []RunKey {
+// SortedRunKeys returns the sorted keys of a map of runs.
+func SortedRunKeys[V any](m map[RunKey]V) []RunKey {
 	return slices.SortedFunc(maps.Keys(m), RunKey.Compare)
 }
 
--- a/placer/constraints.go
+++ b/placer/constraints.go
@@ -19,8 +19,8 @@
 	placed    map[string]int // number of tasks by worker, if perServer is set
 }
 
-func newConstraints(a *marshaler.Ask) placementConstraints {
-	c := placementConstraints{label: a.Label, rack: a.Rack, perServer: int(a.PerServer)}
+func newConstraints(a *marshaler.ResourceRequest) placementConstraints {
+	c := placementConstraints{label: a.Label, rack: a.Rack, perServer: int(a.MaxPerServer)}
 	if c.perServer > 0 {
 		c.placed = map[string]int{}
 		for _, name := range a.Placed {
--- a/placer/placer.go
+++ b/placer/placer.go
@@ -74,7 +74,7 @@
 		})
 		p.workersByName = slices.Insert(p.workersByName, i, w)
 	}
-	w.domain, w.service, w.labels, w.total = domain, b.Service, b.Labels, b.Total
+	w.domain, w.service, w.labels, w.total = domain, b.Service, b.Labels, b.Capacity
 }
 
 // RemoveWorker removes a worker.
@@ -96,19 +96,19 @@
 	if w == nil {
 		return
 	}
-	for _, job := range l.Seen {
+	for _, job := range l.HandledStarts {
 		w.releaseReservation(job)
 	}
 	w.reportedFree, w.accepting, w.speed = l.Free, l.Accepting, float64(l.Speed)
 	w.updateFree()
-	for _, s := range l.Settled {
+	for _, s := range l.CompletedRuns {
 		p.recordOutcome(now, w, s)
 	}
 }
 
-// Ask queues or refuses a resource request. A repeated request adds its tasks to the queued one and replaces its
+// Request queues or refuses a resource request. A repeated request adds its tasks to the queued one and replaces its
 // constraints.
-func (p *Placer) Ask(now timer.Millis, entry, domain string, a *marshaler.Ask) {
+func (p *Placer) Request(now timer.Millis, entry, domain string, a *marshaler.ResourceRequest) {
 	key := requestKey{entry, a.Job, a.Step}
 	if r := p.requests[key]; r != nil {
 		p.dequeue(r)
@@ -120,8 +120,8 @@
 		return
 	}
 	r := &request{
-		key: key, domain: domain, service: a.Service, resources: a.Room, estimate: a.Estimate, remaining: a.Tasks,
-		softDeadline: now + a.Slack, hardDeadline: now + max(a.Slack, a.Patience), started: a.Started, arrived: now, avoided: a.Avoid,
+		key: key, domain: domain, service: a.Service, resources: a.Resources, estimate: a.Estimate, remaining: a.Tasks,
+		softDeadline: now + a.Slack, hardDeadline: now + max(a.Slack, a.MaxWait), started: a.Started, arrived: now, avoided: a.Avoid,
 		constraints: newConstraints(a),
 	}
 	if p.firstRequestAt == 0 {
@@ -138,15 +138,15 @@
 	p.enqueue(r)
 }
 
-// Withdraw removes a request from the queue. Grants already made stay valid.
-func (p *Placer) Withdraw(entry, job string, step uint64) {
+// Cancel removes a request from the queue. Grants already made stay valid.
+func (p *Placer) Cancel(entry, job string, step uint64) {
 	if r := p.requests[requestKey{entry, job, step}]; r != nil {
 		p.dequeue(r)
 	}
 }
 
-// Forget removes all requests of an entry from the queue.
-func (p *Placer) Forget(entry string) {
+// RemoveEntry removes all requests of an entry from the queue.
+func (p *Placer) RemoveEntry(entry string) {
 	for _, r := range slices.Clone(p.queue) {
 		if r.key.entry == entry {
 			p.dequeue(r)
@@ -154,16 +154,16 @@
 	}
 }
 
-// Leave rejects all queued requests with ReasonMoved, so that the entries send them to another placing entry.
-func (p *Placer) Leave() {
+// RejectAll rejects all queued requests with ReasonMoved, so that the entries send them to another placing entry.
+func (p *Placer) RejectAll() {
 	for _, r := range slices.Clone(p.queue) {
 		p.dequeue(r)
 		p.Reject(r.key.entry, marshaler.Reject{Job: r.key.job, Step: r.key.step, Reason: ReasonMoved})
 	}
 }
 
-// Queued returns the number of queued requests.
-func (p *Placer) Queued() int { return len(p.queue) }
+// QueueLen returns the number of queued requests.
+func (p *Placer) QueueLen() int { return len(p.queue) }
 
 func (p *Placer) dequeue(r *request) {
 	delete(p.requests, r.key)
@@ -236,7 +236,7 @@
 	var best *worker
 	var bestScore float64
 	for _, w := range p.workersByName {
-		if !w.free.Holds(r.resources) || !p.eligible(now, r, w) {
+		if !w.free.Contains(r.resources) || !p.eligible(now, r, w) {
 			continue
 		}
 		score := w.speed / p.medianSpeed * r.constraints.rackFactor(w)
--- a/placer/placer_test.go
+++ b/placer/placer_test.go
@@ -46,13 +46,13 @@
 
 	simWorker struct {
 		name        string
-		total       marshaler.Room
+		total       marshaler.Resources
 		speed       float64 // relative to normal speed
 		fails       bool
 		stalled     bool
 		unavailable bool
 		runs        []simRun
-		settled     []marshaler.Settled
+		settled     []marshaler.CompletedRun
 		seen        []string
 	}
 
@@ -96,9 +96,9 @@
 		delete(s.jobs, r.Job)
 	}
 	for i := range workers {
-		w := &simWorker{name: fmt.Sprintf("worker-%02d", i), total: marshaler.Room{CPU: 32_000, MemoryMB: 64_000}, speed: 1}
+		w := &simWorker{name: fmt.Sprintf("worker-%02d", i), total: marshaler.Resources{CPU: 32_000, MemoryMB: 64_000}, speed: 1}
 		s.workers = append(s.workers, w)
-		s.p.SetWorker(w.name, "", &marshaler.Backend{Service: "svc", Total: w.total})
+		s.p.SetWorker(w.name, "", &marshaler.Backend{Service: "svc", Capacity: w.total})
 	}
 	s.report()
 	return s
@@ -147,7 +147,7 @@
 }
 
 func (s *simulation) end(w *simWorker, r simRun, status marshaler.Status) {
-	w.settled = append(w.settled, marshaler.Settled{Job: r.job, Status: status, Ran: s.now - r.startedAt, Estimate: r.estimate})
+	w.settled = append(w.settled, marshaler.CompletedRun{Job: r.job, Status: status, RunTime: s.now - r.startedAt, Estimate: r.estimate})
 	j := s.jobs[r.job]
 	if j == nil {
 		return
@@ -166,16 +166,16 @@
 	for _, w := range s.workers {
 		free := w.total
 		for range w.runs {
-			free = free.Sub(marshaler.Room{CPU: taskCPU})
+			free = free.Sub(marshaler.Resources{CPU: taskCPU})
 		}
-		s.p.OnLoad(s.now, w.name, &marshaler.Load{Accepting: !w.unavailable, Free: free, Speed: uint64(w.speed * 1000), Seen: w.seen, Settled: w.settled})
+		s.p.OnLoad(s.now, w.name, &marshaler.Load{Accepting: !w.unavailable, Free: free, Speed: uint64(w.speed * 1000), HandledStarts: w.seen, CompletedRuns: w.settled})
 		w.seen, w.settled = nil, nil
 	}
 }
 
 func (s *simulation) request(j *simJob, tasks int) {
-	s.p.Ask(s.now, "entry", "", &marshaler.Ask{
-		Job: j.id, Service: "svc", Tasks: uint64(tasks), Room: marshaler.Room{CPU: taskCPU}, Estimate: j.estimate, Slack: j.slack, Patience: j.maxWait,
+	s.p.Request(s.now, "entry", "", &marshaler.ResourceRequest{
+		Job: j.id, Service: "svc", Tasks: uint64(tasks), Resources: marshaler.Resources{CPU: taskCPU}, Estimate: j.estimate, Slack: j.slack, MaxWait: j.maxWait,
 		Started: j.started,
 	})
 }
@@ -292,8 +292,8 @@
 			if got := float64(served) / float64(total); got < p.minServed {
 				t.Errorf("got %.3f of %d jobs served (%d refused), want %.2f", got, total, s.refused, p.minServed)
 			}
-			if s.p.Queued() != 0 {
-				t.Errorf("got %d requests in the queue at the end, want 0", s.p.Queued())
+			if s.p.QueueLen() != 0 {
+				t.Errorf("got %d requests in the queue at the end, want 0", s.p.QueueLen())
 			}
 		})
 	}
@@ -303,16 +303,16 @@
 func TestRefusals(t *testing.T) {
 	cases := []struct {
 		name    string
-		request marshaler.Ask
+		request marshaler.ResourceRequest
 		prior   int // number of tasks of 100 ms that are queued before
 		reason  string
 	}{
-		{"fits", marshaler.Ask{Service: "svc", Tasks: 1, Room: marshaler.Room{CPU: 3000}, Estimate: 100, Slack: 50}, 0, ""},
-		{"other service", marshaler.Ask{Service: "other", Tasks: 1, Room: marshaler.Room{CPU: 3000}, Slack: 50}, 0, "no backend server of the service is known"},
-		{"too large", marshaler.Ask{Service: "svc", Tasks: 1, Room: marshaler.Room{CPU: 64_000}, Slack: 50}, 0, "no worker is large enough"},
-		{"accelerators", marshaler.Ask{Service: "svc", Tasks: 1, Room: marshaler.Room{CPU: 1, Accelerators: 1}, Slack: 50}, 0, "no worker is large enough"},
-		{"long queue", marshaler.Ask{Service: "svc", Tasks: 1, Room: marshaler.Room{CPU: 3000}, Estimate: 100, Slack: 50}, 40, "queue is too long"},
-		{"long queue, started", marshaler.Ask{Service: "svc", Tasks: 1, Room: marshaler.Room{CPU: 3000}, Estimate: 100, Slack: 50, Started: true}, 40, ""},
+		{"fits", marshaler.ResourceRequest{Service: "svc", Tasks: 1, Resources: marshaler.Resources{CPU: 3000}, Estimate: 100, Slack: 50}, 0, ""},
+		{"other service", marshaler.ResourceRequest{Service: "other", Tasks: 1, Resources: marshaler.Resources{CPU: 3000}, Slack: 50}, 0, "no backend server of the service is known"},
+		{"too large", marshaler.ResourceRequest{Service: "svc", Tasks: 1, Resources: marshaler.Resources{CPU: 64_000}, Slack: 50}, 0, "no worker is large enough"},
+		{"accelerators", marshaler.ResourceRequest{Service: "svc", Tasks: 1, Resources: marshaler.Resources{CPU: 1, Accelerators: 1}, Slack: 50}, 0, "no worker is large enough"},
+		{"long queue", marshaler.ResourceRequest{Service: "svc", Tasks: 1, Resources: marshaler.Resources{CPU: 3000}, Estimate: 100, Slack: 50}, 40, "queue is too long"},
+		{"long queue, started", marshaler.ResourceRequest{Service: "svc", Tasks: 1, Resources: marshaler.Resources{CPU: 3000}, Estimate: 100, Slack: 50, Started: true}, 40, ""},
 	}
 	for _, c := range cases {
 		s := newSimulation(1, 2)
@@ -324,13 +324,13 @@
 			}
 		}
 		s.p.Grant = func(string, marshaler.Grant) {}
-		s.p.Ask(s.now-2000, "entry", "", &marshaler.Ask{Job: "first", Service: "svc"}) // ends the startup grace period
-		s.p.Withdraw("entry", "first", 0)
+		s.p.Request(s.now-2000, "entry", "", &marshaler.ResourceRequest{Job: "first", Service: "svc"}) // ends the startup grace period
+		s.p.Cancel("entry", "first", 0)
 		if c.prior > 0 {
-			s.p.Ask(s.now, "entry", "", &marshaler.Ask{Job: "prior", Service: "svc", Tasks: uint64(c.prior), Room: marshaler.Room{CPU: 3000}, Estimate: 100, Slack: 40})
+			s.p.Request(s.now, "entry", "", &marshaler.ResourceRequest{Job: "prior", Service: "svc", Tasks: uint64(c.prior), Resources: marshaler.Resources{CPU: 3000}, Estimate: 100, Slack: 40})
 		}
 		c.request.Job = "job"
-		s.p.Ask(s.now, "entry", "", &c.request)
+		s.p.Request(s.now, "entry", "", &c.request)
 		if got != c.reason {
 			t.Errorf("%s: got reason %q, want %q", c.name, got, c.reason)
 		}
@@ -340,24 +340,24 @@
 // TestLate guards against refusing requests that can be served within their maximum wait, against late requests that take
 // resources from requests that are on time, and against waits that cannot succeed.
 func TestLate(t *testing.T) {
-	taskSize := marshaler.Room{CPU: 3000}
+	taskSize := marshaler.Resources{CPU: 3000}
 	cases := []struct {
 		name string
 		// free is the number of tasks that fit at first, and freeLater the number after 100 ms.
 		free, freeLater int
 		// onTime is the number of tasks of another request, which arrives after 100 ms.
 		onTime  int
-		request marshaler.Ask
+		request marshaler.ResourceRequest
 		granted int
 		reason  string // of a refusal, if any
 		at      timer.Millis
 	}{
-		{"resources free up late", 0, 10, 0, marshaler.Ask{Tasks: 2, Slack: 50, Patience: 900}, 2, "", 100},
-		{"no maximum wait", 0, 10, 0, marshaler.Ask{Tasks: 2, Slack: 50}, 0, "no room in time", 50},
-		{"maximum wait passes", 0, 0, 0, marshaler.Ask{Tasks: 2, Slack: 50, Patience: 300}, 0, "no room in time", 300},
-		{"others are on time", 0, 2, 2, marshaler.Ask{Tasks: 2, Slack: 50, Patience: 900}, 0, "no room in time", 900},
-		{"resources for both", 0, 4, 2, marshaler.Ask{Tasks: 2, Slack: 50, Patience: 900}, 2, "", 100},
-		{"resources for some tasks", 0, 1, 0, marshaler.Ask{Tasks: 2, Slack: 50, Patience: 900}, 1, "", 100},
+		{"resources free up late", 0, 10, 0, marshaler.ResourceRequest{Tasks: 2, Slack: 50, MaxWait: 900}, 2, "", 100},
+		{"no maximum wait", 0, 10, 0, marshaler.ResourceRequest{Tasks: 2, Slack: 50}, 0, "no room in time", 50},
+		{"maximum wait passes", 0, 0, 0, marshaler.ResourceRequest{Tasks: 2, Slack: 50, MaxWait: 300}, 0, "no room in time", 300},
+		{"others are on time", 0, 2, 2, marshaler.ResourceRequest{Tasks: 2, Slack: 50, MaxWait: 900}, 0, "no room in time", 900},
+		{"resources for both", 0, 4, 2, marshaler.ResourceRequest{Tasks: 2, Slack: 50, MaxWait: 900}, 2, "", 100},
+		{"resources for some tasks", 0, 1, 0, marshaler.ResourceRequest{Tasks: 2, Slack: 50, MaxWait: 900}, 1, "", 100},
 	}
 	for _, c := range cases {
 		var granted int
@@ -367,7 +367,7 @@
 		var p Placer
 		free := c.free
 		load := func() {
-			p.OnLoad(now, "a", &marshaler.Load{Accepting: true, Free: marshaler.Room{CPU: int64(free) * taskSize.CPU}, Speed: 1000})
+			p.OnLoad(now, "a", &marshaler.Load{Accepting: true, Free: marshaler.Resources{CPU: int64(free) * taskSize.CPU}, Speed: 1000})
 		}
 		p = Placer{
 			Grant: func(_ string, g marshaler.Grant) {
@@ -376,7 +376,7 @@
 					at = now
 				}
 				free -= len(g.Sidecars) // the tasks run until the end of the test
-				p.OnLoad(now, "a", &marshaler.Load{Accepting: true, Speed: 1000, Seen: slices.Repeat([]string{g.Job}, len(g.Sidecars))})
+				p.OnLoad(now, "a", &marshaler.Load{Accepting: true, Speed: 1000, HandledStarts: slices.Repeat([]string{g.Job}, len(g.Sidecars))})
 				load()
 			},
 			Reject: func(_ string, r marshaler.Reject) {
@@ -385,18 +385,18 @@
 				}
 			},
 		}
-		p.SetWorker("a", "", &marshaler.Backend{Service: "svc", Total: marshaler.Room{CPU: 64_000}})
+		p.SetWorker("a", "", &marshaler.Backend{Service: "svc", Capacity: marshaler.Resources{CPU: 64_000}})
 		load()
 		p.firstRequestAt = 1
-		c.request.Job, c.request.Service, c.request.Room, c.request.Estimate = "late", "svc", taskSize, 60
-		p.Ask(now, "entry", "", &c.request)
+		c.request.Job, c.request.Service, c.request.Resources, c.request.Estimate = "late", "svc", taskSize, 60
+		p.Request(now, "entry", "", &c.request)
 		began := now
 		for ; now < began+1000; now++ {
 			if now == began+100 {
 				free = c.freeLater
 				load()
 				if c.onTime > 0 {
-					p.Ask(now, "entry", "", &marshaler.Ask{Job: "b", Service: "svc", Room: taskSize, Estimate: 60, Tasks: uint64(c.onTime), Slack: 50, Patience: 900})
+					p.Request(now, "entry", "", &marshaler.ResourceRequest{Job: "b", Service: "svc", Resources: taskSize, Estimate: 60, Tasks: uint64(c.onTime), Slack: 50, MaxWait: 900})
 				}
 			}
 			p.Place(now)
@@ -417,11 +417,11 @@
 		}
 	}
 	for _, id := range []string{"a", "b"} {
-		s.p.Ask(s.now, "entry", "", &marshaler.Ask{Job: id, Service: "svc", Tasks: 1, Room: marshaler.Room{CPU: 3000}, Estimate: 100, Slack: 5000})
+		s.p.Request(s.now, "entry", "", &marshaler.ResourceRequest{Job: id, Service: "svc", Tasks: 1, Resources: marshaler.Resources{CPU: 3000}, Estimate: 100, Slack: 5000})
 	}
-	s.p.Leave()
-	if len(moved) != 2 || s.p.Queued() != 0 {
-		t.Errorf("got %v moved and %d queued, want a and b moved and 0 queued", moved, s.p.Queued())
+	s.p.RejectAll()
+	if len(moved) != 2 || s.p.QueueLen() != 0 {
+		t.Errorf("got %v moved and %d queued, want a and b moved and 0 queued", moved, s.p.QueueLen())
 	}
 }
 
@@ -431,7 +431,7 @@
 	s.p.Grant = func(string, marshaler.Grant) {}
 	s.p.Reject = func(string, marshaler.Reject) {}
 	for i := 0; b.Loop(); i++ {
-		s.p.Ask(s.now, "entry", "", &marshaler.Ask{Job: fmt.Sprint(i), Service: "svc", Tasks: 1, Room: marshaler.Room{CPU: 3000}, Estimate: 100, Slack: 50})
+		s.p.Request(s.now, "entry", "", &marshaler.ResourceRequest{Job: fmt.Sprint(i), Service: "svc", Tasks: 1, Resources: marshaler.Resources{CPU: 3000}, Estimate: 100, Slack: 50})
 		s.p.Place(s.now)
 		if i%100 == 0 {
 			s.now += 301 // reservations expire
--- a/placer/request.go
+++ b/placer/request.go
@@ -19,7 +19,7 @@
 		key          requestKey
 		domain       string
 		service      string
-		resources    marshaler.Room
+		resources    marshaler.Resources
 		estimate     timer.Millis
 		remaining    uint64       // number of tasks not granted yet
 		softDeadline timer.Millis // latest start that meets the expected response time
@@ -111,7 +111,7 @@
 	for _, w := range p.workersByName {
 		if w.service == r.service {
 			service = true
-			fits = fits || w.total.Holds(r.resources) && r.constraints.matchesLabel(w)
+			fits = fits || w.total.Contains(r.resources) && r.constraints.matchesLabel(w)
 		}
 	}
 	switch {
@@ -169,7 +169,7 @@
 			open++
 		case w.speed/medianSpeed < slowSpeedRatio:
 			slow++
-		case w.free.Holds(r.resources):
+		case w.free.Contains(r.resources):
 			withRoom++
 		}
 		accepting++
--- a/placer/worker.go
+++ b/placer/worker.go
@@ -33,19 +33,19 @@
 		domain       string
 		service      string
 		labels       []string
-		total        marshaler.Room
-		reportedFree marshaler.Room // free resources in the latest load report
+		total        marshaler.Resources
+		reportedFree marshaler.Resources // free resources in the latest load report
 		accepting    bool
 		speed        float64 // thousandths of the speed that run time estimates assume
 		reservations []reservation
-		free         marshaler.Room // reportedFree minus reservations
+		free         marshaler.Resources // reportedFree minus reservations
 		breaker      breaker
 	}
 
 	// reservation is an amount of granted resources that the sidecar's reports do not reflect yet.
 	reservation struct {
 		job       string
-		resources marshaler.Room
+		resources marshaler.Resources
 		grantedAt timer.Millis
 	}
 
@@ -67,7 +67,7 @@
 	}
 }
 
-func (w *worker) reserve(now timer.Millis, job string, resources marshaler.Room) {
+func (w *worker) reserve(now timer.Millis, job string, resources marshaler.Resources) {
 	w.reservations = append(w.reservations, reservation{job, resources, now})
 	w.free = w.free.Sub(resources)
 }
@@ -96,7 +96,7 @@
 func (w *worker) busy() bool { return w.free != w.total }
 
 // recordOutcome updates the worker's breaker after a run has ended.
-func (p *Placer) recordOutcome(now timer.Millis, w *worker, s marshaler.Settled) {
+func (p *Placer) recordOutcome(now timer.Millis, w *worker, s marshaler.CompletedRun) {
 	b := &w.breaker
 	switch s.Status {
 	case marshaler.StatusDone:
--- a/catcher/catcher.go
+++ b/recoverer/recoverer.go
@@ -1,5 +1,5 @@
-// Package catcher converts panics to errors, so that a panic in the handling of one message does not terminate the process.
-package catcher
+// Package recoverer converts panics to errors, so that a panic in the handling of one message does not terminate the process.
+package recoverer
 
 import (
 	"runtime/debug"
@@ -10,8 +10,8 @@
 // maxStack is the maximum size in bytes of the stack trace in an error. It holds about the ten innermost calls.
 const maxStack = 2 << 10
 
-// Catch calls f. It returns nil if f returns normally, and an error with the panic value and the stack trace if f panics.
-func Catch(f func()) (err error) {
+// Call calls f. It returns nil if f returns normally, and an error with the panic value and the stack trace if f panics.
+func Call(f func()) (err error) {
 	defer func() {
 		if v := recover(); v != nil {
 			stack := debug.Stack()
--- a/catcher/catcher_test.go
+++ b/recoverer/recoverer_test.go
@@ -1,4 +1,4 @@
-package catcher
+package recoverer
 
 import (
 	"errors"
@@ -21,7 +21,7 @@
 		{"nil", func() { panic(nil) }, "panic called with nil argument"}, //nolint:govet // nil is the case
 	}
 	for _, c := range cases {
-		err := Catch(c.f)
+		err := Call(c.f)
 		got := ""
 		if err != nil {
 			got = err.Error()
--- a/conductor/configuration.go
+++ b/runner/configuration.go
@@ -1,4 +1,4 @@
-package conductor
+package runner
 
 import (
 	"context"
@@ -7,7 +7,7 @@
 
 	"github.com/apex/log"
 
-	"github.com/crocuslb/crocuslb/follower"
+	"github.com/crocuslb/crocuslb/consumer"
 	"github.com/crocuslb/crocuslb/marshaler"
 	"github.com/crocuslb/crocuslb/platform"
 	"github.com/crocuslb/crocuslb/router"
@@ -62,8 +62,8 @@
 }
 
 // applyRecords applies records read from the store.
-func (c *configuration) applyRecords(now timer.Millis, p follower.Page, complete bool) {
-	next, err := platform.Fold(c.stored, p, complete)
+func (c *configuration) applyRecords(now timer.Millis, p consumer.Page, complete bool) {
+	next, err := platform.ApplyOperatorRecords(c.stored, p, complete)
 	if err != nil {
 		c.logger.WithError(err).Warn("config: skipped records that cannot be decoded")
 	}
@@ -111,16 +111,16 @@
 
 // follow reads the operator's topic in the store until ctx is canceled.
 func (c *configuration) follow(ctx context.Context, l *eventLoop, store *platform.Store) {
-	f := &follower.Follower{
-		Newest: func(ctx context.Context) (follower.Page, error) { return store.Newest(ctx, platform.TopicOperator) },
-		Read: func(ctx context.Context, from uint64) (follower.Page, error) {
+	f := &consumer.Consumer{
+		Newest: func(ctx context.Context) (consumer.Page, error) { return store.ReadLatest(ctx, platform.TopicOperator) },
+		Read: func(ctx context.Context, from uint64) (consumer.Page, error) {
 			return store.Read(ctx, platform.TopicOperator, from)
 		},
-		Apply: func(p follower.Page, complete bool) {
+		Apply: func(p consumer.Page, complete bool) {
 			l.post(ctx, func(now timer.Millis) { c.applyRecords(now, p, complete) })
 		},
-		Lost:     func(err error) { c.logger.WithError(err).Warn("store: lost") },
-		Regained: func() { c.logger.Info("store: available again") },
+		OnUnavailable: func(err error) { c.logger.WithError(err).Warn("store: lost") },
+		OnAvailable:   func() { c.logger.Info("store: available again") },
 	}
 	f.Run(ctx)
 }
--- a/conductor/descriptor.go
+++ b/runner/descriptor.go
@@ -1,4 +1,4 @@
-package conductor
+package runner
 
 import (
 	"context"
@@ -7,11 +7,11 @@
 
 	"github.com/apex/log"
 
-	"github.com/crocuslb/crocuslb/catcher"
-	"github.com/crocuslb/crocuslb/follower"
-	"github.com/crocuslb/crocuslb/keeper"
+	"github.com/crocuslb/crocuslb/consumer"
 	"github.com/crocuslb/crocuslb/marshaler"
 	"github.com/crocuslb/crocuslb/platform"
+	"github.com/crocuslb/crocuslb/recoverer"
+	"github.com/crocuslb/crocuslb/supervisor"
 )
 
 const (
@@ -40,15 +40,15 @@
 }
 
 // encodeDescriptor returns an empty string for a draining backend server, which must not be restored after a restart.
-func encodeDescriptor(b keeper.Backend) string {
+func encodeDescriptor(b supervisor.Backend) string {
 	if b.Draining || b.ID == "" {
 		return ""
 	}
-	return string(marshaler.Append(nil, &marshaler.Backend{ID: b.ID, Born: b.Born, Service: b.Service, Labels: b.Labels, Total: b.Total}))
+	return string(marshaler.Append(nil, &marshaler.Backend{ID: b.ID, StartTime: b.StartTime, Service: b.Service, Labels: b.Labels, Capacity: b.Capacity}))
 }
 
 // save queues a changed descriptor for writeLoop. It never blocks.
-func (s *descriptorStore) save(b keeper.Backend) {
+func (s *descriptorStore) save(b supervisor.Backend) {
 	descriptor := encodeDescriptor(b)
 	if s.queued && descriptor == s.latest {
 		return
@@ -73,7 +73,7 @@
 			return
 		case descriptor = <-s.pending:
 		}
-		record := follower.Record{Key: s.name}
+		record := consumer.Record{Key: s.name}
 		if descriptor != "" {
 			record.Value = []byte(descriptor)
 		}
@@ -130,18 +130,18 @@
 
 // decodeRecord returns a panic of the decoder as an error.
 func decodeRecord(body []byte) (message marshaler.Message, err error) {
-	if panicked := catcher.Catch(func() { message, err = marshaler.Decode(body) }); panicked != nil {
+	if panicked := recoverer.Call(func() { message, err = marshaler.Decode(body) }); panicked != nil {
 		return nil, panicked
 	}
 	return message, err
 }
 
 // load reads the descriptor stored by a previous run of the sidecar. ok is false if there is none.
-func (s *descriptorStore) load(ctx context.Context) (b keeper.Backend, ok bool) {
+func (s *descriptorStore) load(ctx context.Context) (b supervisor.Backend, ok bool) {
 	ctx, cancel := context.WithTimeout(ctx, loadTimeout)
 	defer cancel()
 	for ctx.Err() == nil {
-		page, err := s.store.Newest(ctx, platform.TopicBackends)
+		page, err := s.store.ReadLatest(ctx, platform.TopicBackends)
 		if err != nil {
 			s.logger.WithError(err).Warn("sidecar: cannot read the stored descriptor of the backend server")
 			time.Sleep(loadRetryDelay)
@@ -157,7 +157,7 @@
 				s.logger.WithField("record", r.Key).Warn("sidecar: cannot decode the stored descriptor of the backend server")
 				return b, false
 			}
-			return keeper.Backend{ID: descriptor.ID, Born: descriptor.Born, Service: descriptor.Service, Labels: descriptor.Labels, Total: descriptor.Total}, true
+			return supervisor.Backend{ID: descriptor.ID, StartTime: descriptor.StartTime, Service: descriptor.Service, Labels: descriptor.Labels, Capacity: descriptor.Capacity}, true
 		}
 		return b, false
 	}
--- a/conductor/directory.go
+++ b/runner/directory.go
@@ -1,4 +1,4 @@
-package conductor
+package runner
 
 import (
 	"context"
@@ -8,7 +8,7 @@
 
 	"github.com/apex/log"
 
-	"github.com/crocuslb/crocuslb/follower"
+	"github.com/crocuslb/crocuslb/consumer"
 	"github.com/crocuslb/crocuslb/marshaler"
 	"github.com/crocuslb/crocuslb/platform"
 )
@@ -116,12 +116,14 @@
 		registrationDue <- struct{}{}
 		go d.register(ctx, registrationDue)
 	}
-	f := &follower.Follower{
-		Newest: func(ctx context.Context) (follower.Page, error) { return d.store.Newest(ctx, platform.TopicEntries) },
-		Read: func(ctx context.Context, from uint64) (follower.Page, error) {
+	f := &consumer.Consumer{
+		Newest: func(ctx context.Context) (consumer.Page, error) {
+			return d.store.ReadLatest(ctx, platform.TopicEntries)
+		},
+		Read: func(ctx context.Context, from uint64) (consumer.Page, error) {
 			return d.store.Read(ctx, platform.TopicEntries, from)
 		},
-		Apply: func(p follower.Page, complete bool) {
+		Apply: func(p consumer.Page, complete bool) {
 			var peers []marshaler.Peer
 			hasOwn, inUse := false, false
 			for _, r := range p.Records {
@@ -146,8 +148,8 @@
 				onAdded()
 			}
 		},
-		Lost:     func(err error) { d.logger.WithError(err).Warn("members: store unavailable") },
-		Regained: func() { d.logger.Info("members: store available again") },
+		OnUnavailable: func(err error) { d.logger.WithError(err).Warn("members: store unavailable") },
+		OnAvailable:   func() { d.logger.Info("members: store available again") },
 	}
 	f.Run(ctx)
 }
@@ -159,7 +161,7 @@
 	}
 	go func() {
 		defer d.announcing.Store(false)
-		err := d.store.Append(ctx, platform.TopicEntries, follower.Record{Key: durableJobsKey, Value: []byte("1")})
+		err := d.store.Append(ctx, platform.TopicEntries, consumer.Record{Key: durableJobsKey, Value: []byte("1")})
 		if err != nil {
 			d.logger.WithError(err).Warn("members: cannot record that durable jobs are in use")
 			return
@@ -170,7 +172,7 @@
 }
 
 // hasCurrentAddress reports whether the newest record of an entry in p contains its current address.
-func hasCurrentAddress(p follower.Page, self marshaler.Peer) (ok bool) {
+func hasCurrentAddress(p consumer.Page, self marshaler.Peer) (ok bool) {
 	for _, r := range p.Records {
 		if r.Key == self.Name {
 			ok = string(r.Value) == self.Address
@@ -188,7 +190,7 @@
 		case <-due:
 		}
 		for ctx.Err() == nil {
-			err := d.store.Append(ctx, platform.TopicEntries, follower.Record{Key: d.self.Name, Value: []byte(d.self.Address)})
+			err := d.store.Append(ctx, platform.TopicEntries, consumer.Record{Key: d.self.Name, Value: []byte(d.self.Address)})
 			if err == nil {
 				d.logger.WithField("address", d.self.Address).Info("members: registered this entry")
 				break
--- a/conductor/entry.go
+++ b/runner/entry.go
@@ -1,4 +1,4 @@
-package conductor
+package runner
 
 import (
 	"context"
@@ -12,10 +12,10 @@
 	"github.com/apex/log"
 	"github.com/gravitational/trace"
 
-	"github.com/crocuslb/crocuslb/carrier"
-	"github.com/crocuslb/crocuslb/catcher"
+	"github.com/crocuslb/crocuslb/connector"
 	"github.com/crocuslb/crocuslb/marshaler"
 	"github.com/crocuslb/crocuslb/platform"
+	"github.com/crocuslb/crocuslb/recoverer"
 	"github.com/crocuslb/crocuslb/router"
 	"github.com/crocuslb/crocuslb/submitter"
 	"github.com/crocuslb/crocuslb/timer"
@@ -38,7 +38,7 @@
 	config    configuration
 	directory entryDirectory
 	owner     partitionOwner
-	node      carrier.Node
+	node      connector.Node
 	monitor   monitor
 	sessions  sessionHandler
 	ready     atomic.Bool
@@ -59,9 +59,9 @@
 		logger: e.Logger, store: newStore(e.StoreAddress, 0), loop: e.loop, core: &e.core, memberName: e.Name, heartbeatDue: make(chan struct{}, 1),
 		limiter: writeLimiter{rate: writeCallShare * float64(e.WritesPerSecond) / float64(max(e.Partitions, 1))},
 	}
-	e.core.Record, e.core.Redealt = e.owner.appendRecord, e.owner.requestHeartbeat
+	e.core.Record, e.core.OwnershipAnnounced = e.owner.appendRecord, e.owner.requestHeartbeat
 	e.config = configuration{logger: e.Logger, onChange: e.core.SetSnapshot, available: make(chan struct{})}
-	e.node = carrier.Node{
+	e.node = connector.Node{
 		Hello: func() marshaler.Hello {
 			return marshaler.Hello{Role: marshaler.RoleEntry, Name: e.Name, Incarnation: incarnation, Domain: e.Domain, Address: e.Advertise, Weight: e.Weight}
 		},
@@ -75,9 +75,9 @@
 	runCtx, cancel := context.WithCancel(context.WithoutCancel(ctx))
 	defer cancel()
 	e.directory.onDurableJobs = func(inUse bool) { e.setDurableJobsInUse(runCtx, inUse) }
-	e.core.WantKept = func() { e.directory.announceDurableJobs(runCtx) }
+	e.core.DurableJobSubmitted = func() { e.directory.announceDurableJobs(runCtx) }
 	e.sessions = sessionHandler{
-		loop: e.loop, config: &e.config, directory: &e.directory, onUp: e.core.OnUp, onDown: e.core.OnDown, onMessage: e.core.OnMessage,
+		loop: e.loop, config: &e.config, directory: &e.directory, onUp: e.core.OnConnect, onDown: e.core.OnDisconnect, onMessage: e.core.OnMessage,
 		onPanic: e.monitor.reportPanic,
 	}
 	e.sessions.attach(runCtx, &e.node)
@@ -116,9 +116,9 @@
 
 // startServers starts the HTTP servers. The first one serves callers.
 func (e *Entry) startServers(ctx context.Context) ([]*http.Server, error) {
-	callers := &platform.Callers{
+	callers := &platform.JobServer{
 		Snapshot: func(deadline timer.Millis, canceled <-chan struct{}) (*router.Snapshot, timer.Millis) {
-			return e.config.await(e.loop.clock, submitter.Patience(deadline), canceled)
+			return e.config.await(e.loop.clock, submitter.StartWaitLimit(deadline), canceled)
 		},
 		Submit: func(job submitter.Job, canceled <-chan struct{}) submitter.Answer {
 			return e.submit(ctx, job, canceled)
@@ -130,10 +130,10 @@
 			return e.request(ctx, canceled, func(now timer.Millis, answer func(a submitter.Answer)) { e.core.State(now, queue, id, answer) })
 		},
 		Waiting: func(queue string) (waiting int) {
-			e.query(ctx, func(timer.Millis) bool { waiting = e.core.Waiting(queue); return true })
+			e.query(ctx, func(timer.Millis) bool { waiting = e.core.WaitingJobs(queue); return true })
 			return waiting
 		},
-		Refused: func(id, queue, reason string, status int) {
+		OnRejected: func(id, queue, reason string, status int) {
 			e.report(submitter.Event{Kind: "refuse", Job: id, Queue: queue, Detail: "callers " + reason, Value: int64(status)})
 		},
 		Closing: e.stopping.Load,
@@ -172,9 +172,9 @@
 	case a := <-answer:
 		return a
 	case <-canceled:
-		return submitter.Answer{Kind: submitter.AnswerGaveUp, Reason: "caller left"}
+		return submitter.Answer{Kind: submitter.AnswerAborted, Reason: "caller left"}
 	case <-ctx.Done():
-		return submitter.Answer{Kind: submitter.AnswerGaveUp, Reason: "the entry ended"}
+		return submitter.Answer{Kind: submitter.AnswerAborted, Reason: "the entry ended"}
 	}
 }
 
@@ -192,16 +192,16 @@
 // runRecovering calls f. If f panics, the caller is told that the outcome is unknown, because part of the job may have
 // run.
 func (e *Entry) runRecovering(deliver func(a submitter.Answer), f func()) {
-	if err := catcher.Catch(f); err != nil {
+	if err := recoverer.Call(f); err != nil {
 		e.monitor.reportPanic("caller", err)
-		deliver(submitter.Answer{Kind: submitter.AnswerGaveUp, Reason: "internal error"})
+		deliver(submitter.Answer{Kind: submitter.AnswerAborted, Reason: "internal error"})
 	}
 }
 
 // setDurableJobsInUse applies the marker read from the store. Once durable jobs are in use, this entry starts to own
 // partitions.
 func (e *Entry) setDurableJobsInUse(ctx context.Context, inUse bool) {
-	e.loop.post(ctx, func(now timer.Millis) { e.core.SetKept(now, inUse) })
+	e.loop.post(ctx, func(now timer.Millis) { e.core.SetDurableInUse(now, inUse) })
 	if inUse {
 		e.owner.start(ctx)
 	}
@@ -217,18 +217,18 @@
 	case a := <-answer:
 		return a
 	case <-ctx.Done():
-		return submitter.Answer{Kind: submitter.AnswerGaveUp, Reason: "the entry ended"}
+		return submitter.Answer{Kind: submitter.AnswerAborted, Reason: "the entry ended"}
 	case <-canceled:
 	}
-	if job.Kind.Kept { // the job may be stored already
-		return submitter.Answer{Kind: submitter.AnswerGaveUp, Reason: "caller left"}
+	if job.Kind.Durable { // the job may be stored already
+		return submitter.Answer{Kind: submitter.AnswerAborted, Reason: "caller left"}
 	}
-	e.loop.post(ctx, func(now timer.Millis) { e.runRecovering(deliver, func() { e.core.Drop(now, job.ID, "caller left") }) })
+	e.loop.post(ctx, func(now timer.Millis) { e.runRecovering(deliver, func() { e.core.Abort(now, job.ID, "caller left") }) })
 	select {
 	case a := <-answer:
 		return a
 	case <-ctx.Done():
-		return submitter.Answer{Kind: submitter.AnswerGaveUp, Reason: "the entry ended"}
+		return submitter.Answer{Kind: submitter.AnswerAborted, Reason: "the entry ended"}
 	}
 }
 
@@ -237,7 +237,7 @@
 func (e *Entry) drain(ctx context.Context, servers []*http.Server) {
 	e.stopping.Store(true)
 	e.owner.leave(ctx)
-	e.loop.post(ctx, e.core.Leave)
+	e.loop.post(ctx, e.core.Drain)
 	e.Logger.WithField("drain", e.DrainTime.String()).Info("entry: stopping")
 	started := time.Now()
 	drainTime := e.DrainTime.Duration()
@@ -246,7 +246,7 @@
 	defer cancel()
 	err := servers[0].Shutdown(shutdownCtx)
 	if errors.Is(err, context.DeadlineExceeded) {
-		e.query(ctx, func(now timer.Millis) bool { e.core.DropAll(now, "the entry ends"); return true })
+		e.query(ctx, func(now timer.Millis) bool { e.core.AbortAll(now, "the entry ends"); return true })
 		time.Sleep(responsePeriod) // time to send the answers
 	}
 }
--- a/conductor/budget.go
+++ b/runner/limiter.go
@@ -1,4 +1,4 @@
-package conductor
+package runner
 
 import (
 	"sync"
--- a/conductor/loop.go
+++ b/runner/loop.go
@@ -1,6 +1,6 @@
-// Package conductor runs the entry and sidecar processes on the users' platform. It connects their cores to sessions,
+// Package runner runs the entry and sidecar processes on the users' platform. It connects their cores to sessions,
 // the platform's HTTP interfaces, timers, logs and metrics.
-package conductor
+package runner
 
 import (
 	"context"
@@ -8,7 +8,7 @@
 
 	"github.com/gravitational/trace"
 
-	"github.com/crocuslb/crocuslb/catcher"
+	"github.com/crocuslb/crocuslb/recoverer"
 	"github.com/crocuslb/crocuslb/timer"
 )
 
@@ -37,7 +37,7 @@
 }
 
 func newEventLoop() *eventLoop {
-	return &eventLoop{clock: timer.Boot(), events: make(chan func(now timer.Millis), eventBuffer)}
+	return &eventLoop{clock: timer.BootClock(), events: make(chan func(now timer.Millis), eventBuffer)}
 }
 
 // post queues a function for the loop. It blocks while the queue is full, and may drop the function after ctx is
@@ -72,7 +72,7 @@
 
 // callRecovering calls f and reports whether it returned without panicking.
 func (l *eventLoop) callRecovering(now timer.Millis, f func(now timer.Millis)) bool {
-	err := catcher.Catch(func() { f(now) })
+	err := recoverer.Call(func() { f(now) })
 	if err != nil && l.onPanic != nil {
 		l.onPanic(err)
 	}
--- a/conductor/options.go
+++ b/runner/options.go
@@ -1,4 +1,4 @@
-package conductor
+package runner
 
 import (
 	"net"
@@ -8,9 +8,9 @@
 
 	"github.com/apex/log"
 
-	"github.com/crocuslb/crocuslb/carrier"
-	"github.com/crocuslb/crocuslb/catcher"
+	"github.com/crocuslb/crocuslb/connector"
 	"github.com/crocuslb/crocuslb/platform"
+	"github.com/crocuslb/crocuslb/recoverer"
 	"github.com/crocuslb/crocuslb/reporter"
 	"github.com/crocuslb/crocuslb/timer"
 )
@@ -81,7 +81,7 @@
 	metrics         reporter.Metrics
 	logger          log.Interface
 	droppedLogLines func() uint64
-	traffic         *carrier.Traffic
+	traffic         *connector.Traffic
 }
 
 // reportPanic logs and counts a recovered panic. source is the process that sent the message being handled, or a
@@ -98,7 +98,7 @@
 // recoverPanics wraps the endpoint's handler. A panic fails the request with status 500.
 func (m *monitor) recoverPanics(e endpoint) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		if err := catcher.Catch(func() { e.handler.ServeHTTP(w, r) }); err != nil {
+		if err := recoverer.Call(func() { e.handler.ServeHTTP(w, r) }); err != nil {
 			m.reportPanic("http "+e.address, err)
 			w.WriteHeader(http.StatusInternalServerError)
 		}
@@ -111,9 +111,9 @@
 			m.metrics.SetTotal("crocuslb_dropped_log_lines_total", m.droppedLogLines())
 		}
 		if m.traffic != nil {
-			for _, s := range m.traffic.Sent() {
-				m.metrics.SetTotal("crocuslb_sent_messages_total{message="+strconv.Quote(s.Message)+"}", s.Messages)
-				m.metrics.SetTotal("crocuslb_sent_bytes_total{message="+strconv.Quote(s.Message)+"}", s.Bytes)
+			for _, s := range m.traffic.Stats() {
+				m.metrics.SetTotal("crocuslb_sent_messages_total{message="+strconv.Quote(s.Type)+"}", s.Messages)
+				m.metrics.SetTotal("crocuslb_sent_bytes_total{message="+strconv.Quote(s.Type)+"}", s.Bytes)
 			}
 		}
 		m.metrics.Write(w)
--- a/conductor/owner.go
+++ b/runner/owner.go
@@ -1,4 +1,4 @@
-package conductor
+package runner
 
 import (
 	"context"
@@ -11,8 +11,8 @@
 	"github.com/gravitational/trace"
 
 	"github.com/crocuslb/crocuslb/archiver"
-	"github.com/crocuslb/crocuslb/catcher"
 	"github.com/crocuslb/crocuslb/platform"
+	"github.com/crocuslb/crocuslb/recoverer"
 	"github.com/crocuslb/crocuslb/submitter"
 	"github.com/crocuslb/crocuslb/timer"
 )
@@ -128,7 +128,7 @@
 		o.generation = 0
 	}
 	sent := o.loop.clock.Now()
-	assignment, err := o.store.Join(ctx, o.memberName, int64(memberTTL), o.generation)
+	assignment, err := o.store.JoinGroup(ctx, o.memberName, int64(memberTTL), o.generation)
 	if err != nil {
 		return false, err
 	}
@@ -139,7 +139,7 @@
 	o.mu.Lock()
 	o.leaseEnd = sent + leaseDuration
 	o.mu.Unlock()
-	o.loop.post(ctx, func(now timer.Millis) { o.core.Renew(now, sent+leaseDuration) })
+	o.loop.post(ctx, func(now timer.Millis) { o.core.RenewLease(now, sent+leaseDuration) })
 	o.generation = assignment.Generation
 	for _, partition := range o.ownedPartitions() {
 		if !slices.Contains(assignment.Partitions, partition) {
@@ -210,7 +210,7 @@
 	w.cancel()
 	done := make(chan struct{})
 	o.loop.post(ctx, func(now timer.Millis) {
-		o.core.Release(now, partition, stop, reason)
+		o.core.ReleasePartition(now, partition, stop, reason)
 		close(done)
 	})
 	select {
@@ -258,13 +258,13 @@
 func (o *partitionOwner) replay(ctx context.Context, partition uint64) (archiver.Archive, error) {
 	var archive archiver.Archive
 	for from := uint64(0); ; {
-		page, err := o.store.Records(ctx, partition, from)
+		page, err := o.store.ReadPartition(ctx, partition, from)
 		if err != nil {
 			return archive, trace.Wrap(err)
 		}
 		for i, body := range page.Bodies {
 			var err error
-			if panicked := catcher.Catch(func() { err = archive.Add(body) }); panicked != nil {
+			if panicked := recoverer.Call(func() { err = archive.Add(body) }); panicked != nil {
 				err = panicked
 			}
 			if err != nil {
--- a/conductor/panic_test.go
+++ b/runner/panic_test.go
@@ -1,4 +1,4 @@
-package conductor
+package runner
 
 import (
 	"context"
@@ -12,7 +12,7 @@
 	"github.com/apex/log"
 	logs "github.com/apex/log/handlers/memory"
 
-	"github.com/crocuslb/crocuslb/carrier"
+	"github.com/crocuslb/crocuslb/connector"
 	"github.com/crocuslb/crocuslb/marshaler"
 	"github.com/crocuslb/crocuslb/submitter"
 	"github.com/crocuslb/crocuslb/timer"
@@ -82,36 +82,36 @@
 		onUp:   func(timer.Millis, *marshaler.Link) {},
 		onDown: func(timer.Millis, *marshaler.Link, error) { lost.Add(1) },
 		onMessage: func(_ timer.Millis, _ *marshaler.Link, m marshaler.Message) {
-			if _, bad := m.(*marshaler.Withdraw); bad {
+			if _, bad := m.(*marshaler.CancelResourceRequest); bad {
 				panic("injected")
 			}
 			handled.Add(1)
 		},
 	}
-	a := carrier.Node{Hello: func() marshaler.Hello { return marshaler.Hello{Role: marshaler.RoleEntry, Name: "a"} }}
+	a := connector.Node{Hello: func() marshaler.Hello { return marshaler.Hello{Role: marshaler.RoleEntry, Name: "a"} }}
 	s.attach(ctx, &a)
 	address, err := a.Listen(ctx, "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	dial := func(name string, send marshaler.Message) *carrier.Node {
-		n := &carrier.Node{Hello: func() marshaler.Hello { return marshaler.Hello{Role: marshaler.RoleEntry, Name: name} }}
-		n.OnUp = func(c *carrier.Session) { c.Send(send) }
-		n.OnMessage = func(*carrier.Session, []marshaler.Message) {}
-		n.OnDown = func(*carrier.Session, error) {}
+	dial := func(name string, send marshaler.Message) *connector.Node {
+		n := &connector.Node{Hello: func() marshaler.Hello { return marshaler.Hello{Role: marshaler.RoleEntry, Name: name} }}
+		n.OnConnect = func(c *connector.Session) { c.Send(send) }
+		n.OnMessage = func(*connector.Session, []marshaler.Message) {}
+		n.OnDisconnect = func(*connector.Session, error) {}
 		n.Connect(ctx, address)
 		return n
 	}
-	bad := dial("bad", &marshaler.Withdraw{Job: "x"})
+	bad := dial("bad", &marshaler.CancelResourceRequest{Job: "x"})
 	for lost.Load() == 0 {
 		time.Sleep(time.Millisecond)
 	}
-	good := dial("good", &marshaler.Beat{Offset: 1})
+	good := dial("good", &marshaler.Heartbeat{Offset: 1})
 	for handled.Load() == 0 {
 		time.Sleep(time.Millisecond)
 	}
 	cancel()
-	for _, n := range []*carrier.Node{&a, bad, good} {
+	for _, n := range []*connector.Node{&a, bad, good} {
 		n.Wait()
 	}
 	if got, want := m.metricsText(), `crocuslb_panics_total{from="bad"}`; !strings.Contains(got, want) {
@@ -136,8 +136,8 @@
 		}
 	}
 	a := e.submit(t.Context(), submitter.Job{ID: "0123456789abcdef"}, nil)
-	if a.Kind != submitter.AnswerGaveUp {
-		t.Errorf("got answer %v, want %v", a.Kind, submitter.AnswerGaveUp)
+	if a.Kind != submitter.AnswerAborted {
+		t.Errorf("got answer %v, want %v", a.Kind, submitter.AnswerAborted)
 	}
 	if e.query(t.Context(), func(timer.Millis) bool { panic("injected") }) {
 		t.Error("got true from a query that panicked, want false")
--- a/conductor/path_test.go
+++ b/runner/path_test.go
@@ -1,4 +1,4 @@
-package conductor
+package runner
 
 import (
 	"bytes"
@@ -17,7 +17,7 @@
 	"github.com/apex/log"
 
 	"github.com/crocuslb/crocuslb/platform"
-	"github.com/crocuslb/crocuslb/platform/standin"
+	"github.com/crocuslb/crocuslb/platform/platformtest"
 	"github.com/crocuslb/crocuslb/recorder"
 	"github.com/crocuslb/crocuslb/timer"
 )
@@ -32,8 +32,8 @@
 	t              *testing.T
 	ctx            context.Context
 	network        string
-	store          *standin.Store
-	backends       []*standin.Backend
+	store          *platformtest.Store
+	backends       []*platformtest.Backend
 	entryAddresses []string // their addresses for callers
 	seeds          []string
 	stopProcess    map[string]func()
@@ -65,7 +65,7 @@
 func newTestCluster(t *testing.T, entries, sidecars int) *testCluster {
 	ctx, cancel := context.WithCancel(t.Context())
 	tc := &testCluster{
-		t: t, ctx: ctx, network: fmt.Sprintf("127.%d.%d.", 16+rand.IntN(200), rand.IntN(250)), store: &standin.Store{},
+		t: t, ctx: ctx, network: fmt.Sprintf("127.%d.%d.", 16+rand.IntN(200), rand.IntN(250)), store: &platformtest.Store{},
 		stopProcess: map[string]func(){}, logs: &lockedBuffer{}, activeRuns: map[string]int{}, startedRuns: map[string]int{},
 		completedRuns: map[string]int{},
 	}
@@ -104,7 +104,7 @@
 }
 
 func (tc *testCluster) configure(version int, prefixes ...string) {
-	tc.store.Configure(version, "svc", prefixes...)
+	tc.store.PublishConfiguration(version, "svc", prefixes...)
 }
 
 func (tc *testCluster) options(name, domain string, host int) Options {
@@ -143,7 +143,7 @@
 	o := tc.options(fmt.Sprintf("sidecar-%d", i), testDomain(i), host)
 	o.AnnounceAddress, o.BackendAddress = tc.address(host, 8002), tc.address(host, 8003)
 	id := fmt.Sprintf("i-%d", i)
-	b := &standin.Backend{ID: id, Service: "svc", Zone: o.Domain, CPU: 8000, MemMb: 8000, Control: o.AnnounceAddress}
+	b := &platformtest.Backend{ID: id, Service: "svc", Zone: o.Domain, CPU: 8000, MemMb: 8000, Control: o.AnnounceAddress}
 	b.OnRun = func(task string, run uint64, how string) {
 		tc.mu.Lock()
 		defer tc.mu.Unlock()
@@ -177,7 +177,7 @@
 func testDomain(i int) string { return []string{"north", "south"}[i%2] }
 
 func (tc *testCluster) post(at, prefix, id string, tasks int, spec string) (int, string) {
-	r, err := standin.Submission(at, prefix, id, tasks, spec, longEstimateMs, 2500)
+	r, err := platformtest.NewJobRequest(at, prefix, id, tasks, spec, longEstimateMs, 2500)
 	if err != nil {
 		tc.t.Fatal(err)
 	}
@@ -189,7 +189,7 @@
 	if err != nil {
 		tc.t.Fatal(err)
 	}
-	r.Host = standin.Host
+	r.Host = platformtest.Host
 	return tc.do(r)
 }
 
@@ -268,7 +268,7 @@
 		})
 	}
 	tc.configure(4, "/a/", "/b/") // an older version must be ignored
-	tc.store.Withdraw("north", true)
+	tc.store.SetDomainWithdrawn("north", true)
 	tc.eventually("failure domain withdrawn", func() bool { return strings.Count(tc.logs.String(), `"domainsOut":["north"]`) >= 6 })
 	tc.mu.Lock()
 	before := tc.startedRuns["i-0"] + tc.startedRuns["i-2"]
@@ -286,7 +286,7 @@
 	if status, _ := tc.post(tc.entryAddresses[0], "/a/", "0000000000000012", 1, "5"); status != http.StatusNotFound {
 		t.Errorf("after an older configuration: got %d, want 404", status)
 	}
-	tc.store.Withdraw("north", false)
+	tc.store.SetDomainWithdrawn("north", false)
 	tc.eventually("failure domain in service again", func() bool {
 		tc.post(tc.entryAddresses[0], "/b/", fmt.Sprintf("%016x", rand.Uint64()), 8, "20")
 		tc.mu.Lock()
@@ -300,7 +300,7 @@
 func TestStartWithoutStore(t *testing.T) {
 	for _, entries := range []int{1, 2} {
 		tc := newTestCluster(t, entries, 2)
-		tc.store.SetFaults(standin.StoreFaults{Silent: true})
+		tc.store.SetFaults(platformtest.StoreFaults{Unresponsive: true})
 		last := entries - 1
 		tc.stopProcess[fmt.Sprintf("entry-%d", last)]()
 		tc.startEntry(last)
@@ -315,7 +315,7 @@
 // serves only the operator's records. The seeds contain one entry and one address without a listener.
 func TestSeeds(t *testing.T) {
 	tc := newTestCluster(t, 3, 3)
-	tc.store.SetFaults(standin.StoreFaults{Own: true})
+	tc.store.SetFaults(platformtest.StoreFaults{RejectOtherTopics: true})
 	for name := range tc.stopProcess {
 		tc.stopProcess[name]()
 	}
@@ -339,13 +339,13 @@
 // TestStoreAway guards against restartable jobs that fail while the store is unavailable.
 func TestStoreAway(t *testing.T) {
 	tc := newTestCluster(t, 2, 3)
-	tc.store.SetFaults(standin.StoreFaults{Silent: true})
+	tc.store.SetFaults(platformtest.StoreFaults{Unresponsive: true})
 	for i := range 20 {
 		if status, answer := tc.post(tc.entryAddresses[i%2], "/a/", fmt.Sprintf("%016x", 0x300+i), 3, "10"); status != http.StatusOK {
 			t.Errorf("job %d: got %d %s, want 200", i, status, answer)
 		}
 	}
-	tc.store.SetFaults(standin.StoreFaults{})
+	tc.store.SetFaults(platformtest.StoreFaults{})
 	tc.configure(9, "/c/")
 	tc.eventually("configuration after the store is available again", func() bool {
 		status, _ := tc.post(tc.entryAddresses[1], "/c/", "0000000000000031", 1, "5")
@@ -376,11 +376,11 @@
 func TestRecall(t *testing.T) {
 	tc := newTestCluster(t, 1, 1)
 	tc.eventually("descriptor in the store", func() bool {
-		page, err := newStore(tc.address(250, 7000), 0).Newest(tc.ctx, platform.TopicBackends)
+		page, err := newStore(tc.address(250, 7000), 0).ReadLatest(tc.ctx, platform.TopicBackends)
 		return err == nil && len(page.Records) == 1
 	})
 	tc.stopProcess["sidecar-0"]()
-	tc.backends[0].SetFaults(standin.BackendFaults{Mute: true})
+	tc.backends[0].SetFaults(platformtest.BackendFaults{NoHeartbeats: true})
 	tc.restartSidecar(0)
 	tc.eventually("job on a restored backend server", func() bool {
 		status, _ := tc.post(tc.entryAddresses[0], "/a/", fmt.Sprintf("%016x", rand.Uint64()), 1, "5")
@@ -393,18 +393,18 @@
 func TestLeavingIsKept(t *testing.T) {
 	tc := newTestCluster(t, 1, 1)
 	tc.eventually("descriptor in the store", func() bool {
-		page, err := newStore(tc.address(250, 7000), 0).Newest(tc.ctx, platform.TopicBackends)
+		page, err := newStore(tc.address(250, 7000), 0).ReadLatest(tc.ctx, platform.TopicBackends)
 		return err == nil && len(page.Records) == 1
 	})
-	tc.store.SetFaults(standin.StoreFaults{Own: true})
+	tc.store.SetFaults(platformtest.StoreFaults{RejectOtherTopics: true})
 	var acknowledged atomic.Bool
 	tc.backends[0].OnDraining = func() { acknowledged.Store(true) }
 	tc.backends[0].Drain()
 	tc.eventually("sidecar knows of the draining", func() bool { return strings.Count(tc.logs.String(), `"sidecar: backend"`) >= 2 })
 	time.Sleep(time.Second) // time for several announcements
 	tc.stopProcess["sidecar-0"]()
-	tc.backends[0].SetFaults(standin.BackendFaults{Mute: true})
-	tc.store.SetFaults(standin.StoreFaults{})
+	tc.backends[0].SetFaults(platformtest.BackendFaults{NoHeartbeats: true})
+	tc.store.SetFaults(platformtest.StoreFaults{})
 	tc.restartSidecar(0)
 	for range 10 {
 		status, _ := tc.post(tc.entryAddresses[0], "/a/", fmt.Sprintf("%016x", rand.Uint64()), 1, "5")
@@ -413,7 +413,7 @@
 		}
 		time.Sleep(50 * time.Millisecond)
 	}
-	tc.backends[0].SetFaults(standin.BackendFaults{})
+	tc.backends[0].SetFaults(platformtest.BackendFaults{})
 	tc.eventually("draining is acknowledged once the store is available", acknowledged.Load)
 }
 
--- a/conductor/sessions.go
+++ b/runner/sessions.go
@@ -1,4 +1,4 @@
-package conductor
+package runner
 
 import (
 	"context"
@@ -6,9 +6,9 @@
 
 	"github.com/gravitational/trace"
 
-	"github.com/crocuslb/crocuslb/carrier"
-	"github.com/crocuslb/crocuslb/catcher"
+	"github.com/crocuslb/crocuslb/connector"
 	"github.com/crocuslb/crocuslb/marshaler"
+	"github.com/crocuslb/crocuslb/recoverer"
 	"github.com/crocuslb/crocuslb/timer"
 )
 
@@ -24,23 +24,23 @@
 	// onPanic is called after a panic while handling a message, with the name of its sender.
 	onPanic func(from string, err error)
 
-	links sync.Map // *carrier.Session to *marshaler.Link
+	links sync.Map // *connector.Session to *marshaler.Link
 }
 
 // attach sets the callbacks of a node. They stop posting events once ctx is canceled.
-func (s *sessionHandler) attach(ctx context.Context, n *carrier.Node) {
-	n.OnUp = func(c *carrier.Session) {
+func (s *sessionHandler) attach(ctx context.Context, n *connector.Node) {
+	n.OnConnect = func(c *connector.Session) {
 		link := &marshaler.Link{Remote: c.Remote, Send: c.Send, Close: c.Close}
 		s.links.Store(c, link)
 		s.loop.post(ctx, func(now timer.Millis) { s.onUp(now, link) })
 		s.exchangePeers(ctx, c)
 	}
-	n.OnMessage = func(c *carrier.Session, batch []marshaler.Message) {
+	n.OnMessage = func(c *connector.Session, batch []marshaler.Message) {
 		v, _ := s.links.Load(c)
 		link, _ := v.(*marshaler.Link)
 		s.loop.post(ctx, func(now timer.Millis) {
 			for _, m := range batch {
-				err := catcher.Catch(func() { s.dispatch(ctx, now, link, m) })
+				err := recoverer.Call(func() { s.dispatch(ctx, now, link, m) })
 				if err == nil {
 					continue
 				}
@@ -51,8 +51,8 @@
 			}
 		})
 	}
-	n.OnPanic = func(c *carrier.Session, err error) { s.onPanic(c.Remote.Name, err) }
-	n.OnDown = func(c *carrier.Session, cause error) {
+	n.OnPanic = func(c *connector.Session, err error) { s.onPanic(c.Remote.Name, err) }
+	n.OnDisconnect = func(c *connector.Session, cause error) {
 		v, _ := s.links.LoadAndDelete(c)
 		link, _ := v.(*marshaler.Link)
 		s.loop.post(ctx, func(now timer.Millis) { s.onDown(now, link, cause) })
@@ -62,7 +62,7 @@
 // exchangePeers sends the known entries to the remote end of a new session. If the remote end is a new entry, it sends
 // them on all sessions. Processes that start while the store is unavailable discover each other this way, starting from
 // the seeds.
-func (s *sessionHandler) exchangePeers(ctx context.Context, c *carrier.Session) {
+func (s *sessionHandler) exchangePeers(ctx context.Context, c *connector.Session) {
 	remote := c.Remote
 	if remote.Role == marshaler.RoleEntry && s.directory.addPeers(ctx, []marshaler.Peer{{Name: remote.Name, Address: remote.Address, Incarnation: remote.Incarnation}}) {
 		s.broadcast(&marshaler.Peers{Peers: s.directory.peers()})
@@ -85,7 +85,7 @@
 
 func (s *sessionHandler) broadcast(m marshaler.Message) {
 	s.links.Range(func(c, _ any) bool {
-		if session, ok := c.(*carrier.Session); ok {
+		if session, ok := c.(*connector.Session); ok {
 			session.Send(m)
 		}
 		return true
--- a/conductor/sidecar.go
+++ b/runner/sidecar.go
@@ -1,4 +1,4 @@
-package conductor
+package runner
 
 import (
 	"context"
@@ -7,12 +7,12 @@
 
 	"github.com/apex/log"
 
-	"github.com/crocuslb/crocuslb/carrier"
-	"github.com/crocuslb/crocuslb/catcher"
-	"github.com/crocuslb/crocuslb/keeper"
+	"github.com/crocuslb/crocuslb/connector"
 	"github.com/crocuslb/crocuslb/marshaler"
 	"github.com/crocuslb/crocuslb/platform"
+	"github.com/crocuslb/crocuslb/recoverer"
 	"github.com/crocuslb/crocuslb/router"
+	"github.com/crocuslb/crocuslb/supervisor"
 	"github.com/crocuslb/crocuslb/timer"
 )
 
@@ -41,15 +41,15 @@
 	Options
 
 	loop         *eventLoop
-	core         keeper.Keeper
+	core         supervisor.Supervisor
 	config       configuration
 	directory    entryDirectory
-	node         carrier.Node
+	node         connector.Node
 	monitor      monitor
 	descriptors  descriptorStore
 	backend      platform.Backend
 	sessions     sessionHandler
-	holdRequests chan keeper.HoldRequest
+	holdRequests chan supervisor.HoldRequest
 	holdPending  bool // a hold call is running or queued; owned by the event loop
 }
 
@@ -63,27 +63,27 @@
 	s.loop.onPanic = func(err error) { s.monitor.reportPanic("loop", err) }
 	s.backend = platform.NewBackend(s.BackendAddress, maxBackendConnections, backendTimeout)
 	s.descriptors = descriptorStore{logger: s.Logger, store: newStore(s.StoreAddress, 0), name: s.Name, pending: make(chan string, 1)}
-	s.holdRequests = make(chan keeper.HoldRequest, 1)
-	s.core = keeper.Keeper{
+	s.holdRequests = make(chan supervisor.HoldRequest, 1)
+	s.core = supervisor.Supervisor{
 		Domain: s.Domain, Partitions: s.Partitions, Report: s.report,
-		Start: func(m marshaler.Start) { s.startTask(runCtx, m) },
-		Stop:  func(r marshaler.RunKey) { s.stopRun(runCtx, r) },
-		Look:  func() { s.pollRuns(runCtx) },
+		Start:   func(m marshaler.Start) { s.startTask(runCtx, m) },
+		Stop:    func(r marshaler.RunKey) { s.stopRun(runCtx, r) },
+		HoldNow: func() { s.pollRuns(runCtx) },
 	}
 	s.config = configuration{logger: s.Logger, processName: s.Name, onChange: func(now timer.Millis, c router.Snapshot) {
 		s.core.SetOffset(now, c.Offset, c.Withdrawn(s.Domain))
 	}}
-	s.node = carrier.Node{
+	s.node = connector.Node{
 		Hello: func() marshaler.Hello {
 			return marshaler.Hello{Role: marshaler.RoleSidecar, Name: s.Name, Incarnation: incarnation, Domain: s.Domain, Weight: s.Weight}
 		},
 	}
 	s.attachSessions(runCtx)
 	s.loop.flush, s.loop.tick = func(timer.Millis) {}, s.core.Tick
-	announcements := platform.Announcements{
-		Announce: func(b keeper.Backend) bool { return s.announce(runCtx, b) },
-		Leaves:   func(id string) { s.loop.post(runCtx, func(now timer.Millis) { s.core.Leaves(now, id) }) },
-		Refused:  func(err error) { s.Logger.WithError(err).Warn("sidecar: rejected an invalid announcement") },
+	announcements := platform.RegistrationServer{
+		OnHeartbeat:  func(b supervisor.Backend) bool { return s.announce(runCtx, b) },
+		OnDeregister: func(id string) { s.loop.post(runCtx, func(now timer.Millis) { s.core.OnDeregistered(now, id) }) },
+		OnMalformed:  func(err error) { s.Logger.WithError(err).Warn("sidecar: rejected an invalid announcement") },
 	}
 	servers, err := startServers(runCtx, &s.monitor, []endpoint{{s.AnnounceAddress, announcements.Handler()}, {s.MetricsAddress, s.monitor.metricsHandler()}})
 	if err != nil {
@@ -122,15 +122,15 @@
 		onUp: func(now timer.Millis, link *marshaler.Link) {
 			s.Logger.WithField("entry", link.Remote.Name).Info("sidecar: entry connected")
 			s.config.relay.Up(now, link.Remote.Name)
-			s.core.OnUp(now, link)
+			s.core.OnConnect(now, link)
 		},
 		onDown: func(_ timer.Millis, link *marshaler.Link, cause error) {
 			s.Logger.WithError(cause).WithField("entry", link.Remote.Name).Info("sidecar: entry disconnected")
 			s.config.relay.Down(link.Remote.Name)
-			s.core.OnDown(link)
+			s.core.OnDisconnect(link)
 		},
 		onMessage: func(now timer.Millis, link *marshaler.Link, m marshaler.Message) {
-			if b, ok := m.(*marshaler.Beat); ok {
+			if b, ok := m.(*marshaler.Heartbeat); ok {
 				s.config.sendIfOutdated(now, link, b.Offset)
 			}
 			s.core.OnMessage(now, link, m)
@@ -143,7 +143,7 @@
 // announce applies an announcement of the backend server and returns once it has taken effect. It reports whether the
 // announcement may be acknowledged: draining is acknowledged only after it is stored, so that it survives a restart of
 // the sidecar.
-func (s *Sidecar) announce(ctx context.Context, b keeper.Backend) bool {
+func (s *Sidecar) announce(ctx context.Context, b supervisor.Backend) bool {
 	done := make(chan struct{})
 	s.loop.post(ctx, func(now timer.Millis) {
 		defer close(done)
@@ -190,41 +190,41 @@
 // runHolds makes the hold calls, which renew the leases of all runs and wait for runs to end.
 func (s *Sidecar) runHolds(ctx context.Context) {
 	for {
-		var request keeper.HoldRequest
+		var request supervisor.HoldRequest
 		select {
 		case request = <-s.holdRequests:
 		case <-ctx.Done():
 			return
 		}
 		timeout := idleHoldTimeout
-		if request.Busy {
+		if request.HasRuns {
 			timeout = busyHoldTimeout
 		}
-		if request.Unrecorded {
+		if request.HasUnrecordedEnds {
 			time.Sleep(unrecordedHoldDelay)
 		}
 		listing, err := s.callHold(request, timeout)
-		if err != nil && !platform.TimedOut(err) {
+		if err != nil && !platform.IsTimeout(err) {
 			time.Sleep(holdRetryDelay)
 		}
 		s.loop.post(ctx, func(now timer.Millis) {
 			s.holdPending = false
 			defer s.scheduleHold(now) // also after a panic in the core: one bad listing must not let the leases expire
 			if err != nil {
-				s.core.OnHoldFailed(now, platform.Gone(err), err.Error())
+				s.core.OnHoldFailed(now, platform.IsConnectionRefused(err), err.Error())
 			} else {
-				s.core.OnListing(now, listing)
+				s.core.OnHoldResponse(now, listing)
 			}
 		})
 	}
 }
 
 // callHold makes a hold call to the backend server. A panic while handling the response is returned as an error.
-func (s *Sidecar) callHold(request keeper.HoldRequest, timeout time.Duration) (listing keeper.Listing, err error) {
-	panicked := catcher.Catch(func() { listing, err = s.backend.Hold(request, timeout) })
+func (s *Sidecar) callHold(request supervisor.HoldRequest, timeout time.Duration) (listing supervisor.HoldResponse, err error) {
+	panicked := recoverer.Call(func() { listing, err = s.backend.Hold(request, timeout) })
 	if panicked != nil {
 		s.monitor.reportPanic("backend server", panicked)
-		return keeper.Listing{}, panicked
+		return supervisor.HoldResponse{}, panicked
 	}
 	return listing, err
 }
@@ -241,15 +241,15 @@
 		if err != nil {
 			return // the next hold call reports the same failure
 		}
-		s.loop.post(ctx, func(now timer.Millis) { s.core.OnListing(now, listing) })
+		s.loop.post(ctx, func(now timer.Millis) { s.core.OnHoldResponse(now, listing) })
 	}()
 }
 
 func (s *Sidecar) startTask(ctx context.Context, m marshaler.Start) {
 	instance := s.core.Backend().ID
 	go func() {
-		started := keeper.Started{Run: m.Run, Status: keeper.StartUnknown, Reason: "panic on the answer"}
-		if err := catcher.Catch(func() { started = s.backend.Start(instance, m) }); err != nil {
+		started := supervisor.StartResult{Run: m.Run, Status: supervisor.StartUnknown, Reason: "panic on the answer"}
+		if err := recoverer.Call(func() { started = s.backend.Start(instance, m) }); err != nil {
 			s.monitor.reportPanic("backend server", err)
 		}
 		s.loop.post(ctx, func(now timer.Millis) { s.core.OnStarted(now, started) })
@@ -261,21 +261,21 @@
 	go func() {
 		var stopped bool
 		var err error
-		if panicked := catcher.Catch(func() { stopped, err = s.backend.Stop(instance, r) }); panicked != nil {
+		if panicked := recoverer.Call(func() { stopped, err = s.backend.Stop(instance, r) }); panicked != nil {
 			s.monitor.reportPanic("backend server", panicked)
 			stopped, err = false, panicked
 		}
 		if err != nil {
 			s.Logger.WithError(err).WithField("job", r.Job).Warn("sidecar: stop call to the backend server failed")
 		}
-		s.loop.post(ctx, func(now timer.Millis) { s.core.OnStopped(now, r, stopped, platform.Gone(err)) })
+		s.loop.post(ctx, func(now timer.Millis) { s.core.OnStopped(now, r, stopped, platform.IsConnectionRefused(err)) })
 	}()
 }
 
 // drain rejects new starts and waits up to Options.DrainTime for the runs to end.
 func (s *Sidecar) drain(ctx context.Context) {
 	s.Logger.WithField("drain", s.DrainTime.String()).Info("sidecar: stopping")
-	s.loop.post(ctx, s.core.Leave)
+	s.loop.post(ctx, s.core.Drain)
 	running := make(chan int, 1)
 	for started := time.Now(); time.Since(started) < s.DrainTime.Duration(); time.Sleep(drainPollPeriod) {
 		s.loop.post(ctx, func(timer.Millis) { running <- s.core.Running() })
@@ -286,7 +286,7 @@
 	time.Sleep(flushDelay)
 }
 
-func (s *Sidecar) report(e keeper.Event) {
+func (s *Sidecar) report(e supervisor.Event) {
 	detail, _, _ := strings.Cut(e.Detail, " ")
 	if e.Kind == "backend" || e.Kind == "backendSilent" || e.Kind == "backendRestarted" || e.Kind == "deregistered" {
 		detail = ""
--- a/conductor/writer.go
+++ b/runner/writer.go
@@ -1,4 +1,4 @@
-package conductor
+package runner
 
 import (
 	"context"
@@ -100,7 +100,7 @@
 			partition, jobs := marshaler.Partition{Number: w.partition, Epoch: w.epoch, Previous: archive.Previous()}, archive.Jobs()
 			w.owner.loop.post(ctx, func(now timer.Millis) {
 				if ctx.Err() == nil {
-					w.owner.core.Acquire(now, partition, jobs)
+					w.owner.core.AcquirePartition(now, partition, jobs)
 				}
 			})
 			return true
@@ -119,7 +119,7 @@
 		bodies[i] = batch[i].body
 	}
 	for ctx.Err() == nil {
-		offset, err := w.owner.store.Write(ctx, w.partition, w.epoch, sequence, bodies)
+		offset, err := w.owner.store.AppendPartition(ctx, w.partition, w.epoch, sequence, bodies)
 		switch {
 		case err == nil:
 			w.owner.loop.post(ctx, func(now timer.Millis) {
--- a/soaker/callers.go
+++ b/soaker/callers.go
@@ -10,7 +10,7 @@
 	"sync"
 	"time"
 
-	"github.com/crocuslb/crocuslb/platform/standin"
+	"github.com/crocuslb/crocuslb/platform/platformtest"
 )
 
 const (
@@ -67,7 +67,7 @@
 func (s *soak) sendKept(ctx context.Context, id string, tasks int, spec string, entry int) {
 	unknown := false
 	for range maxSends {
-		r, err := standin.KeptSubmission(s.address(1+entry, callersPort), prefix, id, tasks, spec, estimate, int(callerWait.Milliseconds()))
+		r, err := platformtest.NewDurableJobRequest(s.address(1+entry, callersPort), prefix, id, tasks, spec, estimate, int(callerWait.Milliseconds()))
 		if err != nil {
 			s.checks.violate("job %s: %v", id, err)
 			return
@@ -110,7 +110,7 @@
 	if err != nil {
 		return err.Error()
 	}
-	r.Host = standin.Host
+	r.Host = platformtest.Host
 	status, body := s.do(ctx, r, callerWait)
 	var m struct{ State string }
 	if status != http.StatusOK || json.Unmarshal([]byte(body), &m) != nil {
@@ -121,7 +121,7 @@
 
 // post sends a job once. The status is 0 when there was no answer.
 func (s *soak) post(ctx context.Context, entry int, id string, tasks int, spec string, wait time.Duration) (int, string) {
-	r, err := standin.Submission(s.address(1+entry, callersPort), prefix, id, tasks, spec, estimate, int(callerWait.Milliseconds()))
+	r, err := platformtest.NewJobRequest(s.address(1+entry, callersPort), prefix, id, tasks, spec, estimate, int(callerWait.Milliseconds()))
 	if err != nil {
 		return 0, err.Error()
 	}
--- a/soaker/faults.go
+++ b/soaker/faults.go
@@ -7,7 +7,7 @@
 	"time"
 
 	"github.com/crocuslb/crocuslb/launcher"
-	"github.com/crocuslb/crocuslb/platform/standin"
+	"github.com/crocuslb/crocuslb/platform/platformtest"
 )
 
 // fault is a way to disturb a run. It returns when it is over.
@@ -48,30 +48,30 @@
 		s.nodes[pick%len(s.nodes)].toStore.silence()
 	}},
 	{"store silent", func(s *soak, _ context.Context, _ int, length time.Duration) {
-		s.storeFault(standin.StoreFaults{Silent: true}, length)
+		s.storeFault(platformtest.StoreFaults{Unresponsive: true}, length)
 	}},
 	{"store refuses", func(s *soak, _ context.Context, pick int, length time.Duration) {
-		s.storeFault(standin.StoreFaults{Status: []int{http.StatusServiceUnavailable, http.StatusTooManyRequests}[pick%2]}, length)
+		s.storeFault(platformtest.StoreFaults{Status: []int{http.StatusServiceUnavailable, http.StatusTooManyRequests}[pick%2]}, length)
 	}},
 	{"store slow", func(s *soak, _ context.Context, _ int, length time.Duration) {
-		s.storeFault(standin.StoreFaults{Slow: 300 * time.Millisecond}, length)
+		s.storeFault(platformtest.StoreFaults{Slow: 300 * time.Millisecond}, length)
 	}},
 	{"store answers lost", func(s *soak, _ context.Context, _ int, length time.Duration) {
-		s.storeFault(standin.StoreFaults{Lost: 0.4}, length)
+		s.storeFault(platformtest.StoreFaults{Lost: 0.4}, length)
 	}},
 	{"store forgets its history", func(s *soak, _ context.Context, _ int, _ time.Duration) { s.store.Expire("keyed.op", 1<<40) }},
 	{"backend server restarted", func(s *soak, _ context.Context, pick int, _ time.Duration) { s.restartBackend(pick) }},
 	{"orders carried out late", func(s *soak, _ context.Context, pick int, length time.Duration) {
-		s.backendFault(pick, standin.BackendFaults{Late: 0.15}, length)
+		s.backendFault(pick, platformtest.BackendFaults{Late: 0.15}, length)
 	}},
 	{"runs stand still", func(s *soak, _ context.Context, pick int, length time.Duration) {
-		s.backendFault(pick, standin.BackendFaults{Stuck: true}, length)
+		s.backendFault(pick, platformtest.BackendFaults{Stalled: true}, length)
 	}},
 	{"backend server fails all", func(s *soak, _ context.Context, pick int, length time.Duration) {
-		s.backendFault(pick, standin.BackendFaults{Fail: true}, length)
+		s.backendFault(pick, platformtest.BackendFaults{FailRuns: true}, length)
 	}},
 	{"backend server slow", func(s *soak, _ context.Context, pick int, length time.Duration) {
-		s.backendFault(pick, standin.BackendFaults{Factor: 6}, length)
+		s.backendFault(pick, platformtest.BackendFaults{DurationFactor: 6}, length)
 	}},
 	{"backend server leaves", func(s *soak, _ context.Context, pick int, length time.Duration) {
 		s.backend(pick).Drain()
@@ -80,11 +80,11 @@
 	}},
 	{"domain withdrawn", func(s *soak, _ context.Context, pick int, length time.Duration) {
 		domain := domainName(pick)
-		s.store.Withdraw(domain, true)
+		s.store.SetDomainWithdrawn(domain, true)
 		s.checks.onWithdrawn(domain, true)
 		time.Sleep(length)
 		s.checks.onWithdrawn(domain, false)
-		s.store.Withdraw(domain, false)
+		s.store.SetDomainWithdrawn(domain, false)
 	}},
 	{"configuration changed", func(s *soak, _ context.Context, pick int, _ time.Duration) { s.reconfigure(pick) }},
 }
@@ -117,19 +117,19 @@
 
 // heal ends what lasts.
 func (s *soak) heal() {
-	s.store.SetFaults(standin.StoreFaults{})
+	s.store.SetFaults(platformtest.StoreFaults{})
 	for _, b := range s.backends {
-		b.SetFaults(standin.BackendFaults{})
+		b.SetFaults(platformtest.BackendFaults{})
 	}
 }
 
-func (s *soak) entry(pick int) *node              { return s.nodes[pick%s.plan.Entries] }
-func (s *soak) sidecar(pick int) *node            { return s.nodes[s.plan.Entries+pick%s.plan.Sidecars] }
-func (s *soak) backend(pick int) *standin.Backend { return s.backends[pick%len(s.backends)] }
-func (s *soak) storeFault(f standin.StoreFaults, d time.Duration) {
+func (s *soak) entry(pick int) *node                   { return s.nodes[pick%s.plan.Entries] }
+func (s *soak) sidecar(pick int) *node                 { return s.nodes[s.plan.Entries+pick%s.plan.Sidecars] }
+func (s *soak) backend(pick int) *platformtest.Backend { return s.backends[pick%len(s.backends)] }
+func (s *soak) storeFault(f platformtest.StoreFaults, d time.Duration) {
 	s.store.SetFaults(f)
 	time.Sleep(d)
-	s.store.SetFaults(standin.StoreFaults{})
+	s.store.SetFaults(platformtest.StoreFaults{})
 }
 
 // restartBackend begins a new life of a backend server, which does not leave.
@@ -138,10 +138,10 @@
 	s.checks.onReturned(s.backend(pick).ID)
 }
 
-func (s *soak) backendFault(pick int, f standin.BackendFaults, d time.Duration) {
+func (s *soak) backendFault(pick int, f platformtest.BackendFaults, d time.Duration) {
 	s.backend(pick).SetFaults(f)
 	time.Sleep(d)
-	s.backend(pick).SetFaults(standin.BackendFaults{})
+	s.backend(pick).SetFaults(platformtest.BackendFaults{})
 }
 
 // take claims a node for a fault that ends its process. It returns false when another one has it.
@@ -243,8 +243,8 @@
 	defer s.mu.Unlock()
 	s.version += 1 + pick%3
 	if pick%2 == 0 {
-		s.store.Configure(s.version, service, prefix, "/other/")
+		s.store.PublishConfiguration(s.version, service, prefix, "/other/")
 	} else {
-		s.store.Configure(s.version, service, prefix)
+		s.store.PublishConfiguration(s.version, service, prefix)
 	}
 }
--- a/soaker/soak.go
+++ b/soaker/soak.go
@@ -16,7 +16,7 @@
 	"github.com/gravitational/trace"
 
 	"github.com/crocuslb/crocuslb/launcher"
-	"github.com/crocuslb/crocuslb/platform/standin"
+	"github.com/crocuslb/crocuslb/platform/platformtest"
 )
 
 const (
@@ -71,8 +71,8 @@
 		network  string
 		random   *rand.Rand
 		started  time.Time
-		store    *standin.Store
-		backends []*standin.Backend
+		store    *platformtest.Store
+		backends []*platformtest.Backend
 		nodes    []*node
 		client   *http.Client
 		checks   *checks
@@ -130,7 +130,7 @@
 	p = p.withDefaults()
 	ctx, cancel := context.WithCancel(ctx)
 	s := &soak{
-		plan: p, random: rand.New(rand.NewPCG(p.Seed, 3)), started: time.Now(), store: &standin.Store{}, version: 1,
+		plan: p, random: rand.New(rand.NewPCG(p.Seed, 3)), started: time.Now(), store: &platformtest.Store{}, version: 1,
 		network: fmt.Sprintf("127.%d.%d.", 10+os.Getpid()%200, p.Seed%250), checks: newChecks(),
 		client: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 64}},
 	}
@@ -164,7 +164,7 @@
 
 // launch starts the stand-ins, then the processes, and waits until a job is served.
 func (s *soak) launch(ctx context.Context) error {
-	s.store.Configure(s.version, service, prefix)
+	s.store.PublishConfiguration(s.version, service, prefix)
 	if err := serve(ctx, s.address(storeHost, storePort), s.store); err != nil {
 		return err
 	}
@@ -242,7 +242,7 @@
 	if err != nil {
 		return err
 	}
-	b := &standin.Backend{ID: fmt.Sprintf("i-%d", i), Service: service, Zone: n.domain, CPU: backendCPU, MemMb: 64_000, Control: s.address(host, announcePort)}
+	b := &platformtest.Backend{ID: fmt.Sprintf("i-%d", i), Service: service, Zone: n.domain, CPU: backendCPU, MemMb: 64_000, Control: s.address(host, announcePort)}
 	b.OnRun = func(task string, run uint64, how string) { s.checks.onRun(b.ID, n.domain, task, run, how) }
 	b.OnDraining = func() { s.checks.onDraining(b.ID) }
 	s.backends = append(s.backends, b)
--- a/submitter/answer.go
+++ b/submitter/answer.go
@@ -11,10 +11,10 @@
 	AnswerNotRun
 	// AnswerNoQueue means that the configuration has no such queue. No task ran.
 	AnswerNoQueue
-	// AnswerGaveUp means that the job was aborted because its deadline passed, it was cancelled or its caller
+	// AnswerAborted means that the job was aborted because its deadline passed, it was cancelled or its caller
 	// disconnected; all its runs are being stopped. It also stands for an unknown outcome, when an entry or the store
 	// did not answer.
-	AnswerGaveUp
+	AnswerAborted
 	// AnswerMalformed means that the job is invalid. No task ran.
 	AnswerMalformed
 	// AnswerAccepted means that a durable job is in the store.
@@ -25,10 +25,10 @@
 	AnswerRunning
 	// AnswerCancelled means that the job is cancelled or had ended before.
 	AnswerCancelled
-	// AnswerGone means that the job does not exist.
-	AnswerGone
-	// AnswerElsewhere is only sent between entries: the receiver of the request does not own the job.
-	AnswerElsewhere
+	// AnswerNotFound means that the job does not exist.
+	AnswerNotFound
+	// AnswerNotOwner is only sent between entries: the receiver of the request does not own the job.
+	AnswerNotOwner
 )
 
 type (
--- a/submitter/callers.go
+++ b/submitter/callers.go
@@ -46,7 +46,7 @@
 func (s *Submitter) State(now timer.Millis, queue, id string, answer func(a Answer)) {
 	s.setNow(now)
 	if !s.durable.inUse {
-		answer(Answer{Kind: AnswerGone, Reason: "there are no kept jobs"})
+		answer(Answer{Kind: AnswerNotFound, Reason: "there are no kept jobs"})
 		return
 	}
 	s.route(&operation{verb: marshaler.VerbState, job: Job{ID: id}, queue: queue, answer: answer, expiresAt: now + routeTimeout})
@@ -56,12 +56,12 @@
 func (s *Submitter) Cancel(now timer.Millis, queue, id string, answer func(a Answer)) {
 	s.setNow(now)
 	if j := s.jobs[id]; j != nil && j.durability.partition == nil {
-		s.Drop(now, id, "cancelled by the caller")
+		s.Abort(now, id, "cancelled by the caller")
 		answer(Answer{Kind: AnswerCancelled})
 		return
 	}
 	if !s.durable.inUse {
-		answer(Answer{Kind: AnswerGone, Reason: "no such job is in work here"})
+		answer(Answer{Kind: AnswerNotFound, Reason: "no such job is in work here"})
 		return
 	}
 	s.route(&operation{verb: marshaler.VerbCancel, job: Job{ID: id}, queue: queue, answer: answer, expiresAt: now + routeTimeout})
@@ -70,7 +70,7 @@
 // owner returns the entry that claims a partition with the highest epoch, or nil.
 func (s *Submitter) owner(number uint64) (best *peer) {
 	var epoch uint64
-	for _, p := range marshaler.InOrder(s.peers) {
+	for _, p := range marshaler.SortedByKey(s.peers) {
 		if p.link != nil && p.ownedEpochs[number] > epoch {
 			best, epoch = p, p.ownedEpochs[number]
 		}
@@ -141,7 +141,7 @@
 	j := s.jobs[id]
 	switch {
 	case j == nil || !j.durability.stored || j.durability.record.Queue != queue:
-		return Answer{Kind: AnswerGone, Reason: "no such job"}
+		return Answer{Kind: AnswerNotFound, Reason: "no such job"}
 	case j.hasBegun():
 		return Answer{Kind: AnswerRunning}
 	}
@@ -170,7 +170,7 @@
 	}
 	j := s.jobs[id]
 	if j == nil || j.durability.record == nil || j.durability.record.Queue != op.queue || !j.durability.storeRequested {
-		op.answer(Answer{Kind: AnswerGone, Reason: "no such job"})
+		op.answer(Answer{Kind: AnswerNotFound, Reason: "no such job"})
 		return
 	}
 	j.durability.cancelRequests = append(j.durability.cancelRequests, op)
@@ -199,7 +199,7 @@
 	}
 	p := s.durable.owned[s.partitionOf(m.Job)]
 	if p == nil {
-		reply(Answer{Kind: AnswerElsewhere})
+		reply(Answer{Kind: AnswerNotOwner})
 		return
 	}
 	op := &operation{verb: m.Verb, job: Job{ID: m.Job}, queue: m.Queue, answer: reply}
@@ -242,7 +242,7 @@
 		return
 	}
 	delete(s.durable.calls, m.Number)
-	if AnswerKind(m.Kind) == AnswerElsewhere {
+	if AnswerKind(m.Kind) == AnswerNotOwner {
 		op.sent = false
 		s.durable.unrouted = append(s.durable.unrouted, op)
 		return
@@ -253,7 +253,7 @@
 
 // rerouteCalls routes the operations again that a lost entry did not answer. All operations are idempotent.
 func (s *Submitter) rerouteCalls(name string) {
-	for number, op := range marshaler.InOrder(s.durable.calls) {
+	for number, op := range marshaler.SortedByKey(s.durable.calls) {
 		if op.sentTo == name {
 			delete(s.durable.calls, number)
 			op.maybeExecuted = true
@@ -281,7 +281,7 @@
 		s.failOperation(op)
 		return true
 	})
-	for number, op := range marshaler.InOrder(s.durable.calls) {
+	for number, op := range marshaler.SortedByKey(s.durable.calls) {
 		if s.now >= op.expiresAt+routeTimeout {
 			delete(s.durable.calls, number)
 			s.failOperation(op)
@@ -299,25 +299,25 @@
 // timeoutAnswer returns the answer to an operation that no owner answered.
 func (op *operation) timeoutAnswer() Answer {
 	if op.sent || op.maybeExecuted {
-		return Answer{Kind: AnswerGaveUp, Reason: "the job's owner did not answer"}
+		return Answer{Kind: AnswerAborted, Reason: "the job's owner did not answer"}
 	}
 	return Answer{Kind: AnswerNotRun, Reason: "the job has no owner at present", RetryAfter: ownerRetryAfter + jitter(op.job.ID)}
 }
 
 // broadcastOwned tells the other entries which partitions this entry owns.
 func (s *Submitter) broadcastOwned() {
-	for _, p := range marshaler.InOrder(s.peers) {
-		p.send(s.now, &marshaler.Owned{Partitions: s.ownedPartitions()})
+	for _, p := range marshaler.SortedByKey(s.peers) {
+		p.send(s.now, &marshaler.OwnedPartitions{Partitions: s.ownedPartitions()})
 	}
 }
 
-func (s *Submitter) onOwned(p *peer, m *marshaler.Owned) {
+func (s *Submitter) onOwned(p *peer, m *marshaler.OwnedPartitions) {
 	p.ownedEpochs = map[uint64]uint64{}
 	for _, o := range m.Partitions {
 		p.ownedEpochs[o.Number] = o.Epoch
 	}
-	if s.Redealt != nil {
-		s.Redealt()
+	if s.OwnershipAnnounced != nil {
+		s.OwnershipAnnounced()
 	}
 	s.retryUnrouted()
 }
@@ -345,9 +345,9 @@
 			waiting[queue] = 0
 		}
 	}
-	for queue, jobs := range marshaler.InOrder(waiting) {
-		for _, p := range marshaler.InOrder(s.peers) {
-			p.send(s.now, &marshaler.Waiting{Queue: queue, Jobs: jobs})
+	for queue, jobs := range marshaler.SortedByKey(waiting) {
+		for _, p := range marshaler.SortedByKey(s.peers) {
+			p.send(s.now, &marshaler.QueueBacklog{Queue: queue, Jobs: jobs})
 		}
 		if jobs == 0 {
 			delete(waiting, queue)
@@ -357,4 +357,4 @@
 }
 
 // truncateReason truncates a text to the maximum length in a message.
-func truncateReason(text string) string { return text[:min(len(text), marshaler.MaxName)] }
+func truncateReason(text string) string { return text[:min(len(text), marshaler.MaxNameLen)] }
--- a/submitter/callers_test.go
+++ b/submitter/callers_test.go
@@ -16,13 +16,13 @@
 		answer AnswerKind
 	}{
 		{"the first entry answers that it does not own the job", false, AnswerNotRun},
-		{"the first entry is lost, the next one answers that it does not own the job", true, AnswerGaveUp},
+		{"the first entry is lost, the next one answers that it does not own the job", true, AnswerAborted},
 	}
 	for _, c := range cases {
 		s := &Submitter{Name: "entry", Incarnation: 9, Weight: 1, Partitions: 1}
 		now := timer.Millis(1000)
 		s.SetSnapshot(now, testSnapshot())
-		s.SetKept(now, true)
+		s.SetDurableInUse(now, true)
 		links := map[string]*marshaler.Link{}
 		var calls []string
 		var latest uint64
@@ -35,31 +35,31 @@
 					}
 				},
 			}
-			s.OnUp(now, links[name])
+			s.OnConnect(now, links[name])
 		}
 		own := func(name string, epoch uint64) {
-			s.OnMessage(now, links[name], &marshaler.Owned{Partitions: []marshaler.Partition{{Number: 0, Epoch: epoch}}})
+			s.OnMessage(now, links[name], &marshaler.OwnedPartitions{Partitions: []marshaler.Partition{{Number: 0, Epoch: epoch}}})
 		}
 		own("owner-a", 1)
 		var got []Answer
 		s.Submit(now, Job{
-			ID: "job", Kind: Kind{Kept: true}, Queue: testQueue, Deadline: 2000, Answer: func(a Answer) { got = append(got, a) },
-			Steps: []marshaler.Step{{Tasks: 1, Room: marshaler.Room{CPU: 3000}, Estimate: 60}},
+			ID: "job", Kind: Kind{Durable: true}, Queue: testQueue, Deadline: 2000, Answer: func(a Answer) { got = append(got, a) },
+			Steps: []marshaler.Step{{Tasks: 1, Resources: marshaler.Resources{CPU: 3000}, Estimate: 60}},
 		})
 		if c.lost {
-			s.OnDown(now, links["owner-a"], errHeartbeatTimeout)
+			s.OnDisconnect(now, links["owner-a"], errHeartbeatTimeout)
 			own("owner-b", 2)
 			s.Tick(now)
 		} else {
 			own("owner-a", 0)
-			s.OnMessage(now, links["owner-a"], &marshaler.Owned{})
+			s.OnMessage(now, links["owner-a"], &marshaler.OwnedPartitions{})
 		}
-		s.OnMessage(now, links[calls[len(calls)-1]], &marshaler.Reply{Number: latest, Kind: uint8(AnswerElsewhere)})
-		s.OnMessage(now, links["owner-b"], &marshaler.Owned{})
+		s.OnMessage(now, links[calls[len(calls)-1]], &marshaler.Reply{Number: latest, Kind: uint8(AnswerNotOwner)})
+		s.OnMessage(now, links["owner-b"], &marshaler.OwnedPartitions{})
 		for range 400 {
 			now += 10
 			for _, link := range links {
-				s.OnMessage(now, link, &marshaler.Beat{Kept: true})
+				s.OnMessage(now, link, &marshaler.Heartbeat{DurableInUse: true})
 			}
 			s.Tick(now)
 		}
--- a/submitter/durable.go
+++ b/submitter/durable.go
@@ -83,8 +83,8 @@
 	}
 )
 
-// SetKept sets whether durable jobs are in use according to the store.
-func (s *Submitter) SetKept(now timer.Millis, inUse bool) {
+// SetDurableInUse sets whether durable jobs are in use according to the store.
+func (s *Submitter) SetDurableInUse(now timer.Millis, inUse bool) {
 	s.setNow(now)
 	before := s.mayHaveDurable()
 	s.durable.known = true
@@ -97,8 +97,8 @@
 	}
 }
 
-// Renew extends the lease on the owned partitions. After it expires, another entry may own them.
-func (s *Submitter) Renew(now, until timer.Millis) {
+// RenewLease extends the lease on the owned partitions. After it expires, another entry may own them.
+func (s *Submitter) RenewLease(now, until timer.Millis) {
 	s.durable.leaseUntil = max(s.durable.leaseUntil, until)
 	s.setNow(now)
 }
@@ -109,17 +109,19 @@
 	if s.now < s.durable.leaseUntil {
 		return
 	}
-	for number := range marshaler.InOrder(s.durable.owned) {
+	for number := range marshaler.SortedByKey(s.durable.owned) {
 		s.release(number, true, "the lease has ended")
 	}
 }
 
-// Owns returns the numbers of the owned partitions in ascending order.
-func (s *Submitter) Owns() []uint64 { return slices.Sorted(maps.Keys(s.durable.owned)) }
+// OwnedPartitionNumbers returns the numbers of the owned partitions in ascending order.
+func (s *Submitter) OwnedPartitionNumbers() []uint64 {
+	return slices.Sorted(maps.Keys(s.durable.owned))
+}
 
-// Release gives up a partition. If stop is set, its runs are stopped at once, because another entry may own it already;
+// ReleasePartition gives up a partition. If stop is set, its runs are stopped at once, because another entry may own it already;
 // otherwise sidecars keep them for the next owner.
-func (s *Submitter) Release(now timer.Millis, number uint64, stop bool, reason string) {
+func (s *Submitter) ReleasePartition(now timer.Millis, number uint64, stop bool, reason string) {
 	s.setNow(now)
 	s.release(number, stop, reason)
 }
@@ -134,13 +136,13 @@
 	}
 	delete(s.durable.owned, number)
 	s.report(Event{Kind: "release", Detail: reason, Value: int64(number)})
-	for _, j := range marshaler.InOrder(s.jobs) {
+	for _, j := range marshaler.SortedByKey(s.jobs) {
 		if j.durability.partition == p {
 			s.dropOwnership(j, stop)
 		}
 	}
 	maps.DeleteFunc(s.durable.finished, func(id string, _ *finishedJob) bool { return s.partitionOf(id) == number })
-	for _, sc := range marshaler.InOrder(s.sidecars) {
+	for _, sc := range marshaler.SortedByKey(s.sidecars) {
 		if sc.link != nil {
 			sc.link.Send(&marshaler.Release{Partition: marshaler.Partition{Number: number, Epoch: p.epoch}})
 		}
@@ -172,7 +174,7 @@
 	}
 	answer := Answer{Kind: AnswerNotRun, Reason: "the job's owner changes", RetryAfter: ownerRetryAfter}
 	if j.durability.storeRequested {
-		answer = Answer{Kind: AnswerGaveUp, Reason: "it is not known whether the job was stored"}
+		answer = Answer{Kind: AnswerAborted, Reason: "it is not known whether the job was stored"}
 	}
 	j.answerWaiters(answer)
 }
@@ -268,7 +270,7 @@
 			delete(s.durable.finished, id)
 		}
 	}
-	for _, j := range marshaler.InOrder(s.jobs) {
+	for _, j := range marshaler.SortedByKey(s.jobs) {
 		s.answerStateRequests(j, false)
 		if j.durability.stored && s.now-j.durability.writtenAt >= rewriteInterval {
 			s.writeJobRecord(j, func() {})
--- a/submitter/durable_sim_test.go
+++ b/submitter/durable_sim_test.go
@@ -97,7 +97,7 @@
 func (s *fakeStore) assignPartitions(shift int) {
 	s.generation++
 	var names []string
-	for name := range marshaler.InOrder(s.members) {
+	for name := range marshaler.SortedByKey(s.members) {
 		names = append(names, name)
 	}
 	for p, owner := range s.owners {
@@ -152,7 +152,7 @@
 	o := &fakeMembership{w: w, e: e, incarnation: e.incarnation, rejoin: true, writers: map[uint64]*fakeWriter{}}
 	e.core.Partitions = testPartitions
 	e.core.Record = o.record
-	e.core.SetKept(w.now, true)
+	e.core.SetDurableInUse(w.now, true)
 	w.schedule(2, o.join)
 	w.schedule(50, o.watchLease)
 }
@@ -185,9 +185,9 @@
 		return
 	}
 	o.rejoin, o.generation, o.leaseUntil = false, generation, sent+testLease
-	o.e.core.Renew(o.w.now, o.leaseUntil)
+	o.e.core.RenewLease(o.w.now, o.leaseUntil)
 	delay := timer.Millis(testJoinInterval)
-	for p := range marshaler.InOrder(o.writers) {
+	for p := range marshaler.SortedByKey(o.writers) {
 		if !slices.Contains(list, p) {
 			o.release(p, false, "assigned to another entry")
 			delay = 1
@@ -213,7 +213,7 @@
 }
 
 func (o *fakeMembership) releaseAll(stop bool, reason string) {
-	for p := range marshaler.InOrder(o.writers) {
+	for p := range marshaler.SortedByKey(o.writers) {
 		o.release(p, stop, reason)
 	}
 }
@@ -223,7 +223,7 @@
 		writer.closed = true
 	}
 	delete(o.writers, p)
-	o.e.core.Release(o.w.now, p, stop, reason)
+	o.e.core.ReleasePartition(o.w.now, p, stop, reason)
 }
 
 // callStore calls the store repeatedly until it answers. do is executed at most once.
@@ -282,7 +282,7 @@
 					o.w.t.Errorf("record of partition %d: %v", p, err)
 				}
 			}
-			o.e.core.Acquire(o.w.now, marshaler.Partition{Number: p, Epoch: writer.epoch, Previous: a.Previous()}, a.Jobs())
+			o.e.core.AcquirePartition(o.w.now, marshaler.Partition{Number: p, Epoch: writer.epoch, Previous: a.Previous()}, a.Jobs())
 			o.e.core.Flush(o.w.now)
 		})
 	})
@@ -374,7 +374,7 @@
 	w.schedule(2600, resubmit)
 	w.runOn(&e.process, func() bool { return e.incarnation == incarnation }, func() {
 		e.core.Submit(w.now, Job{
-			ID: id, Kind: Kind{Kept: true}, Queue: testQueue, Steps: steps, Deadline: 2000,
+			ID: id, Kind: Kind{Durable: true}, Queue: testQueue, Steps: steps, Deadline: 2000,
 			Answer: func(a Answer) {
 				if answered || e.incarnation != incarnation {
 					return
@@ -404,7 +404,7 @@
 	incarnation := e.incarnation
 	w.runOn(&e.process, func() bool { return e.incarnation == incarnation }, func() {
 		e.core.State(w.now, testQueue.Name, id, func(a Answer) {
-			if a.Kind == AnswerGone {
+			if a.Kind == AnswerNotFound {
 				w.t.Errorf("at %d ms, %s does not know job %s, which was accepted; decisions: %s", w.now, e.name, id, w.decisionsOf(id))
 			}
 		})
@@ -436,10 +436,10 @@
 	for at := from; at < to; at += timer.Millis(1 + w.random.IntN(2*every)) {
 		id := fmt.Sprintf("kept-%d", w.sequence)
 		w.sequence++
-		room := marshaler.Room{CPU: 3000, MemoryMB: 64}
-		steps := []marshaler.Step{{Tasks: uint64(1 + w.random.IntN(4)), Room: room, Estimate: timer.Millis(30 + w.random.IntN(200))}}
+		room := marshaler.Resources{CPU: 3000, MemoryMB: 64}
+		steps := []marshaler.Step{{Tasks: uint64(1 + w.random.IntN(4)), Resources: room, Estimate: timer.Millis(30 + w.random.IntN(200))}}
 		if w.random.IntN(3) == 0 {
-			steps = append(steps, marshaler.Step{Tasks: 1, Room: room, Estimate: timer.Millis(30 + w.random.IntN(100)), After: []uint64{0}})
+			steps = append(steps, marshaler.Step{Tasks: 1, Resources: room, Estimate: timer.Millis(30 + w.random.IntN(100)), After: []uint64{0}})
 		}
 		ids = append(ids, id)
 		for n := range steps {
@@ -521,7 +521,7 @@
 			case w.durable.cancelled[id] > 0:
 			case w.durable.accepted[id] && got != AnswerDone && got != AnswerFailed && got != AnswerCancelled:
 				w.t.Errorf("accepted job %s at %s: got state %s, want done or failed; decisions: %s", id, e.name, got, w.decisionsOf(id))
-			case w.durable.refused[id] && got != AnswerGone:
+			case w.durable.refused[id] && got != AnswerNotFound:
 				w.t.Errorf("refused job %s at %s: got state %s, want none; decisions: %s", id, e.name, got, w.decisionsOf(id))
 			}
 			if got == AnswerDone {
--- a/submitter/durable_test.go
+++ b/submitter/durable_test.go
@@ -19,13 +19,13 @@
 	for _, c := range cases {
 		f := newFixture()
 		f.core.Partitions = 1
-		f.core.Renew(f.now, f.now+1000)
-		f.core.Acquire(f.now, marshaler.Partition{Epoch: 3}, nil)
+		f.core.RenewLease(f.now, f.now+1000)
+		f.core.AcquirePartition(f.now, marshaler.Partition{Epoch: 3}, nil)
 		f.submit(1)
-		var acknowledged []marshaler.Noted
+		var acknowledged []marshaler.OutcomeAck
 		send := f.links["side-a"].Send
 		f.links["side-a"].Send = func(m marshaler.Message) {
-			if n, ok := m.(*marshaler.Noted); ok {
+			if n, ok := m.(*marshaler.OutcomeAck); ok {
 				acknowledged = append(acknowledged, *n)
 			}
 			send(m)
@@ -34,7 +34,7 @@
 		f.core.OnMessage(f.now, f.links["side-a"], &marshaler.Census{
 			Partition: marshaler.Partition{Epoch: 3}, Ends: []marshaler.Outcome{{Run: run, Status: c.status, Number: 5, Stale: true}},
 		})
-		if len(acknowledged) != 1 || acknowledged[0] != (marshaler.Noted{Number: 5, Run: run}) {
+		if len(acknowledged) != 1 || acknowledged[0] != (marshaler.OutcomeAck{Number: 5, Run: run}) {
 			t.Errorf("%s: got %+v, want the end acknowledged and not void", c.name, acknowledged)
 		}
 	}
--- a/submitter/ends.go
+++ b/submitter/ends.go
@@ -117,7 +117,7 @@
 		s.report(Event{Kind: "void", Job: o.Run.Job, Peer: name, Detail: "the task was started again", Value: int64(o.Run.Index)})
 	}
 	if sc != nil && sc.link != nil {
-		sc.link.Send(&marshaler.Noted{Number: o.Number, Run: o.Run, Void: void})
+		sc.link.Send(&marshaler.OutcomeAck{Number: o.Number, Run: o.Run, Void: void})
 	}
 }
 
--- a/submitter/faults_test.go
+++ b/submitter/faults_test.go
@@ -158,8 +158,8 @@
 		}
 	}
 	for _, e := range w.entries {
-		if e.alive && e.core.Active() > 0 {
-			w.t.Errorf("%s: got %d active jobs long after the last deadline, want 0", e.name, e.core.Active())
+		if e.alive && e.core.ActiveJobs() > 0 {
+			w.t.Errorf("%s: got %d active jobs long after the last deadline, want 0", e.name, e.core.ActiveJobs())
 		}
 	}
 	for task, n := range w.activeRuns {
--- a/submitter/handover.go
+++ b/submitter/handover.go
@@ -6,7 +6,7 @@
 // store yet. The next owner can start the remaining tasks without waiting for runExpiry.
 func (s *Submitter) sendHandover(p *partition) {
 	m := &marshaler.Handover{Partition: marshaler.Partition{Number: p.number, Epoch: p.epoch, Previous: p.previous}}
-	for _, j := range marshaler.InOrder(s.jobs) {
+	for _, j := range marshaler.SortedByKey(s.jobs) {
 		if j.durability.partition != p {
 			continue
 		}
@@ -23,7 +23,7 @@
 			}
 		}
 	}
-	for _, peer := range marshaler.InOrder(s.peers) {
+	for _, peer := range marshaler.SortedByKey(s.peers) {
 		peer.send(s.now, m)
 	}
 }
--- a/submitter/kind.go
+++ b/submitter/kind.go
@@ -9,8 +9,8 @@
 )
 
 const (
-	// UnreadyRetry is the retry delay sent to callers of an entry that has no configuration yet.
-	UnreadyRetry = timer.Second
+	// NotReadyRetryAfter is the retry delay sent to callers of an entry that has no configuration yet.
+	NotReadyRetryAfter = timer.Second
 	// unsupportedRetryAfter is long because an unsupported job will not succeed on a retry soon.
 	unsupportedRetryAfter = timer.Minute
 	// maxIDLength bounds the length of a job ID in bytes. Callers use 16.
@@ -26,11 +26,11 @@
 
 // Kind holds the features that a job requests beyond restartable tasks.
 type Kind struct {
-	Kept     bool // the job and its state survive the loss of its entry
-	Repeats  bool // recurs at scheduled times
-	Lasts    bool // tasks are long-running: they run until the job is cancelled
-	Fills    bool // tasks use only capacity that no other task needs
-	Together bool // gang scheduling: tasks only work if all of them run
+	Durable       bool // the job and its state survive the loss of its entry
+	Recurring     bool // recurs at scheduled times
+	LongRunning   bool // tasks are long-running: they run until the job is cancelled
+	SpareCapacity bool // tasks use only capacity that no other task needs
+	Gang          bool // gang scheduling: tasks only work if all of them run
 }
 
 // invalidReason returns why a job is invalid, or "". An invalid job must not be forwarded to other entries.
@@ -38,7 +38,7 @@
 	switch {
 	case j.ID == "" || len(j.ID) > maxIDLength || strings.ContainsAny(j.ID, "./"):
 		return "the identifier has no or too many bytes, or a dot or slash"
-	case len(j.Spec) > marshaler.MaxSpec:
+	case len(j.Spec) > marshaler.MaxSpecLen:
 		return "the specification is too long"
 	}
 	return j.invalidStepsReason()
@@ -48,11 +48,11 @@
 func (j *Job) unsupportedReason() string {
 	k := &j.Kind
 	switch {
-	case k.Repeats:
+	case k.Recurring:
 		return "jobs that repeat are not supported"
-	case k.Lasts, k.Fills:
+	case k.LongRunning, k.SpareCapacity:
 		return "tasks that last or fill are not supported"
-	case k.Together:
+	case k.Gang:
 		return "tasks that work only together are not supported"
 	case j.Queue.Advised:
 		return "queues with an advice service are not supported"
--- a/submitter/liveness.go
+++ b/submitter/liveness.go
@@ -40,16 +40,16 @@
 // heartbeatTimeout returns the time without messages after which the peer is considered lost.
 func (l *liveness) heartbeatTimeout() timer.Millis {
 	if l.active {
-		return SilenceLimit
+		return HeartbeatTimeout
 	}
-	return marshaler.IdleSilenceLimit
+	return marshaler.IdleTimeout
 }
 
 func (l *liveness) heartbeatInterval() timer.Millis {
 	if l.active {
 		return heartbeatInterval
 	}
-	return marshaler.IdleBeatPeriod
+	return marshaler.IdleHeartbeatInterval
 }
 
 // setActive makes a session active or idle.
@@ -62,7 +62,7 @@
 }
 
 // updateActivity marks the sessions that need frequent heartbeats: those with sidecars that run tasks of this entry or
-// that this entry is subscribed to as the scheduling entry, those with entries while one requests capacity from the
+// that this entry is subscribed to as the placing entry, those with entries while one requests capacity from the
 // other, and all of them while durable jobs may be in use.
 func (s *Submitter) updateActivity() {
 	for _, sc := range s.sidecars {
@@ -82,7 +82,7 @@
 // timed out must not carry starts.
 func (s *Submitter) handlePause() {
 	pause := s.now - s.lastTick
-	if s.lastTick == 0 || pause < marshaler.PauseLimit {
+	if s.lastTick == 0 || pause < marshaler.PauseThreshold {
 		return
 	}
 	s.lastTick = s.now
--- a/submitter/liveness_test.go
+++ b/submitter/liveness_test.go
@@ -18,15 +18,15 @@
 		heartbeats int          // sent to the sidecar within 425 ms of the start, or within 1 s without a run
 		timeout    timer.Millis // time until the session is considered lost, from the start of the task if there is one
 	}{
-		{"no runs", false, 0, 1, marshaler.IdleSilenceLimit},
-		{"a run", true, 0, 2, SilenceLimit},
-		{"a run after a silence within the idle timeout", true, 550, 2, SilenceLimit},
+		{"no runs", false, 0, 1, marshaler.IdleTimeout},
+		{"a run", true, 0, 2, HeartbeatTimeout},
+		{"a run after a silence within the idle timeout", true, 550, 2, HeartbeatTimeout},
 	}
 	for _, c := range cases {
 		s := &Submitter{Name: "entry", Incarnation: 1, Weight: 1}
 		now := timer.Millis(1000)
 		s.SetSnapshot(now, testSnapshot())
-		s.SetKept(now, false)
+		s.SetDurableInUse(now, false)
 		heartbeats, restarts := 0, 0
 		var lostAt, settledAt timer.Millis
 		s.Report = func(e Event) {
@@ -40,7 +40,7 @@
 		}
 		link := &marshaler.Link{Remote: marshaler.Hello{Role: marshaler.RoleSidecar, Name: "side", Incarnation: 1, Session: 1}, Close: func(error) {}}
 		link.Send = func(m marshaler.Message) {
-			if _, ok := m.(*marshaler.Beat); ok {
+			if _, ok := m.(*marshaler.Heartbeat); ok {
 				heartbeats++
 			}
 		}
@@ -48,14 +48,14 @@
 			Remote: marshaler.Hello{Role: marshaler.RoleEntry, Name: "placing", Incarnation: 1, Weight: 9}, Close: func(error) {},
 			Send: func(marshaler.Message) {},
 		}
-		s.OnUp(now, scheduler)
-		s.OnUp(now, link)
+		s.OnConnect(now, scheduler)
+		s.OnConnect(now, link)
 		lastReceived := now
-		s.OnMessage(now, link, &marshaler.Backend{ID: "i", Service: "svc", Total: marshaler.Room{CPU: 9000}})
-		s.OnMessage(now, link, &marshaler.Load{Accepting: true, Free: marshaler.Room{CPU: 9000}, Clock: 5, Speed: 1000})
+		s.OnMessage(now, link, &marshaler.Backend{ID: "i", Service: "svc", Capacity: marshaler.Resources{CPU: 9000}})
+		s.OnMessage(now, link, &marshaler.Load{Accepting: true, Free: marshaler.Resources{CPU: 9000}, Clock: 5, Speed: 1000})
 		advance := func(length timer.Millis) {
 			for end := now + length; now < end; now += 25 {
-				s.OnMessage(now, scheduler, &marshaler.Beat{})
+				s.OnMessage(now, scheduler, &marshaler.Heartbeat{})
 				s.Tick(now)
 			}
 		}
@@ -65,7 +65,7 @@
 		if c.runs {
 			s.Submit(now, Job{
 				ID: "job", Queue: testQueue, Deadline: 20_000, Answer: func(Answer) {},
-				Steps: []marshaler.Step{{Tasks: 1, Room: marshaler.Room{CPU: 3000}, Estimate: 100}},
+				Steps: []marshaler.Step{{Tasks: 1, Resources: marshaler.Resources{CPU: 3000}, Estimate: 100}},
 			})
 			s.OnMessage(now, scheduler, &marshaler.Grant{Job: "job", Sidecars: []string{"side"}})
 		}
--- a/submitter/outcome_test.go
+++ b/submitter/outcome_test.go
@@ -38,8 +38,8 @@
 				}
 			},
 		}
-		f.core.OnUp(f.now, f.links[name])
-		f.core.OnMessage(f.now, f.links[name], &marshaler.Backend{ID: name, Service: "svc", Total: marshaler.Room{CPU: 9000}})
+		f.core.OnConnect(f.now, f.links[name])
+		f.core.OnMessage(f.now, f.links[name], &marshaler.Backend{ID: name, Service: "svc", Capacity: marshaler.Resources{CPU: 9000}})
 		f.load(name)
 	}
 	return f
@@ -47,12 +47,12 @@
 
 func (f *fixture) load(name string) {
 	speed := map[string]uint64{"side-a": 1200, "side-b": 1000}[name] // the faster side-a is preferred
-	f.core.OnMessage(f.now, f.links[name], &marshaler.Load{Accepting: true, Free: marshaler.Room{CPU: 9000}, Clock: 5, Speed: speed, Seen: []string{"job"}})
+	f.core.OnMessage(f.now, f.links[name], &marshaler.Load{Accepting: true, Free: marshaler.Resources{CPU: 9000}, Clock: 5, Speed: speed, HandledStarts: []string{"job"}})
 }
 
 func (f *fixture) submit(tasks int) {
 	f.core.Submit(f.now, Job{
-		ID: "job", Queue: testQueue, Steps: []marshaler.Step{{Tasks: uint64(tasks), Room: marshaler.Room{CPU: 3000}, Estimate: 100}}, Deadline: 2000,
+		ID: "job", Queue: testQueue, Steps: []marshaler.Step{{Tasks: uint64(tasks), Resources: marshaler.Resources{CPU: 3000}, Estimate: 100}}, Deadline: 2000,
 		Answer: func(a Answer) { f.answers = append(f.answers, a) },
 	})
 	f.core.Flush(f.now)
@@ -74,7 +74,7 @@
 		{"stalled", []marshaler.Status{marshaler.StatusStalled, marshaler.StatusDone}, []string{"side-a", "side-b"}, []uint64{1, 2}, AnswerDone},
 		{"lost", []marshaler.Status{marshaler.StatusLost, marshaler.StatusLost, marshaler.StatusLost, marshaler.StatusDone}, []string{"side-a", "side-a", "side-a", "side-a"}, []uint64{1, 2, 3, 4}, AnswerDone},
 		{"refused", []marshaler.Status{marshaler.StatusRefused, marshaler.StatusDone}, []string{"side-a", "side-a"}, []uint64{1, 2}, AnswerDone},
-		{"known under a later attempt number", []marshaler.Status{marshaler.StatusOld, marshaler.StatusDone}, []string{"side-a", "side-a"}, []uint64{1, 2 + attemptGap}, AnswerDone},
+		{"known under a later attempt number", []marshaler.Status{marshaler.StatusSuperseded, marshaler.StatusDone}, []string{"side-a", "side-a"}, []uint64{1, 2 + attemptGap}, AnswerDone},
 	}
 	for _, c := range cases {
 		f := newFixture()
@@ -109,22 +109,22 @@
 		end    func(f *fixture)
 		answer AnswerKind
 	}{
-		{"caller disconnects", func(f *fixture) { f.core.Drop(f.now, "job", "caller left") }, AnswerGaveUp},
+		{"caller disconnects", func(f *fixture) { f.core.Abort(f.now, "job", "caller left") }, AnswerAborted},
 		{"deadline", func(f *fixture) {
 			for end := f.now + 2100; f.now < end; f.now += 100 {
 				f.load("side-a")
 				f.load("side-b")
 				f.core.Tick(f.now)
 			}
-		}, AnswerGaveUp},
-		{"entry shuts down", func(f *fixture) { f.core.DropAll(f.now, "the entry ends") }, AnswerGaveUp},
+		}, AnswerAborted},
+		{"entry shuts down", func(f *fixture) { f.core.AbortAll(f.now, "the entry ends") }, AnswerAborted},
 	}
 	for _, c := range cases {
 		f := newFixture()
 		f.submit(2)
 		c.end(f)
-		if len(f.answers) != 1 || f.answers[0].Kind != c.answer || f.stops != 2 || f.core.Active() != 0 {
-			t.Errorf("%s: got answers %v, %d stops, %d jobs, want one of kind %s, 2 and 0", c.name, f.answers, f.stops, f.core.Active(), c.answer)
+		if len(f.answers) != 1 || f.answers[0].Kind != c.answer || f.stops != 2 || f.core.ActiveJobs() != 0 {
+			t.Errorf("%s: got answers %v, %d stops, %d jobs, want one of kind %s, 2 and 0", c.name, f.answers, f.stops, f.core.ActiveJobs(), c.answer)
 		}
 	}
 }
@@ -136,12 +136,12 @@
 		kind Kind
 		ok   bool
 	}{
-		{"restartable", Kind{}, true}, {"repeats", Kind{Repeats: true}, false},
-		{"lasts", Kind{Lasts: true}, false}, {"fills", Kind{Fills: true}, false}, {"together", Kind{Together: true}, false},
+		{"restartable", Kind{}, true}, {"repeats", Kind{Recurring: true}, false},
+		{"lasts", Kind{LongRunning: true}, false}, {"fills", Kind{SpareCapacity: true}, false}, {"together", Kind{Gang: true}, false},
 	}
 	for _, c := range cases {
 		f := newFixture()
-		f.core.Submit(f.now, Job{ID: "job", Kind: c.kind, Queue: testQueue, Steps: []marshaler.Step{{Tasks: 1, Room: marshaler.Room{CPU: 1}, Estimate: 10}}, Answer: func(a Answer) { f.answers = append(f.answers, a) }})
+		f.core.Submit(f.now, Job{ID: "job", Kind: c.kind, Queue: testQueue, Steps: []marshaler.Step{{Tasks: 1, Resources: marshaler.Resources{CPU: 1}, Estimate: 10}}, Answer: func(a Answer) { f.answers = append(f.answers, a) }})
 		f.core.Flush(f.now)
 		if got := len(f.starts) == 1; got != c.ok {
 			t.Errorf("%s: got started %v, want %v", c.name, got, c.ok)
@@ -154,21 +154,21 @@
 
 // TestMalformed guards against jobs that other processes cannot decode, or that increase a worker's free capacity.
 func TestMalformed(t *testing.T) {
-	valid := marshaler.Step{Tasks: 1, Room: marshaler.Room{CPU: 1}, Estimate: 10}
+	valid := marshaler.Step{Tasks: 1, Resources: marshaler.Resources{CPU: 1}, Estimate: 10}
 	cases := []struct {
 		name   string
 		change func(j *Job)
 	}{
 		{"no identifier", func(j *Job) { j.ID = "" }}, {"long identifier", func(j *Job) { j.ID = strings.Repeat("x", maxIDLength+1) }},
 		{"dot in the identifier", func(j *Job) { j.ID = "a.0.0.1" }}, {"slash in the identifier", func(j *Job) { j.ID = "a/b" }},
-		{"long specification", func(j *Job) { j.Spec = strings.Repeat("x", marshaler.MaxSpec+1) }},
-		{"negative CPU", func(j *Job) { j.Steps[0].Room.CPU = -1 }}, {"negative memory", func(j *Job) { j.Steps[0].Room.MemoryMB = -1 }},
-		{"negative accelerators", func(j *Job) { j.Steps[0].Room.Accelerators = -1 }}, {"negative estimate", func(j *Job) { j.Steps[0].Estimate = -1 }},
+		{"long specification", func(j *Job) { j.Spec = strings.Repeat("x", marshaler.MaxSpecLen+1) }},
+		{"negative CPU", func(j *Job) { j.Steps[0].Resources.CPU = -1 }}, {"negative memory", func(j *Job) { j.Steps[0].Resources.MemoryMB = -1 }},
+		{"negative accelerators", func(j *Job) { j.Steps[0].Resources.Accelerators = -1 }}, {"negative estimate", func(j *Job) { j.Steps[0].Estimate = -1 }},
 		{"estimate above the limit", func(j *Job) { j.Steps[0].Estimate = maxEstimate + 1 }},
 		{"no steps", func(j *Job) { j.Steps = nil }}, {"too many steps", func(j *Job) { j.Steps = make([]marshaler.Step, maxSteps+1) }},
 		{"no tasks", func(j *Job) { j.Steps[0].Tasks = 0 }}, {"number of tasks that overflows", func(j *Job) { j.Steps = []marshaler.Step{valid, valid}; j.Steps[1].Tasks = 1<<64 - 1 }}, {"too many tasks", func(j *Job) { j.Steps[0].Tasks = maxTasks + 1 }},
-		{"long label", func(j *Job) { j.Steps[0].Label = strings.Repeat("x", marshaler.MaxName+1) }},
-		{"long rack", func(j *Job) { j.Steps[0].Rack = strings.Repeat("x", marshaler.MaxName+1) }},
+		{"long label", func(j *Job) { j.Steps[0].Label = strings.Repeat("x", marshaler.MaxNameLen+1) }},
+		{"long rack", func(j *Job) { j.Steps[0].Rack = strings.Repeat("x", marshaler.MaxNameLen+1) }},
 		{"step that depends on itself", func(j *Job) { j.Steps[0].After = []uint64{0} }},
 		{"step that depends on a later one", func(j *Job) { j.Steps = append(j.Steps, valid); j.Steps[0].After = []uint64{1} }},
 	}
@@ -179,7 +179,7 @@
 		c.change(&j)
 		f.core.Submit(f.now, j)
 		f.core.Flush(f.now)
-		if len(f.starts) != 0 || len(f.answers) != 1 || f.answers[0].Kind != AnswerMalformed || f.core.Active() != 0 {
+		if len(f.starts) != 0 || len(f.answers) != 1 || f.answers[0].Kind != AnswerMalformed || f.core.ActiveJobs() != 0 {
 			t.Errorf("%s: got %d starts and answers %+v, want none and one of kind malformed", c.name, len(f.starts), f.answers)
 		}
 	}
@@ -202,10 +202,10 @@
 			later := *current
 			later.Remote.Session = c.session
 			current = &later
-			f.core.OnUp(f.now, current)
+			f.core.OnConnect(f.now, current)
 			f.load("side-b")
 		}
-		f.core.OnMessage(f.now, current, &marshaler.Held{})
+		f.core.OnMessage(f.now, current, &marshaler.ActiveRuns{})
 		f.core.Flush(f.now)
 		f.core.Flush(f.now) // the first grant names the sidecar that has not reported on its new session
 		if len(f.starts) != c.starts {
--- a/submitter/pause_test.go
+++ b/submitter/pause_test.go
@@ -36,20 +36,20 @@
 					}
 				},
 			}
-			s.OnUp(now, link)
-			s.OnMessage(now, link, &marshaler.Backend{ID: "i", Service: "svc", Total: marshaler.Room{CPU: 9000}})
-			s.OnMessage(now, link, &marshaler.Load{Accepting: true, Free: marshaler.Room{CPU: 9000}, Clock: 5, Speed: 1000})
+			s.OnConnect(now, link)
+			s.OnMessage(now, link, &marshaler.Backend{ID: "i", Service: "svc", Capacity: marshaler.Resources{CPU: 9000}})
+			s.OnMessage(now, link, &marshaler.Load{Accepting: true, Free: marshaler.Resources{CPU: 9000}, Clock: 5, Speed: 1000})
 		}
 		scheduler := &marshaler.Link{
 			Remote: marshaler.Hello{Role: marshaler.RoleEntry, Name: "placing", Incarnation: 1, Weight: 9}, Close: func(error) {},
 			Send: func(marshaler.Message) {},
 		}
-		s.OnUp(now, scheduler)
+		s.OnConnect(now, scheduler)
 		openSession(1)
 		s.Tick(now)
 		s.Submit(now, Job{
 			ID: "job", Queue: testQueue, Deadline: 2000, Answer: func(Answer) {},
-			Steps: []marshaler.Step{{Tasks: 1, Room: marshaler.Room{CPU: 3000}, Estimate: 100}},
+			Steps: []marshaler.Step{{Tasks: 1, Resources: marshaler.Resources{CPU: 3000}, Estimate: 100}},
 		})
 		now += c.pause
 		if c.reconnects {
--- a/submitter/scheduling.go
+++ b/submitter/placement.go
@@ -7,13 +7,13 @@
 	"github.com/crocuslb/crocuslb/placer"
 )
 
-// schedulingEntry returns the name of the entry that currently schedules jobs: of the live entries the one with the
+// placingEntry returns the name of the entry that currently schedules jobs: of the live entries the one with the
 // most CPU, then the oldest. Entries may disagree for a short time; this is safe because sidecars refuse starts that
 // exceed their capacity.
-func (s *Submitter) schedulingEntry() string {
+func (s *Submitter) placingEntry() string {
 	best := marshaler.Hello{Name: s.Name, Incarnation: s.Incarnation, Weight: s.Weight}
 	found := !s.leaving
-	for _, p := range marshaler.InOrder(s.peers) {
+	for _, p := range marshaler.SortedByKey(s.peers) {
 		if p.link == nil || p.leaving || p.suspect || p.active && p.silence(s.now) >= suspectTimeout {
 			continue
 		}
@@ -48,21 +48,21 @@
 // requestCapacity requests capacity for further tasks of a step.
 func (s *Submitter) requestCapacity(j *job, step, tasks int) {
 	st := &j.steps[step]
-	m := &marshaler.Ask{
-		Job: j.ID, Step: uint64(step), Service: j.Queue.Service, Queue: j.Queue.Name, Tasks: uint64(tasks), Room: st.Room, Estimate: st.Estimate,
-		Slack: max(j.targetStart-s.now, 0), Patience: max(j.latestStart-s.now, 0), Priority: j.Queue.Priority, Started: j.committed(), Avoid: j.avoidedSidecars,
-		Label: st.Label, Rack: st.Rack, PerServer: st.PerServer, Placed: st.assignedSidecars(),
+	m := &marshaler.ResourceRequest{
+		Job: j.ID, Step: uint64(step), Service: j.Queue.Service, Queue: j.Queue.Name, Tasks: uint64(tasks), Resources: st.Resources, Estimate: st.Estimate,
+		Slack: max(j.targetStart-s.now, 0), MaxWait: max(j.latestStart-s.now, 0), Priority: j.Queue.Priority, Started: j.committed(), Avoid: j.avoidedSidecars,
+		Label: st.Label, Rack: st.Rack, MaxPerServer: st.MaxPerServer, Placed: st.assignedSidecars(),
 	}
-	at := s.schedulingEntry()
+	at := s.placingEntry()
 	if st.requested > 0 && at != st.requestedFrom {
-		// The previous scheduling entry may still grant its requests, so the new one only gets the remaining tasks.
+		// The previous placing entry may still grant its requests, so the new one only gets the remaining tasks.
 		s.report(Event{Kind: "askElsewhere", Job: j.ID, Peer: at, Value: int64(tasks)})
 	}
 	st.requested += tasks
 	st.requestedFrom, st.requestedAt = at, s.now
 	if at == s.Name {
 		s.subscribeAll()
-		s.placer.Ask(s.now, s.Name, s.Domain, m)
+		s.placer.Request(s.now, s.Name, s.Domain, m)
 		return
 	}
 	p := s.peers[at]
@@ -79,15 +79,15 @@
 	}
 	st.requested = 0
 	if st.requestedFrom == s.Name {
-		s.placer.Withdraw(s.Name, j.ID, uint64(step))
+		s.placer.Cancel(s.Name, j.ID, uint64(step))
 	} else if p := s.peers[st.requestedFrom]; p != nil && p.link != nil {
-		p.send(s.now, &marshaler.Withdraw{Job: j.ID, Step: uint64(step)})
+		p.send(s.now, &marshaler.CancelResourceRequest{Job: j.ID, Step: uint64(step)})
 	}
 }
 
-// rerouteRequests sends the open requests at a lost scheduling entry to the current one.
+// rerouteRequests sends the open requests at a lost placing entry to the current one.
 func (s *Submitter) rerouteRequests(lost string) {
-	for _, j := range marshaler.InOrder(s.jobs) {
+	for _, j := range marshaler.SortedByKey(s.jobs) {
 		for n := range j.steps {
 			if st := &j.steps[n]; st.requested > 0 && st.requestedFrom == lost {
 				st.requested = 0
@@ -100,7 +100,7 @@
 // repeatRequests repeats requests that have long been open, for jobs that can no longer be refused. Avoided sidecars
 // are allowed again, as they may have recovered.
 func (s *Submitter) repeatRequests() {
-	for _, j := range marshaler.InOrder(s.jobs) {
+	for _, j := range marshaler.SortedByKey(s.jobs) {
 		for n := range j.steps {
 			if st := &j.steps[n]; st.requested > 0 && j.committed() && s.now-st.requestedAt >= requestRepeatInterval {
 				s.report(Event{Kind: "askAgain", Job: j.ID, Queue: j.Queue.Name, Peer: st.requestedFrom, Value: int64(st.requested)})
@@ -136,7 +136,7 @@
 	if j == nil || g.Step >= uint64(len(j.steps)) {
 		return
 	}
-	if j.Kind.Kept && !j.durability.stored {
+	if j.Kind.Durable && !j.durability.stored {
 		s.storeJob(j, g)
 		return
 	}
@@ -186,7 +186,7 @@
 		epoch = j.durability.partition.epoch
 	}
 	sc.link.Send(&marshaler.Start{
-		Run: key, Epoch: epoch, Spec: j.Spec, Room: st.Room, Estimate: st.Estimate, NotAfter: sc.clock + int64(s.now-sc.clockAt+startTTL),
+		Run: key, Epoch: epoch, Spec: j.Spec, Resources: st.Resources, Estimate: st.Estimate, NotAfter: sc.clock + int64(s.now-sc.clockAt+startTTL),
 	})
 	return true
 }
@@ -235,7 +235,7 @@
 		return
 	}
 	j.assigned--
-	j.hasRun = j.hasRun || o.Status != marshaler.StatusRefused && o.Status != marshaler.StatusOld
+	j.hasRun = j.hasRun || o.Status != marshaler.StatusRefused && o.Status != marshaler.StatusSuperseded
 	switch o.Status {
 	case marshaler.StatusDone:
 		s.completeTask(j, step, t)
@@ -250,7 +250,7 @@
 			s.finish(j, Answer{Kind: AnswerFailed, Reason: "a task failed as often as its queue allows"})
 			return
 		}
-	case marshaler.StatusOld:
+	case marshaler.StatusSuperseded:
 		t.attempt += attemptGap
 	}
 	s.requeue(sc, j, o)
@@ -265,7 +265,7 @@
 	}
 	if j.done++; j.done < len(j.steps) {
 		s.requestReadySteps(j)
-	} else if !j.Kind.Kept { // a durable job ends once its last end is in the store
+	} else if !j.Kind.Durable { // a durable job ends once its last end is in the store
 		s.finish(j, Answer{Kind: AnswerDone})
 	}
 }
@@ -276,7 +276,7 @@
 	j.steps[step].tasks[index].state = taskQueued
 	s.report(Event{
 		Kind: "requeue", Job: j.ID, Queue: j.Queue.Name, Peer: sc.name, Detail: o.Status.String() + " " + o.Reason,
-		Value: int64(o.Run.Index), Took: o.Ran,
+		Value: int64(o.Run.Index), Took: o.RunTime,
 	})
 	s.requestCapacity(j, step, 1)
 }
--- a/submitter/recovery.go
+++ b/submitter/recovery.go
@@ -7,8 +7,8 @@
 	"github.com/crocuslb/crocuslb/timer"
 )
 
-// Acquire takes ownership of a partition with its jobs. The store rejects writes to it under a lower epoch.
-func (s *Submitter) Acquire(now timer.Millis, taken marshaler.Partition, jobs []*marshaler.JobRecord) {
+// AcquirePartition takes ownership of a partition with its jobs. The store rejects writes to it under a lower epoch.
+func (s *Submitter) AcquirePartition(now timer.Millis, taken marshaler.Partition, jobs []*marshaler.JobRecord) {
 	s.setNow(now)
 	if now >= s.durable.leaseUntil {
 		return // the lease has expired; the process is about to start a new membership
@@ -41,7 +41,7 @@
 func jobFromRecord(record *marshaler.JobRecord) *job {
 	return &job{
 		Job: Job{
-			ID: record.ID, Kind: Kind{Kept: true}, Spec: record.Spec, Steps: record.Steps,
+			ID: record.ID, Kind: Kind{Durable: true}, Spec: record.Spec, Steps: record.Steps,
 			Queue: router.Queue{Name: record.Queue, Service: record.Service, Attempts: record.Attempts, Priority: record.Priority},
 		},
 		steps:      newSteps(record.Steps),
@@ -83,7 +83,7 @@
 // requeueUnknown queues the tasks of a partition whose state is unknown, except the given ones. The caller ensures that
 // they are not running.
 func (s *Submitter) requeueUnknown(p *partition, except map[marshaler.RunKey]bool) {
-	for _, j := range marshaler.InOrder(s.jobs) {
+	for _, j := range marshaler.SortedByKey(s.jobs) {
 		if j.durability.partition != p {
 			continue
 		}
@@ -107,7 +107,7 @@
 
 // sendClaim tells the sidecars which partitions this entry owns.
 func (s *Submitter) sendClaim(partitions []marshaler.Partition) {
-	for _, sc := range marshaler.InOrder(s.sidecars) {
+	for _, sc := range marshaler.SortedByKey(s.sidecars) {
 		if sc.link != nil {
 			sc.link.Send(&marshaler.Claim{Partitions: partitions})
 		}
@@ -116,7 +116,7 @@
 
 // ownedPartitions returns the owned partitions, ordered by number.
 func (s *Submitter) ownedPartitions() (list []marshaler.Partition) {
-	for number, p := range marshaler.InOrder(s.durable.owned) {
+	for number, p := range marshaler.SortedByKey(s.durable.owned) {
 		list = append(list, marshaler.Partition{Number: number, Epoch: p.epoch, Previous: p.previous})
 	}
 	return list
@@ -138,7 +138,7 @@
 			sc.link.Send(&marshaler.Stop{Run: key})
 		}
 	}
-	for _, key := range marshaler.RunsInOrder(sc.assignedRuns) {
+	for _, key := range marshaler.SortedRunKeys(sc.assignedRuns) {
 		if !listed[key] && sc.assignedRuns[key] < sc.session && s.partitionOf(key.Job) == p.number && s.isDurable(key.Job) {
 			s.onOutcome(sc, &marshaler.Outcome{Run: key, Status: marshaler.StatusLost, Reason: "not held by the sidecar"})
 		}
--- a/submitter/sessions.go
+++ b/submitter/sessions.go
@@ -9,8 +9,8 @@
 
 var errHeartbeatTimeout = trace.ConnectionProblem(nil, "heartbeat timeout: no message from the peer")
 
-// OnUp handles a new session of a sidecar or of another entry.
-func (s *Submitter) OnUp(now timer.Millis, link *marshaler.Link) {
+// OnConnect handles a new session of a sidecar or of another entry.
+func (s *Submitter) OnConnect(now timer.Millis, link *marshaler.Link) {
 	s.setNow(now)
 	if link.Remote.Role == marshaler.RoleEntry {
 		s.onPeerSession(link)
@@ -37,7 +37,7 @@
 	if len(s.durable.owned) > 0 {
 		link.Send(&marshaler.Claim{Partitions: s.ownedPartitions()})
 	}
-	if s.schedulingEntry() == s.Name {
+	if s.placingEntry() == s.Name {
 		s.subscribe(sc)
 	}
 }
@@ -62,17 +62,17 @@
 	s.relay.Up(s.now, h.Name)
 	p.send(s.now, s.newHeartbeat())
 	if s.durable.inUse {
-		p.send(s.now, &marshaler.Owned{Partitions: s.ownedPartitions()})
+		p.send(s.now, &marshaler.OwnedPartitions{Partitions: s.ownedPartitions()})
 	}
 }
 
 // newHeartbeat returns a heartbeat message.
-func (s *Submitter) newHeartbeat() *marshaler.Beat {
-	return &marshaler.Beat{Offset: s.snapshot.Offset, Leaving: s.leaving, Kept: s.mayHaveDurable()}
+func (s *Submitter) newHeartbeat() *marshaler.Heartbeat {
+	return &marshaler.Heartbeat{Offset: s.snapshot.Offset, Leaving: s.leaving, DurableInUse: s.mayHaveDurable()}
 }
 
-// OnDown handles the end of a session.
-func (s *Submitter) OnDown(now timer.Millis, link *marshaler.Link, cause error) {
+// OnDisconnect handles the end of a session.
+func (s *Submitter) OnDisconnect(now timer.Millis, link *marshaler.Link, cause error) {
 	s.setNow(now)
 	if link.Remote.Role == marshaler.RoleEntry {
 		if p := s.peers[link.Remote.Name]; p != nil && p.link == link {
@@ -86,12 +86,12 @@
 }
 
 // onPeerLost handles the loss of another entry. Its requests are dropped, and requests that it held go to the next
-// scheduling entry.
+// placing entry.
 func (s *Submitter) onPeerLost(p *peer, cause string) {
 	p.link, p.ownedEpochs, p.waitingJobs = nil, nil, nil
 	s.relay.Down(p.hello.Name)
 	s.report(Event{Kind: "entryLost", Peer: p.hello.Name, Detail: cause})
-	s.placer.Forget(p.hello.Name)
+	s.placer.RemoveEntry(p.hello.Name)
 	s.rerouteRequests(p.hello.Name)
 	s.rerouteCalls(p.hello.Name)
 }
@@ -111,7 +111,7 @@
 // checkTimeouts closes sessions whose heartbeat timeout has expired, and ends the runs on lost sidecars once they have
 // expired.
 func (s *Submitter) checkTimeouts() {
-	for _, p := range marshaler.InOrder(s.peers) {
+	for _, p := range marshaler.SortedByKey(s.peers) {
 		if p.link != nil && p.silence(s.now) >= p.heartbeatTimeout() {
 			link := p.link
 			s.onPeerLost(p, "silent")
@@ -122,7 +122,7 @@
 			s.rerouteRequests(p.hello.Name)
 		}
 	}
-	for name, sc := range marshaler.InOrder(s.sidecars) {
+	for name, sc := range marshaler.SortedByKey(s.sidecars) {
 		if sc.link != nil && sc.silence(s.now) >= sc.heartbeatTimeout() {
 			link := sc.link
 			s.onSidecarLost(sc, "silent")
@@ -138,7 +138,7 @@
 
 // endLostRuns ends all attempts on a sidecar whose runs are guaranteed to have ended.
 func (s *Submitter) endLostRuns(sc *sidecar, reason string) {
-	for _, key := range marshaler.RunsInOrder(sc.assignedRuns) {
+	for _, key := range marshaler.SortedRunKeys(sc.assignedRuns) {
 		s.onOutcome(sc, &marshaler.Outcome{Run: key, Status: marshaler.StatusLost, Reason: reason})
 	}
 }
@@ -164,26 +164,26 @@
 		p.link = link
 	}
 	switch m := m.(type) {
-	case *marshaler.Beat:
-		p.offset, p.mayHaveDurable = m.Offset, m.Kept
+	case *marshaler.Heartbeat:
+		p.offset, p.mayHaveDurable = m.Offset, m.DurableInUse
 		if m.Leaving && !p.leaving {
 			s.report(Event{Kind: "entryLeaving", Peer: p.hello.Name})
 		}
 		p.leaving = m.Leaving
-	case *marshaler.Ask:
+	case *marshaler.ResourceRequest:
 		p.requestedAt = s.now
 		p.activate(s.now)
 		s.subscribeAll()
-		s.placer.Ask(s.now, p.hello.Name, p.hello.Domain, m)
-	case *marshaler.Withdraw:
-		s.placer.Withdraw(p.hello.Name, m.Job, m.Step)
+		s.placer.Request(s.now, p.hello.Name, p.hello.Domain, m)
+	case *marshaler.CancelResourceRequest:
+		s.placer.Cancel(p.hello.Name, m.Job, m.Step)
 	case *marshaler.Grant:
 		if len(m.Sidecars) > 0 {
 			s.onGrant(m)
 		}
 	case *marshaler.Reject:
 		s.onReject(m)
-	case *marshaler.Owned:
+	case *marshaler.OwnedPartitions:
 		s.onOwned(p, m)
 	case *marshaler.Handover:
 		s.onHandover(m)
@@ -191,7 +191,7 @@
 		s.onCall(p, m)
 	case *marshaler.Reply:
 		s.onReply(m)
-	case *marshaler.Waiting:
+	case *marshaler.QueueBacklog:
 		if p.waitingJobs == nil {
 			p.waitingJobs = map[string]uint64{}
 		}
@@ -212,7 +212,7 @@
 		s.placer.OnLoad(s.now, sc.name, m)
 	case *marshaler.Outcome:
 		s.onOutcome(sc, m)
-	case *marshaler.Held:
+	case *marshaler.ActiveRuns:
 		s.onHeld(sc, m)
 	case *marshaler.Census:
 		s.onCensus(sc, m)
@@ -221,7 +221,7 @@
 
 // onHeld compares the runs that a sidecar lists with those started on earlier sessions. Starts of the current session
 // may still be in flight.
-func (s *Submitter) onHeld(sc *sidecar, m *marshaler.Held) {
+func (s *Submitter) onHeld(sc *sidecar, m *marshaler.ActiveRuns) {
 	sc.runsUnconfirmed = false
 	listed := map[marshaler.RunKey]bool{}
 	for _, key := range m.Runs {
@@ -230,7 +230,7 @@
 			sc.link.Send(&marshaler.Stop{Run: key})
 		}
 	}
-	for _, key := range marshaler.RunsInOrder(sc.assignedRuns) {
+	for _, key := range marshaler.SortedRunKeys(sc.assignedRuns) {
 		if !listed[key] && sc.assignedRuns[key] < sc.session && !s.isDurable(key.Job) { // a Census covers durable jobs
 			s.onOutcome(sc, &marshaler.Outcome{Run: key, Status: marshaler.StatusLost, Reason: "not held by the sidecar"})
 		}
@@ -239,7 +239,7 @@
 
 // subscribeAll subscribes to the load reports of all sidecars, because this entry schedules.
 func (s *Submitter) subscribeAll() {
-	for _, sc := range marshaler.InOrder(s.sidecars) {
+	for _, sc := range marshaler.SortedByKey(s.sidecars) {
 		s.subscribe(sc)
 	}
 }
@@ -248,39 +248,39 @@
 	if sc.link != nil && !sc.subscribed {
 		sc.subscribed = true
 		sc.activate(s.now)
-		sc.link.Send(&marshaler.Subscribe{On: true})
+		sc.link.Send(&marshaler.LoadSubscription{Enabled: true})
 	}
 }
 
 // unsubscribe ends the subscriptions. It is called when another entry schedules and the local queue is empty.
 func (s *Submitter) unsubscribe() {
-	for _, sc := range marshaler.InOrder(s.sidecars) {
+	for _, sc := range marshaler.SortedByKey(s.sidecars) {
 		if sc.link != nil && sc.subscribed {
 			sc.subscribed = false
-			sc.link.Send(&marshaler.Subscribe{})
+			sc.link.Send(&marshaler.LoadSubscription{})
 		}
 	}
 }
 
-// Leave drains the entry: it stops scheduling, hands its queue over and directs callers to other entries.
-func (s *Submitter) Leave(now timer.Millis) {
+// Drain drains the entry: it stops scheduling, hands its queue over and directs callers to other entries.
+func (s *Submitter) Drain(now timer.Millis) {
 	s.setNow(now)
 	s.leaving = true
 	s.sendAllHeartbeats()
-	s.placer.Leave()
+	s.placer.RejectAll()
 }
 
 func (s *Submitter) sendDueHeartbeats() {
-	if s.schedulingEntry() != s.Name && s.placer.Queued() == 0 && s.now-s.subscriptionsCheckedAt >= timer.Second {
+	if s.placingEntry() != s.Name && s.placer.QueueLen() == 0 && s.now-s.subscriptionsCheckedAt >= timer.Second {
 		s.subscriptionsCheckedAt = s.now
 		s.unsubscribe()
 	}
-	for _, sc := range marshaler.InOrder(s.sidecars) {
+	for _, sc := range marshaler.SortedByKey(s.sidecars) {
 		if sc.link != nil && s.now-sc.lastSent >= sc.heartbeatInterval() {
 			s.sendSidecarHeartbeat(sc)
 		}
 	}
-	for _, p := range marshaler.InOrder(s.peers) {
+	for _, p := range marshaler.SortedByKey(s.peers) {
 		if p.link != nil && s.now-p.lastSent >= p.heartbeatInterval() {
 			s.sendPeerHeartbeat(p)
 		}
@@ -288,12 +288,12 @@
 }
 
 func (s *Submitter) sendAllHeartbeats() {
-	for _, sc := range marshaler.InOrder(s.sidecars) {
+	for _, sc := range marshaler.SortedByKey(s.sidecars) {
 		if sc.link != nil {
 			s.sendSidecarHeartbeat(sc)
 		}
 	}
-	for _, p := range marshaler.InOrder(s.peers) {
+	for _, p := range marshaler.SortedByKey(s.peers) {
 		if p.link != nil {
 			s.sendPeerHeartbeat(p)
 		}
--- a/submitter/sim_test.go
+++ b/submitter/sim_test.go
@@ -8,9 +8,9 @@
 	"strings"
 	"testing"
 
-	"github.com/crocuslb/crocuslb/keeper"
 	"github.com/crocuslb/crocuslb/marshaler"
 	"github.com/crocuslb/crocuslb/router"
+	"github.com/crocuslb/crocuslb/supervisor"
 	"github.com/crocuslb/crocuslb/timer"
 )
 
@@ -79,7 +79,7 @@
 		process
 		name        string
 		incarnation uint64
-		core        *keeper.Keeper
+		core        *supervisor.Supervisor
 		backend     *fakeBackend
 	}
 
@@ -89,10 +89,10 @@
 		up             bool
 		id             string
 		startedAt      uint64
-		room           marshaler.Room
+		room           marshaler.Resources
 		leaseUntil     timer.Millis
 		runs           map[marshaler.RunKey]*fakeRun
-		ended          []keeper.End
+		ended          []supervisor.EndedRun
 		highestEnded   map[string]uint64 // highest attempt that was stopped or has ended, by task
 		number         uint64
 		holdWaiters    []func() // hold requests that wait for an end
@@ -103,7 +103,7 @@
 	}
 
 	fakeRun struct {
-		room       marshaler.Room
+		room       marshaler.Resources
 		begin, end timer.Millis
 	}
 )
@@ -127,7 +127,7 @@
 func (w *simulation) startProcesses(entries, sidecars int) {
 	for i := range sidecars {
 		s := &fakeSidecar{name: fmt.Sprintf("side-%d", i)}
-		s.backend = &fakeBackend{w: w, id: s.name + "-server", room: marshaler.Room{CPU: 32_000, MemoryMB: 64_000}, slowdown: 1}
+		s.backend = &fakeBackend{w: w, id: s.name + "-server", room: marshaler.Resources{CPU: 32_000, MemoryMB: 64_000}, slowdown: 1}
 		w.sidecars = append(w.sidecars, s)
 		s.backend.restart()
 		w.startSidecar(s)
@@ -198,7 +198,7 @@
 	if w.store != nil {
 		w.startMembership(e)
 	} else {
-		e.core.SetKept(w.now, false) // lets sessions become idle
+		e.core.SetDurableInUse(w.now, false) // lets sessions become idle
 	}
 	incarnation := e.incarnation
 	var tick func()
@@ -227,7 +227,7 @@
 	s.alive, s.pausedUntil = true, 0
 	incarnation := s.incarnation
 	current := func() bool { return s.incarnation == incarnation }
-	k := &keeper.Keeper{Partitions: testPartitions, Report: func(v keeper.Event) {
+	k := &supervisor.Supervisor{Partitions: testPartitions, Report: func(v supervisor.Event) {
 		w.decisions[v.Run.Job] = append(w.decisions[v.Run.Job], fmt.Sprintf("%d %s %s %s task %d.%d %s", w.now, s.name, v.Kind, v.Entry, v.Run.Index, v.Run.Attempt, v.Detail))
 	}}
 	s.core = k
@@ -240,7 +240,7 @@
 			w.runOn(&s.process, current, func() { k.OnStarted(w.now, started) })
 		}, func() {
 			w.runOn(&s.process, current, func() {
-				k.OnStarted(w.now, keeper.Started{Run: m.Run, Status: keeper.StartUnknown, Reason: "timeout"})
+				k.OnStarted(w.now, supervisor.StartResult{Run: m.Run, Status: supervisor.StartUnknown, Reason: "timeout"})
 			})
 		})
 	}
@@ -259,23 +259,23 @@
 			return
 		}
 		pause := timer.Millis(0)
-		if h.Unrecorded && wait > 0 {
+		if h.HasUnrecordedEnds && wait > 0 {
 			pause = 10
 		}
 		w.schedule(pause, func() {
-			s.backend.hold(h, wait, func(l keeper.Listing, err error) {
+			s.backend.hold(h, wait, func(l supervisor.HoldResponse, err error) {
 				w.runOn(&s.process, current, func() {
 					if err != nil {
 						k.OnHoldFailed(w.now, !s.backend.up, err.Error())
 					} else {
-						k.OnListing(w.now, l)
+						k.OnHoldResponse(w.now, l)
 					}
 					done()
 				})
 			})
 		})
 	}
-	k.Look = func() { hold(0, func() {}) }
+	k.HoldNow = func() { hold(0, func() {}) }
 	var loop, tick, announce func()
 	loop = func() { hold(60, func() { w.schedule(1, loop) }) }
 	tick = func() {
@@ -292,7 +292,7 @@
 		w.runOn(&s.process, current, func() {
 			if s.backend.up {
 				sequence++
-				k.Announce(w.now, keeper.Backend{ID: s.backend.id, Born: s.backend.startedAt, Sequence: sequence, Service: "svc", Total: s.backend.room})
+				k.Announce(w.now, supervisor.Backend{ID: s.backend.id, StartTime: s.backend.startedAt, Sequence: sequence, Service: "svc", Capacity: s.backend.room})
 			}
 			w.schedule(100, announce)
 		})
@@ -334,8 +334,8 @@
 		}
 		ended = true
 		w.schedule(1, func() {
-			w.runOn(&e.process, entryCurrent, func() { e.core.OnDown(w.now, atEntry, errConnectionCut) })
-			w.runOn(&s.process, sidecarCurrent, func() { s.core.OnDown(atSidecar) })
+			w.runOn(&e.process, entryCurrent, func() { e.core.OnDisconnect(w.now, atEntry, errConnectionCut) })
+			w.runOn(&s.process, sidecarCurrent, func() { s.core.OnDisconnect(atSidecar) })
 		})
 		reconnectDelay := max(session.cutUntil-w.now, 0) + 50
 		w.schedule(reconnectDelay+timer.Millis(w.random.IntN(50)), func() {
@@ -371,11 +371,11 @@
 	w.schedule(linkDelay, func() {
 		w.runOn(&e.process, entryCurrent, func() {
 			upAtEntry = true
-			e.core.OnUp(w.now, atEntry)
+			e.core.OnConnect(w.now, atEntry)
 		})
 		w.runOn(&s.process, sidecarCurrent, func() {
 			upAtSidecar = true
-			s.core.OnUp(w.now, atSidecar)
+			s.core.OnConnect(w.now, atSidecar)
 		})
 	})
 }
@@ -390,8 +390,8 @@
 		}
 		ended = true
 		w.schedule(1, func() {
-			w.runOn(&a.process, func() bool { return a.incarnation == aIncarnation }, func() { a.core.OnDown(w.now, atA, errConnectionCut) })
-			w.runOn(&b.process, func() bool { return b.incarnation == bIncarnation }, func() { b.core.OnDown(w.now, atB, errConnectionCut) })
+			w.runOn(&a.process, func() bool { return a.incarnation == aIncarnation }, func() { a.core.OnDisconnect(w.now, atA, errConnectionCut) })
+			w.runOn(&b.process, func() bool { return b.incarnation == bIncarnation }, func() { b.core.OnDisconnect(w.now, atB, errConnectionCut) })
 		})
 		w.schedule(60, func() {
 			if a.incarnation == aIncarnation && b.incarnation == bIncarnation {
@@ -415,8 +415,8 @@
 	atA = link(a, b, bIncarnation, func() *marshaler.Link { return atB })
 	atB = link(b, a, aIncarnation, func() *marshaler.Link { return atA })
 	w.schedule(linkDelay, func() {
-		w.runOn(&a.process, func() bool { return a.incarnation == aIncarnation }, func() { a.core.OnUp(w.now, atA) })
-		w.runOn(&b.process, func() bool { return b.incarnation == bIncarnation }, func() { b.core.OnUp(w.now, atB) })
+		w.runOn(&a.process, func() bool { return a.incarnation == aIncarnation }, func() { a.core.OnConnect(w.now, atA) })
+		w.runOn(&b.process, func() bool { return b.incarnation == bIncarnation }, func() { b.core.OnConnect(w.now, atB) })
 	})
 }
 
@@ -424,7 +424,7 @@
 	e.alive = false
 	e.incarnation++
 	w.schedule(restartAfter, func() { w.startEntry(e) })
-	for id, j := range marshaler.InOrder(w.jobs) { // callers resubmit restartable jobs
+	for id, j := range marshaler.SortedByKey(w.jobs) { // callers resubmit restartable jobs
 		if j.entry != e || len(w.answers[id]) > 0 {
 			continue
 		}
@@ -451,7 +451,7 @@
 	w.jobs[id] = fakeJob{e, tasks, estimate}
 	w.runOn(&e.process, func() bool { return e.incarnation == incarnation }, func() {
 		e.core.Submit(w.now, Job{
-			ID: id, Queue: testQueue, Steps: []marshaler.Step{{Tasks: uint64(tasks), Room: marshaler.Room{CPU: 3000, MemoryMB: 64}, Estimate: estimate}}, Deadline: 2000,
+			ID: id, Queue: testQueue, Steps: []marshaler.Step{{Tasks: uint64(tasks), Resources: marshaler.Resources{CPU: 3000, MemoryMB: 64}, Estimate: estimate}}, Deadline: 2000,
 			Answer: func(a Answer) {
 				if e.incarnation == incarnation {
 					w.answers[id] = append(w.answers[id], a)
@@ -497,7 +497,7 @@
 }
 
 func (b *fakeBackend) crash() {
-	for _, key := range marshaler.RunsInOrder(b.runs) {
+	for _, key := range marshaler.SortedRunKeys(b.runs) {
 		b.w.activeRuns[taskOf(key)]--
 	}
 	b.up, b.runs = false, nil
@@ -505,8 +505,8 @@
 
 func taskOf(r marshaler.RunKey) string { return fmt.Sprintf("%s.%d", r.Job, r.Index) }
 
-func (b *fakeBackend) start(m marshaler.Start) keeper.Started {
-	out := keeper.Started{Run: m.Run, Status: keeper.StartRefused}
+func (b *fakeBackend) start(m marshaler.Start) supervisor.StartResult {
+	out := supervisor.StartResult{Run: m.Run, Status: supervisor.StartRefused}
 	free := b.room
 	for _, r := range b.runs {
 		free = free.Sub(r.room)
@@ -516,15 +516,15 @@
 	case m.NotAfter <= int64(b.w.now):
 		out.Reason = "late"
 	case b.highestEnded[taskOf(m.Run)] >= m.Run.Attempt:
-		out.Status = keeper.StartOld
+		out.Status = supervisor.StartSuperseded
 	case b.runs[m.Run] != nil:
-		out.Status = keeper.StartDone
-	case !free.Holds(m.Room):
+		out.Status = supervisor.StartConfirmed
+	case !free.Contains(m.Resources):
 		out.Reason = "room"
 	default:
 		b.leaseUntil = max(b.leaseUntil, timer.Millis(m.NotAfter))
 		length := timer.Millis(float64(m.Estimate) * (0.7 + 0.6*b.w.random.Float64()) * b.slowdown)
-		b.runs[m.Run] = &fakeRun{room: m.Room, begin: b.w.now, end: b.w.now + max(length, 1)}
+		b.runs[m.Run] = &fakeRun{room: m.Resources, begin: b.w.now, end: b.w.now + max(length, 1)}
 		task := taskOf(m.Run)
 		b.w.activeRuns[task]++
 		b.w.startedRuns[m.Run.Job]++
@@ -535,7 +535,7 @@
 			b.w.t.Errorf("at %d ms, task %s has %d concurrent runs, the last on %s; faults: %v; decisions: %s", b.w.now, task, b.w.activeRuns[task], b.id, b.w.faults,
 				strings.Join(b.w.decisions[m.Run.Job], "\n"))
 		}
-		out.Status = keeper.StartDone
+		out.Status = supervisor.StartConfirmed
 	}
 	return out
 }
@@ -558,7 +558,7 @@
 	b.w.activeRuns[taskOf(key)]--
 	b.highestEnded[taskOf(key)] = max(b.highestEnded[taskOf(key)], key.Attempt)
 	b.number++
-	b.ended = append(b.ended, keeper.End{Number: b.number, Run: key, Status: status})
+	b.ended = append(b.ended, supervisor.EndedRun{Number: b.number, Run: key, Status: status})
 	b.endedAt[b.number] = b.w.now
 	for _, wake := range b.holdWaiters {
 		b.w.schedule(0, wake)
@@ -578,7 +578,7 @@
 	if !due {
 		return
 	}
-	for _, key := range marshaler.RunsInOrder(b.runs) {
+	for _, key := range marshaler.SortedRunKeys(b.runs) {
 		r := b.runs[key]
 		switch {
 		case b.leaseUntil <= b.w.now:
@@ -593,21 +593,21 @@
 	}
 }
 
-func (b *fakeBackend) hold(h keeper.HoldRequest, wait timer.Millis, answer func(l keeper.Listing, err error)) {
-	failed := func() { answer(keeper.Listing{}, errors.New("no answer")) }
+func (b *fakeBackend) hold(h supervisor.HoldRequest, wait timer.Millis, answer func(l supervisor.HoldResponse, err error)) {
+	failed := func() { answer(supervisor.HoldResponse{}, errors.New("no answer")) }
 	b.call(func(answered bool) {
 		if !b.up {
 			return
 		}
-		if h.Until != 0 {
-			b.leaseUntil = max(b.leaseUntil, min(timer.Millis(h.Until), b.w.now+1000))
+		if h.LeaseUntil != 0 {
+			b.leaseUntil = max(b.leaseUntil, min(timer.Millis(h.LeaseUntil), b.w.now+1000))
 		}
-		if h.Born == b.startedAt {
-			b.ended = slices.DeleteFunc(b.ended, func(e keeper.End) bool {
-				if e.Number <= h.Processed && b.w.durable != nil && e.Status == marshaler.StatusDone {
+		if h.StartTime == b.startedAt {
+			b.ended = slices.DeleteFunc(b.ended, func(e supervisor.EndedRun) bool {
+				if e.Number <= h.LastProcessedEnd && b.w.durable != nil && e.Status == marshaler.StatusDone {
 					b.w.durable.onRecordedEnd(b.w, taskOf(e.Run), b.endedAt[e.Number], b.leaseExpiredAt)
 				}
-				return e.Number <= h.Processed
+				return e.Number <= h.LastProcessedEnd
 			})
 		}
 		if !answered {
@@ -623,10 +623,10 @@
 				failed()
 				return
 			}
-			l := keeper.Listing{Number: h.Number, Born: b.startedAt, Clock: int64(b.w.now), Ended: slices.Clone(b.ended)}
-			for _, key := range marshaler.RunsInOrder(b.runs) {
+			l := supervisor.HoldResponse{Number: h.Number, StartTime: b.startedAt, Clock: int64(b.w.now), Ended: slices.Clone(b.ended)}
+			for _, key := range marshaler.SortedRunKeys(b.runs) {
 				r := b.runs[key]
-				l.Running = append(l.Running, keeper.Row{Run: key, Percent: int(100 * (b.w.now - r.begin) / max(r.end-r.begin, 1))})
+				l.Running = append(l.Running, supervisor.RunProgress{Run: key, Percent: int(100 * (b.w.now - r.begin) / max(r.end-r.begin, 1))})
 			}
 			b.w.schedule(1, func() { answer(l, nil) })
 		}
--- a/submitter/startwait_test.go
+++ b/submitter/startwait_test.go
@@ -29,11 +29,11 @@
 	for _, c := range cases {
 		f := newFixture()
 		for name, link := range f.links {
-			f.core.OnMessage(f.now, link, &marshaler.Load{Clock: 5, Speed: 1000, Seen: []string{name}})
+			f.core.OnMessage(f.now, link, &marshaler.Load{Clock: 5, Speed: 1000, HandledStarts: []string{name}})
 		}
 		f.core.Submit(f.now, Job{
 			ID: "job", Queue: testQueue, Deadline: c.deadline, Waited: c.waited,
-			Steps:  []marshaler.Step{{Tasks: 1, Room: marshaler.Room{CPU: 3000}, Estimate: c.estimate}},
+			Steps:  []marshaler.Step{{Tasks: 1, Resources: marshaler.Resources{CPU: 3000}, Estimate: c.estimate}},
 			Answer: func(a Answer) { f.answers = append(f.answers, a) },
 		})
 		submittedAt := f.now
--- a/submitter/steps.go
+++ b/submitter/steps.go
@@ -42,7 +42,7 @@
 // assignedSidecars returns the sidecar of each running task of a step that has a limit of tasks per backend server. A
 // sidecar occurs once for each task.
 func (st *step) assignedSidecars() (names []string) {
-	if st.PerServer == 0 {
+	if st.MaxPerServer == 0 {
 		return nil
 	}
 	for i := range st.tasks {
@@ -90,11 +90,11 @@
 		switch {
 		case st.Tasks == 0 || tasks > maxTasks:
 			return "a step has no tasks, or the job has too many"
-		case st.Room.CPU < 0 || st.Room.MemoryMB < 0 || st.Room.Accelerators < 0:
+		case st.Resources.CPU < 0 || st.Resources.MemoryMB < 0 || st.Resources.Accelerators < 0:
 			return "a task asks for less than nothing"
 		case st.Estimate < 0 || st.Estimate > maxEstimate:
 			return "the estimated run time is out of range"
-		case len(st.Label) > marshaler.MaxName || len(st.Rack) > marshaler.MaxName:
+		case len(st.Label) > marshaler.MaxNameLen || len(st.Rack) > marshaler.MaxNameLen:
 			return "a label is too long"
 		case slices.ContainsFunc(st.After, func(before uint64) bool { return before >= uint64(n) }):
 			return "a step waits for one that does not come before it"
--- a/submitter/steps_test.go
+++ b/submitter/steps_test.go
@@ -8,18 +8,18 @@
 
 // TestStepOrder guards against tasks that start before the steps that they depend on are done.
 func TestStepOrder(t *testing.T) {
-	room := marshaler.Room{CPU: 1000}
+	room := marshaler.Resources{CPU: 1000}
 	cases := []struct {
 		name  string
 		steps []marshaler.Step
 		// waves lists the steps of the tasks that run at the same time, in order.
 		waves [][]int
 	}{
-		{"one", []marshaler.Step{{Tasks: 2, Room: room}}, [][]int{{0, 0}}},
-		{"chain", []marshaler.Step{{Tasks: 2, Room: room}, {Tasks: 1, Room: room, After: []uint64{0}}, {Tasks: 1, Room: room, After: []uint64{1}}}, [][]int{{0, 0}, {1}, {2}}},
-		{"independent", []marshaler.Step{{Tasks: 1, Room: room}, {Tasks: 2, Room: room}}, [][]int{{0, 1, 1}}},
+		{"one", []marshaler.Step{{Tasks: 2, Resources: room}}, [][]int{{0, 0}}},
+		{"chain", []marshaler.Step{{Tasks: 2, Resources: room}, {Tasks: 1, Resources: room, After: []uint64{0}}, {Tasks: 1, Resources: room, After: []uint64{1}}}, [][]int{{0, 0}, {1}, {2}}},
+		{"independent", []marshaler.Step{{Tasks: 1, Resources: room}, {Tasks: 2, Resources: room}}, [][]int{{0, 1, 1}}},
 		{"fork and join", []marshaler.Step{
-			{Tasks: 1, Room: room}, {Tasks: 2, Room: room, After: []uint64{0}}, {Tasks: 1, Room: room, After: []uint64{0}}, {Tasks: 1, Room: room, After: []uint64{1, 2}},
+			{Tasks: 1, Resources: room}, {Tasks: 2, Resources: room, After: []uint64{0}}, {Tasks: 1, Resources: room, After: []uint64{0}}, {Tasks: 1, Resources: room, After: []uint64{1, 2}},
 		}, [][]int{{0}, {1, 1, 2}, {3}}},
 	}
 	for _, c := range cases {
@@ -62,7 +62,7 @@
 	}
 }
 
-// TestRepeat guards against a job that waits forever because the scheduling entry has lost its request.
+// TestRepeat guards against a job that waits forever because the placing entry has lost its request.
 func TestRepeat(t *testing.T) {
 	cases := []struct {
 		name   string
@@ -84,7 +84,7 @@
 			f.core.placer.SetAccepting("side-b", false)
 			f.submit(2)
 		}
-		f.core.placer.Forget("entry")
+		f.core.placer.RemoveEntry("entry")
 		for range 50 {
 			f.now += 25
 			for _, name := range []string{"side-a", "side-b"} {
--- a/submitter/submitter.go
+++ b/submitter/submitter.go
@@ -1,5 +1,5 @@
 // Package submitter implements the core of an entry. It owns the jobs of its callers, starts their tasks on the workers
-// granted by the scheduling entry, and answers once every task is guaranteed to have ended. It is a pure state machine:
+// granted by the placing entry, and answers once every task is guaranteed to have ended. It is a pure state machine:
 // it has no clock and no I/O, and must be called from a single goroutine.
 package submitter
 
@@ -11,9 +11,9 @@
 )
 
 const (
-	// SilenceLimit is the heartbeat timeout after which a process is considered lost. It equals the sidecar's timeout,
+	// HeartbeatTimeout is the heartbeat timeout after which a process is considered lost. It equals the sidecar's timeout,
 	// so that both ends drop the session at about the same time.
-	SilenceLimit = 450 * timer.Millisecond
+	HeartbeatTimeout = 450 * timer.Millisecond
 	// suspectTimeout is the time without a message, two heartbeats long, after which an entry no longer gets capacity
 	// requests. Sending them to another entry is harmless if the first one is only slow, because sidecars check their
 	// own capacity.
@@ -28,7 +28,7 @@
 	startTTL = 400 * timer.Millisecond
 	// attemptGap separates the attempt numbers of this entry from those of another entry that ran the task before.
 	attemptGap = 16
-	// schedulerGrace is how long after a job's latest start this entry waits for an answer of the scheduling entry.
+	// schedulerGrace is how long after a job's latest start this entry waits for an answer of the placing entry.
 	schedulerGrace = 100 * timer.Millisecond
 	// responseWaitShare is the share of the expected response time that a job may wait for its first start. The rest
 	// covers its run and estimates that are off by 40%. A caller that is refused within this time can still retry
@@ -49,7 +49,7 @@
 	// defaultDeadline applies to jobs whose callers set no deadline.
 	defaultDeadline = 30 * timer.Second
 	// requestRepeatInterval is how long a capacity request of a job that can no longer be refused may stay without a
-	// grant before it is repeated. The scheduling entry may have dropped the request with a session whose loss only it
+	// grant before it is repeated. The placing entry may have dropped the request with a session whose loss only it
 	// detected.
 	requestRepeatInterval = timer.Second
 )
@@ -88,10 +88,10 @@
 		// Record appends a record of a partition to the store, under the epoch of its owner. done is called in the
 		// order of the records, or not at all if the partition is lost.
 		Record func(partition, epoch uint64, body []byte, done func(now timer.Millis, offset uint64))
-		// Redealt is called when another entry announces the partitions that it owns.
-		Redealt func()
-		// WantKept is called when a durable job is submitted while durable jobs are not known to be in use.
-		WantKept func()
+		// OwnershipAnnounced is called when another entry announces the partitions that it owns.
+		OwnershipAnnounced func()
+		// DurableJobSubmitted is called when a durable job is submitted while durable jobs are not known to be in use.
+		DurableJobSubmitted func()
 
 		durable                durableJobs
 		snapshot               router.Snapshot
@@ -222,13 +222,13 @@
 // Ready reports whether the entry can serve callers.
 func (s *Submitter) Ready() bool { return s.snapshot.Version > 0 && !s.leaving && len(s.sidecars) > 0 }
 
-// Active returns the number of active jobs.
-func (s *Submitter) Active() int { return len(s.jobs) }
+// ActiveJobs returns the number of active jobs.
+func (s *Submitter) ActiveJobs() int { return len(s.jobs) }
 
 // Submit accepts a job. If a restartable job with this ID is active already, the caller is added to it.
 func (s *Submitter) Submit(now timer.Millis, j Job) {
 	s.setNow(now)
-	if old := s.jobs[j.ID]; old != nil && !j.Kind.Kept {
+	if old := s.jobs[j.ID]; old != nil && !j.Kind.Durable {
 		old.waiters = append(old.waiters, j.Answer)
 		s.report(Event{Kind: "attach", Job: j.ID, Queue: j.Queue.Name})
 		return
@@ -243,12 +243,12 @@
 		j.Answer(Answer{Kind: AnswerNotRun, Reason: reason, RetryAfter: unsupportedRetryAfter})
 		return
 	}
-	if !j.Kind.Kept {
+	if !j.Kind.Durable {
 		s.admit(&job{Job: j, steps: newSteps(j.Steps)})
 		return
 	}
-	if !s.durable.inUse && s.WantKept != nil {
-		s.WantKept()
+	if !s.durable.inUse && s.DurableJobSubmitted != nil {
+		s.DurableJobSubmitted()
 	}
 	s.route(&operation{verb: marshaler.VerbSubmit, job: j, queue: j.Queue.Name, answer: j.Answer, expiresAt: now + submitRouteTimeout})
 }
@@ -264,7 +264,7 @@
 	j.arrived = s.now - j.Waited
 	j.targetStart, j.expiresAt = j.arrived+slack, j.arrived+wait
 	useful := min(j.expiresAt, j.arrived+timer.Millis(usefulResponseFactor*float64(j.expectedResponse())))
-	j.latestStart = max(j.targetStart, min(j.arrived+Patience(j.Deadline), useful-timer.Millis(lateRunFactor*float64(j.criticalPath()))))
+	j.latestStart = max(j.targetStart, min(j.arrived+StartWaitLimit(j.Deadline), useful-timer.Millis(lateRunFactor*float64(j.criticalPath()))))
 	s.jobs[j.ID] = j
 	s.requestReadySteps(j)
 }
@@ -274,29 +274,29 @@
 	return timer.Millis(j.Queue.Stretch*float64(j.criticalPath())) + j.Queue.Target
 }
 
-// Patience returns how long a job may wait for its first start, given its caller's deadline; 0 means unset.
-func Patience(deadline timer.Millis) timer.Millis {
+// StartWaitLimit returns how long a job may wait for its first start, given its caller's deadline; 0 means unset.
+func StartWaitLimit(deadline timer.Millis) timer.Millis {
 	if deadline <= 0 {
 		return maxStartWait
 	}
 	return min(timer.Millis(deadlineWaitShare*float64(deadline)), maxStartWait)
 }
 
-// Drop aborts a job whose caller disconnected or cancelled it. It returns false if the job is unknown or its record was
+// Abort aborts a job whose caller disconnected or cancelled it. It returns false if the job is unknown or its record was
 // handed to the store.
-func (s *Submitter) Drop(now timer.Millis, id, reason string) bool {
+func (s *Submitter) Abort(now timer.Millis, id, reason string) bool {
 	s.setNow(now)
 	j := s.jobs[id]
 	if j == nil || j.durability.storeRequested {
 		return false
 	}
-	s.finish(j, Answer{Kind: AnswerGaveUp, Reason: reason})
+	s.finish(j, Answer{Kind: AnswerAborted, Reason: reason})
 	return true
 }
 
-// Waiting returns the number of jobs of a queue that have not started a task. It includes durable jobs of other
+// WaitingJobs returns the number of jobs of a queue that have not started a task. It includes durable jobs of other
 // entries.
-func (s *Submitter) Waiting(queue string) (waiting int) {
+func (s *Submitter) WaitingJobs(queue string) (waiting int) {
 	for _, j := range s.jobs {
 		if j.Queue.Name == queue && !j.hasRun && j.assigned == 0 {
 			waiting++
@@ -326,14 +326,14 @@
 // expireJobs ends the jobs whose deadline or latest start has passed.
 func (s *Submitter) expireJobs() {
 	now := s.now
-	for _, j := range marshaler.InOrder(s.jobs) {
+	for _, j := range marshaler.SortedByKey(s.jobs) {
 		switch {
 		case j.durability.storeRequested:
 			if now >= j.expiresAt {
-				j.answerWaiters(Answer{Kind: AnswerGaveUp, Reason: "the store did not answer in time"})
+				j.answerWaiters(Answer{Kind: AnswerAborted, Reason: "the store did not answer in time"})
 			}
 		case now >= j.expiresAt:
-			s.finish(j, Answer{Kind: AnswerGaveUp, Reason: "deadline passed"})
+			s.finish(j, Answer{Kind: AnswerAborted, Reason: "deadline passed"})
 		case j.hasOpenRequest() && !j.hasBegun() && now >= j.latestStart+schedulerGrace:
 			s.finish(j, Answer{Kind: AnswerNotRun, Reason: "no answer from the placing entry", RetryAfter: timer.Second})
 		}
@@ -401,9 +401,9 @@
 	}
 }
 
-// DropAll aborts all jobs because the entry shuts down.
-func (s *Submitter) DropAll(now timer.Millis, reason string) {
-	for id := range marshaler.InOrder(s.jobs) {
-		s.Drop(now, id, reason)
+// AbortAll aborts all jobs because the entry shuts down.
+func (s *Submitter) AbortAll(now timer.Millis, reason string) {
+	for id := range marshaler.SortedByKey(s.jobs) {
+		s.Abort(now, id, reason)
 	}
 }
--- a/submitter/suspect_test.go
+++ b/submitter/suspect_test.go
@@ -8,7 +8,7 @@
 	"github.com/crocuslb/crocuslb/timer"
 )
 
-// TestSuspect guards against jobs that wait for a lost scheduling entry until its session times out, and against
+// TestSuspect guards against jobs that wait for a lost placing entry until its session times out, and against
 // entries that are excluded for good although they are only slow.
 func TestSuspect(t *testing.T) {
 	s := &Submitter{Name: "entry-c", Incarnation: 3, Weight: 1}
@@ -21,24 +21,24 @@
 			Remote: marshaler.Hello{Role: marshaler.RoleEntry, Name: name, Incarnation: uint64(i + 1), Weight: uint64(9 - i)},
 			Close:  func(error) {},
 			Send: func(m marshaler.Message) {
-				if _, ok := m.(*marshaler.Ask); ok {
+				if _, ok := m.(*marshaler.ResourceRequest); ok {
 					requested = append(requested, name)
 				}
 			},
 		}
-		s.OnUp(now, links[name])
+		s.OnConnect(now, links[name])
 	}
 	submit := func(id string) {
 		s.Submit(now, Job{
 			ID: id, Queue: testQueue, Deadline: 2000, Answer: func(Answer) {},
-			Steps: []marshaler.Step{{Tasks: 1, Room: marshaler.Room{CPU: 3000}, Estimate: 60}},
+			Steps: []marshaler.Step{{Tasks: 1, Resources: marshaler.Resources{CPU: 3000}, Estimate: 60}},
 		})
 	}
 	submit("one")
 	advance := func(d timer.Millis, heartbeating ...string) {
 		for end := now + d; now < end; now += 25 {
 			for _, name := range heartbeating {
-				s.OnMessage(now, links[name], &marshaler.Beat{})
+				s.OnMessage(now, links[name], &marshaler.Heartbeat{})
 			}
 			s.Tick(now)
 		}
@@ -47,7 +47,7 @@
 	submit("two")
 	advance(50, "entry-b")
 	submit("three")
-	s.OnMessage(now, links["entry-a"], &marshaler.Beat{})
+	s.OnMessage(now, links["entry-a"], &marshaler.Heartbeat{})
 	submit("four")
 	want := []string{"entry-a", "entry-a", "entry-b", "entry-b", "entry-b", "entry-a"}
 	if !slices.Equal(requested, want) {
