--- a/keeper/durable.go
+++ b/supervisor/durable.go
@@ -1,4 +1,4 @@
-package keeper
+package supervisor
 
 import (
 	"maps"
@@ -64,7 +64,7 @@
 }
 
 // processed returns the number up to which the backend server may forget ends: each unrecorded end has a higher number.
-func (k *Keeper) processed() uint64 {
+func (k *Supervisor) processed() uint64 {
 	number := k.lastEnd
 	for n := range k.durable.unrecorded {
 		number = min(number, n-1)
@@ -72,10 +72,10 @@
 	return number
 }
 
-func (k *Keeper) partition(job string) uint64 { return marshaler.PartitionOf(job, k.Partitions) }
+func (k *Supervisor) partition(job string) uint64 { return marshaler.PartitionOf(job, k.Partitions) }
 
 // mayStart reports whether the entry owns the job of a start. Restartable jobs have no owner.
-func (k *Keeper) mayStart(e *entry, m *marshaler.Start) bool {
+func (k *Supervisor) mayStart(e *entry, m *marshaler.Start) bool {
 	if m.Epoch == 0 {
 		return true
 	}
@@ -85,7 +85,7 @@
 
 // onUnknownEnd handles the end of a run that this process does not track: it was started by a previous incarnation of this
 // process, or given up.
-func (k *Keeper) onUnknownEnd(e End) {
+func (k *Supervisor) onUnknownEnd(e EndedRun) {
 	if mustRecord(e.Status) && k.durableInUse() {
 		k.durable.addEnd(marshaler.Outcome{Run: e.Run, Status: e.Status, Reason: "found after a restart", Number: e.Number, Stale: true})
 		k.sendCensus(k.partition(e.Run.Job))
@@ -94,7 +94,7 @@
 
 // durableInUse reports whether durable jobs may be in use: a partition was claimed, an entry reports them, or no connected
 // entry has reported yet.
-func (k *Keeper) durableInUse() bool {
+func (k *Supervisor) durableInUse() bool {
 	if len(k.durable.claims) > 0 {
 		return true
 	}
@@ -112,7 +112,7 @@
 
 // onClaim handles the list of partitions that an entry owns. Runs that previous owners started in them are reassigned to
 // the new owner.
-func (k *Keeper) onClaim(e *entry, partitions []marshaler.Partition) {
+func (k *Supervisor) onClaim(e *entry, partitions []marshaler.Partition) {
 	if k.durable.claims == nil {
 		k.durable.claims = map[uint64]claim{}
 	}
@@ -142,7 +142,7 @@
 
 // onOwnerLost marks the unrecorded ends in a lost entry's partitions as stale. The entry may still be running and restart
 // tasks whose ends it did not receive.
-func (k *Keeper) onOwnerLost(e *entry) {
+func (k *Supervisor) onOwnerLost(e *entry) {
 	for number, c := range k.durable.claims {
 		if c.entry == e.name {
 			k.markEndsStale(number)
@@ -150,7 +150,7 @@
 	}
 }
 
-func (k *Keeper) markEndsStale(number uint64) {
+func (k *Supervisor) markEndsStale(number uint64) {
 	for n, u := range k.durable.unrecorded {
 		if k.partition(u.outcome.Run.Job) == number {
 			u.outcome.Stale = true
@@ -160,11 +160,11 @@
 }
 
 // sendCensuses answers claims. It does nothing until this process knows all active runs.
-func (k *Keeper) sendCensuses() {
+func (k *Supervisor) sendCensuses() {
 	if !k.reconciled {
 		return
 	}
-	for number, c := range marshaler.InOrder(k.durable.claims) {
+	for number, c := range marshaler.SortedByKey(k.durable.claims) {
 		if c.censusDue {
 			k.sendCensus(number)
 		}
@@ -172,7 +172,7 @@
 }
 
 // sendCensus sends the owner of a partition its active runs and unrecorded ends on this sidecar.
-func (k *Keeper) sendCensus(number uint64) {
+func (k *Supervisor) sendCensus(number uint64) {
 	c, ok := k.durable.claims[number]
 	e := k.entries[c.entry]
 	if !ok || !k.reconciled || e == nil || e.link == nil {
@@ -196,19 +196,19 @@
 
 // onRelease handles an entry's message that it no longer owns a partition. The runs of the partition are stopped unless the
 // next owner claims it within the entry timeout.
-func (k *Keeper) onRelease(now timer.Millis, e *entry, p marshaler.Partition) {
+func (k *Supervisor) onRelease(now timer.Millis, e *entry, p marshaler.Partition) {
 	if c := k.durable.claims[p.Number]; c.epoch != p.Epoch || c.entry != e.name {
 		return
 	}
 	if k.durable.orphanDeadlines == nil {
 		k.durable.orphanDeadlines = map[uint64]timer.Millis{}
 	}
-	k.durable.orphanDeadlines[p.Number] = now + VouchLimit
+	k.durable.orphanDeadlines[p.Number] = now + EntryTimeout
 }
 
 // onNoted handles the owner's confirmation that it has recorded or voided an end. A void end
 // must not count, so it is not acknowledged to the backend server before the lease has expired.
-func (k *Keeper) onNoted(now timer.Millis, m *marshaler.Noted) {
+func (k *Supervisor) onNoted(now timer.Millis, m *marshaler.OutcomeAck) {
 	u, ok := k.durable.unrecorded[m.Number]
 	if !ok || u.outcome.Run != m.Run {
 		return
@@ -228,7 +228,7 @@
 
 // checkLeaseExpiry acknowledges void ends and resumes lease renewal once the lease has expired on the backend server's
 // clock.
-func (k *Keeper) checkLeaseExpiry(clock int64) {
+func (k *Supervisor) checkLeaseExpiry(clock int64) {
 	if k.durable.leaseEnd == 0 {
 		k.durable.leaseEnd = clock + maxLeaseMs
 	}
@@ -242,8 +242,8 @@
 
 // tickDurable stops the runs of partitions that no entry claimed, and discards unrecorded ends when no durable jobs are in
 // use.
-func (k *Keeper) tickDurable(now timer.Millis) {
-	for number, at := range marshaler.InOrder(k.durable.orphanDeadlines) {
+func (k *Supervisor) tickDurable(now timer.Millis) {
+	for number, at := range marshaler.SortedByKey(k.durable.orphanDeadlines) {
 		if now < at {
 			continue
 		}
--- a/keeper/durable_test.go
+++ b/supervisor/durable_test.go
@@ -1,4 +1,4 @@
-package keeper
+package supervisor
 
 import (
 	"reflect"
@@ -47,16 +47,16 @@
 // startDurable requests a run under an epoch and confirms it if it was admitted.
 func (f *durableFixture) startDurable(r marshaler.RunKey, epoch uint64) {
 	f.k.OnMessage(f.now, f.link, &marshaler.Start{
-		Run: r, Room: marshaler.Room{CPU: 1000}, Estimate: 100, NotAfter: int64(f.now) + 400, Epoch: epoch,
+		Run: r, Resources: marshaler.Resources{CPU: 1000}, Estimate: 100, NotAfter: int64(f.now) + 400, Epoch: epoch,
 	})
 	if f.k.findRun(r) != nil {
-		f.k.OnStarted(f.now, Started{Run: r, Status: StartDone})
+		f.k.OnStarted(f.now, StartResult{Run: r, Status: StartConfirmed})
 	}
 }
 
 func (f *durableFixture) processed() uint64 {
 	h, _ := f.k.BeginHold(f.now)
-	return h.Processed
+	return h.LastProcessedEnd
 }
 
 // TestUnrecorded guards against ends that are acknowledged to the backend server before an entry has recorded them.
@@ -73,19 +73,19 @@
 	for _, c := range cases {
 		f := newDurableFixture()
 		f.startDurable(durableRun(0, 1), 5)
-		f.list([]Row{{Run: durableRun(0, 1)}})
-		f.list(nil, End{Number: 7, Run: durableRun(0, 1), Status: c.status})
+		f.list([]RunProgress{{Run: durableRun(0, 1)}})
+		f.list(nil, EndedRun{Number: 7, Run: durableRun(0, 1), Status: c.status})
 		if got := f.outcomes[len(f.outcomes)-1]; got.Number != c.number || got.Status != c.status {
 			t.Errorf("%s: got outcome %+v, want number %d", c.name, got, c.number)
 		}
 		if got := f.processed(); got != c.before {
 			t.Errorf("%s: got %d processed before it was recorded, want %d", c.name, got, c.before)
 		}
-		f.k.OnMessage(f.now, f.link, &marshaler.Noted{Number: 7, Run: durableRun(0, 2)}) // of another run
+		f.k.OnMessage(f.now, f.link, &marshaler.OutcomeAck{Number: 7, Run: durableRun(0, 2)}) // of another run
 		if got := f.processed(); got != c.before {
 			t.Errorf("%s: got %d processed after another run was recorded, want %d", c.name, got, c.before)
 		}
-		f.k.OnMessage(f.now, f.link, &marshaler.Noted{Number: 7, Run: durableRun(0, 1)})
+		f.k.OnMessage(f.now, f.link, &marshaler.OutcomeAck{Number: 7, Run: durableRun(0, 1)})
 		if got := f.processed(); got != 7 {
 			t.Errorf("%s: got %d processed after it was recorded, want 7", c.name, got)
 		}
@@ -99,21 +99,21 @@
 	f.now += 1500 // the lease of a previous incarnation of this process has expired
 	f.list(nil)
 	f.startDurable(durableRun(0, 1), 5)
-	f.list(nil, End{Number: 1, Run: durableRun(0, 1), Status: marshaler.StatusDone})
-	f.k.OnMessage(f.now, f.link, &marshaler.Noted{Number: 1, Run: durableRun(0, 1), Void: true})
-	leaseEnd := f.now + LeaseTerm
+	f.list(nil, EndedRun{Number: 1, Run: durableRun(0, 1), Status: marshaler.StatusDone})
+	f.k.OnMessage(f.now, f.link, &marshaler.OutcomeAck{Number: 1, Run: durableRun(0, 1), Void: true})
+	leaseEnd := f.now + LeaseDuration
 	for ; f.now <= leaseEnd; f.now += 100 {
 		if ok, reason := f.k.Accepting(); ok {
 			t.Fatalf("%d ms before the lease ends: got accepting, want a reason", leaseEnd-f.now)
 		} else if reason != "lease is left to lapse" {
 			t.Errorf("got the reason %q", reason)
 		}
-		if h, _ := f.k.BeginHold(f.now); h.Until != 0 || h.Processed != 0 {
-			t.Errorf("%d ms before the lease ends: got a hold until %d, processed %d, want neither", leaseEnd-f.now, h.Until, h.Processed)
+		if h, _ := f.k.BeginHold(f.now); h.LeaseUntil != 0 || h.LastProcessedEnd != 0 {
+			t.Errorf("%d ms before the lease ends: got a hold until %d, processed %d, want neither", leaseEnd-f.now, h.LeaseUntil, h.LastProcessedEnd)
 		}
-		f.list(nil, End{Number: 1, Run: durableRun(0, 1), Status: marshaler.StatusDone})
+		f.list(nil, EndedRun{Number: 1, Run: durableRun(0, 1), Status: marshaler.StatusDone})
 	}
-	f.list(nil, End{Number: 1, Run: durableRun(0, 1), Status: marshaler.StatusDone})
+	f.list(nil, EndedRun{Number: 1, Run: durableRun(0, 1), Status: marshaler.StatusDone})
 	if ok, reason := f.k.Accepting(); !ok || f.processed() != 1 {
 		t.Errorf("after the expiry: got accepting %v (%s), %d processed, want true and 1", ok, reason, f.processed())
 	}
@@ -124,8 +124,8 @@
 	f := newDurableFixture()
 	f.startDurable(durableRun(0, 1), 5)
 	f.startDurable(durableRun(1, 1), 5)
-	f.list([]Row{{Run: durableRun(0, 1)}, {Run: durableRun(1, 1)}})
-	f.list([]Row{{Run: durableRun(0, 1)}}, End{Number: 1, Run: durableRun(1, 1), Status: marshaler.StatusDone})
+	f.list([]RunProgress{{Run: durableRun(0, 1)}, {Run: durableRun(1, 1)}})
+	f.list([]RunProgress{{Run: durableRun(0, 1)}}, EndedRun{Number: 1, Run: durableRun(1, 1), Status: marshaler.StatusDone})
 	previous := f.link
 	f.connect("entry-2", 1)
 	f.recordCensuses()
@@ -167,10 +167,10 @@
 	for _, c := range cases {
 		f := newDurableFixture()
 		f.startDurable(durableRun(0, 1), 5)
-		f.list([]Row{{Run: durableRun(0, 1)}})
-		f.list(nil, End{Number: 1, Run: durableRun(0, 1), Status: marshaler.StatusDone})
+		f.list([]RunProgress{{Run: durableRun(0, 1)}})
+		f.list(nil, EndedRun{Number: 1, Run: durableRun(0, 1), Status: marshaler.StatusDone})
 		if c.silent {
-			f.now += VouchLimit + 1
+			f.now += EntryTimeout + 1
 			f.k.Tick(f.now)
 		}
 		f.connect("entry-2", 1)
@@ -190,14 +190,14 @@
 	for _, claimed := range []bool{false, true} {
 		f := newDurableFixture()
 		f.startDurable(durableRun(0, 1), 5)
-		f.list([]Row{{Run: durableRun(0, 1)}})
+		f.list([]RunProgress{{Run: durableRun(0, 1)}})
 		f.k.OnMessage(f.now, f.link, &marshaler.Release{Partition: f.part})
 		if claimed {
 			f.connect("entry-2", 1)
 			f.recordCensuses()
 			f.claim(marshaler.Partition{Number: f.part.Number, Epoch: 9, Previous: 5})
 		}
-		f.now += VouchLimit + 1
+		f.now += EntryTimeout + 1
 		for _, e := range f.k.entries {
 			e.lastReceived = f.now
 		}
@@ -215,8 +215,8 @@
 		f := &durableFixture{fixture: newFixture()}
 		f.k.Partitions = 4
 		f.recordCensuses()
-		f.k.OnMessage(f.now, f.link, &marshaler.Beat{Kept: inUse})
-		f.list(nil, End{Number: 4, Run: durableRun(0, 1), Status: marshaler.StatusDone})
+		f.k.OnMessage(f.now, f.link, &marshaler.Heartbeat{DurableInUse: inUse})
+		f.list(nil, EndedRun{Number: 4, Run: durableRun(0, 1), Status: marshaler.StatusDone})
 		f.k.Tick(f.now)
 		if got, want := f.processed(), map[bool]uint64{true: 3, false: 4}[inUse]; got != want {
 			t.Errorf("durable jobs in use %v: got %d processed, want %d", inUse, got, want)
--- a/keeper/entries.go
+++ b/supervisor/entries.go
@@ -1,4 +1,4 @@
-package keeper
+package supervisor
 
 import (
 	"maps"
@@ -12,8 +12,8 @@
 
 var errEntryTimeout = trace.ConnectionProblem(nil, "no message from the entry within the timeout")
 
-// OnUp handles a new session of an entry. A new incarnation of an entry ends the runs of the previous one.
-func (k *Keeper) OnUp(now timer.Millis, link *marshaler.Link) {
+// OnConnect handles a new session of an entry. A new incarnation of an entry ends the runs of the previous one.
+func (k *Supervisor) OnConnect(now timer.Millis, link *marshaler.Link) {
 	h := link.Remote
 	if k.entries == nil {
 		k.entries = map[string]*entry{}
@@ -44,7 +44,7 @@
 
 // reattachRuns assigns runs that are still being stopped to their entry when it reconnects after it was declared lost, so
 // that it gets their outcomes.
-func (k *Keeper) reattachRuns(e *entry) {
+func (k *Supervisor) reattachRuns(e *entry) {
 	for _, r := range k.runs {
 		if r.entry.name == e.name && r.entry.incarnation == e.incarnation {
 			r.entry = e
@@ -52,15 +52,15 @@
 	}
 }
 
-// OnDown handles the end of a session. The runs of its entry continue until the entry times out.
-func (k *Keeper) OnDown(link *marshaler.Link) {
+// OnDisconnect handles the end of a session. The runs of its entry continue until the entry times out.
+func (k *Supervisor) OnDisconnect(link *marshaler.Link) {
 	if e := k.entryByLink(link); e != nil {
 		e.link = nil
 	}
 }
 
 // OnMessage handles a message from an entry.
-func (k *Keeper) OnMessage(now timer.Millis, link *marshaler.Link, m marshaler.Message) {
+func (k *Supervisor) OnMessage(now timer.Millis, link *marshaler.Link, m marshaler.Message) {
 	e := k.entryByLink(link)
 	if e == nil {
 		return
@@ -68,7 +68,7 @@
 	e.lastReceived = now
 	if k.renewalDue && k.entriesAlive(now) {
 		k.renewalDue = false
-		k.Look() // renews the lease immediately
+		k.HoldNow() // renews the lease immediately
 	}
 	switch m := m.(type) {
 	case *marshaler.Start:
@@ -77,17 +77,17 @@
 		if r := k.findRun(m.Run); r != nil && r.entry == e {
 			k.stopRun(now, r, marshaler.StatusStopped, "stopped by the entry")
 		}
-	case *marshaler.Beat:
-		e.durableInUse, e.heartbeatReceived = m.Kept, true
+	case *marshaler.Heartbeat:
+		e.durableInUse, e.heartbeatReceived = m.DurableInUse, true
 	case *marshaler.Claim:
 		k.onClaim(e, m.Partitions)
 	case *marshaler.Release:
 		k.onRelease(now, e, m.Partition)
-	case *marshaler.Noted:
+	case *marshaler.OutcomeAck:
 		k.onNoted(now, m)
-	case *marshaler.Subscribe:
-		if e.subscribed != m.On {
-			e.subscribed = m.On
+	case *marshaler.LoadSubscription:
+		if e.subscribed != m.Enabled {
+			e.subscribed = m.Enabled
 			k.replayStarts(e)
 			k.sendLoad(now, e)
 		}
@@ -95,7 +95,7 @@
 }
 
 // replayStarts queues the recent starts for a new placing entry, because they may precede its subscription.
-func (k *Keeper) replayStarts(e *entry) {
+func (k *Supervisor) replayStarts(e *entry) {
 	e.pendingStarts = nil
 	if !e.subscribed {
 		return
@@ -105,24 +105,24 @@
 	}
 }
 
-func (k *Keeper) entryByLink(link *marshaler.Link) *entry {
+func (k *Supervisor) entryByLink(link *marshaler.Link) *entry {
 	if e := k.entries[link.Remote.Name]; e != nil && e.link == link {
 		return e
 	}
 	return nil
 }
 
-func (k *Keeper) sendBackend(e *entry) {
+func (k *Supervisor) sendBackend(e *entry) {
 	if e.link == nil || !k.announced {
 		return
 	}
 	b := k.backend
-	e.link.Send(&marshaler.Backend{ID: b.ID, Born: b.Born, Service: b.Service, Labels: b.Labels, Total: b.Total})
+	e.link.Send(&marshaler.Backend{ID: b.ID, StartTime: b.StartTime, Service: b.Service, Labels: b.Labels, Capacity: b.Capacity})
 }
 
 // syncSession resends the recent outcomes and lists the entry's runs. It does nothing until a hold response has shown that
 // this process knows all running tasks.
-func (k *Keeper) syncSession(e *entry) {
+func (k *Supervisor) syncSession(e *entry) {
 	if e.link == nil || e.synced || !k.reconciled {
 		return
 	}
@@ -130,7 +130,7 @@
 	for i := range e.outcomes {
 		e.link.Send(&e.outcomes[i].outcome)
 	}
-	held := &marshaler.Held{}
+	held := &marshaler.ActiveRuns{}
 	for _, r := range k.sortedRuns() {
 		if r.entry == e {
 			held.Runs = append(held.Runs, r.key)
@@ -139,7 +139,7 @@
 	e.link.Send(held)
 }
 
-func (k *Keeper) syncSessions() {
+func (k *Supervisor) syncSessions() {
 	for _, name := range slices.Sorted(maps.Keys(k.entries)) {
 		k.syncSession(k.entries[name])
 	}
@@ -148,7 +148,7 @@
 
 // sendOutcome reports an outcome to the entry that started the run, on its current session if there is one, and keeps it
 // for a later session.
-func (k *Keeper) sendOutcome(now timer.Millis, e *entry, m marshaler.Outcome) {
+func (k *Supervisor) sendOutcome(now timer.Millis, e *entry, m marshaler.Outcome) {
 	e.outcomes = append(e.outcomes, sentOutcome{now, m})
 	if e.link != nil && e.synced {
 		e.link.Send(&m)
@@ -158,28 +158,28 @@
 	}
 }
 
-func (k *Keeper) sendLoads(now timer.Millis) {
-	for _, e := range marshaler.InOrder(k.entries) {
+func (k *Supervisor) sendLoads(now timer.Millis) {
+	for _, e := range marshaler.SortedByKey(k.entries) {
 		k.sendLoad(now, e)
 	}
 }
 
-func (k *Keeper) sendLoadsToSubscribers(now timer.Millis) {
-	for _, e := range marshaler.InOrder(k.entries) {
+func (k *Supervisor) sendLoadsToSubscribers(now timer.Millis) {
+	for _, e := range marshaler.SortedByKey(k.entries) {
 		if e.subscribed {
 			k.sendLoad(now, e)
 		}
 	}
 }
 
-func (k *Keeper) sendLoad(now timer.Millis, e *entry) {
+func (k *Supervisor) sendLoad(now timer.Millis, e *entry) {
 	if e.link == nil {
 		return
 	}
 	ok, _ := k.Accepting()
 	e.link.Send(&marshaler.Load{
 		Offset: k.offset, Accepting: ok, Free: k.free, Clock: k.Clock(now), Speed: uint64(max(k.speed, 0)),
-		Seen: e.pendingStarts, Settled: e.pendingEnds,
+		HandledStarts: e.pendingStarts, CompletedRuns: e.pendingEnds,
 	})
 	e.pendingStarts, e.pendingEnds, e.lastSent = nil, nil, now
 }
--- a/keeper/listing.go
+++ b/supervisor/hold.go
@@ -1,4 +1,4 @@
-package keeper
+package supervisor
 
 import (
 	"github.com/crocuslb/crocuslb/marshaler"
@@ -25,35 +25,35 @@
 // HoldRequest has the parameters of a hold.
 type HoldRequest struct {
 	Number uint64 // to be copied to the response
-	// Processed is the number up to which the backend server may forget ends.
-	Processed uint64
-	// Until is the requested lease expiry on the backend server's clock; 0 to leave the lease as it is.
-	Until int64
-	// Busy says that there are active runs, so that progress is of interest.
-	Busy bool
-	// Unrecorded says that some ends are not recorded yet. The backend server lists them in each response and therefore does
+	// LastProcessedEnd is the number up to which the backend server may forget ends.
+	LastProcessedEnd uint64
+	// LeaseUntil is the requested lease expiry on the backend server's clock; 0 to leave the lease as it is.
+	LeaseUntil int64
+	// HasRuns says that there are active runs, so that progress is of interest.
+	HasRuns bool
+	// HasUnrecordedEnds says that some ends are not recorded yet. The backend server lists them in each response and therefore does
 	// not wait for new ones.
-	Unrecorded bool
-	ID         string // of the intended backend server
-	Born       uint64
+	HasUnrecordedEnds bool
+	ID                string // of the intended backend server
+	StartTime         uint64
 }
 
 // BeginHold returns the parameters of the next hold, and false before the backend server has announced itself.
-func (k *Keeper) BeginHold(now timer.Millis) (HoldRequest, bool) {
+func (k *Supervisor) BeginHold(now timer.Millis) (HoldRequest, bool) {
 	if !k.announced {
 		return HoldRequest{}, false
 	}
 	k.lastHold++
-	h := HoldRequest{Number: k.lastHold, Processed: k.processed(), Busy: len(k.runs) > 0, Unrecorded: len(k.durable.unrecorded) > 0, ID: k.backend.ID, Born: k.backend.Born}
+	h := HoldRequest{Number: k.lastHold, LastProcessedEnd: k.processed(), HasRuns: len(k.runs) > 0, HasUnrecordedEnds: len(k.durable.unrecorded) > 0, ID: k.backend.ID, StartTime: k.backend.StartTime}
 	if k.renewalDue = !k.entriesAlive(now); k.backendClockAt != 0 && !k.durable.leaseExpiring && !k.renewalDue {
-		h.Until = k.Clock(now) + int64(LeaseTerm)
-		k.durable.extendLease(h.Until)
+		h.LeaseUntil = k.Clock(now) + int64(LeaseDuration)
+		k.durable.extendLease(h.LeaseUntil)
 	}
 	return h, true
 }
 
 // Clock estimates the backend server's clock. It returns 0 before the first hold response.
-func (k *Keeper) Clock(now timer.Millis) int64 {
+func (k *Supervisor) Clock(now timer.Millis) int64 {
 	if k.backendClockAt == 0 {
 		return 0
 	}
@@ -61,7 +61,7 @@
 }
 
 // OnHoldFailed handles the failure of a hold. gone says that the backend server has no listener, so nothing runs on it.
-func (k *Keeper) OnHoldFailed(now timer.Millis, gone bool, reason string) {
+func (k *Supervisor) OnHoldFailed(now timer.Millis, gone bool, reason string) {
 	if gone {
 		k.endListedRuns(now, "backend server is gone")
 	}
@@ -72,14 +72,14 @@
 	}
 }
 
-// OnListing handles the response to a hold.
-func (k *Keeper) OnListing(now timer.Millis, l Listing) {
-	if !k.announced || l.Born < k.backend.Born {
+// OnHoldResponse handles the response to a hold.
+func (k *Supervisor) OnHoldResponse(now timer.Millis, l HoldResponse) {
+	if !k.announced || l.StartTime < k.backend.StartTime {
 		return
 	}
-	if l.Born > k.backend.Born {
+	if l.StartTime > k.backend.StartTime {
 		k.report(Event{Kind: "backendRestarted", Detail: k.backend.ID})
-		k.resetBackend(now, l.Born)
+		k.resetBackend(now, l.StartTime)
 	}
 	if at := l.Clock; k.backendClockAt == 0 || at >= k.backendClock {
 		k.backendClock, k.backendClockAt = at, now
@@ -105,7 +105,7 @@
 	k.listedAt = now
 }
 
-func (k *Keeper) onEnds(now timer.Millis, ends []End) (ended bool) {
+func (k *Supervisor) onEnds(now timer.Millis, ends []EndedRun) (ended bool) {
 	for _, e := range ends {
 		if e.Number <= k.lastEnd {
 			continue
@@ -130,7 +130,7 @@
 }
 
 // onRunning stops active runs that this process does not know, and updates the progress of the others and the speed.
-func (k *Keeper) onRunning(now timer.Millis, l Listing) {
+func (k *Supervisor) onRunning(now timer.Millis, l HoldResponse) {
 	unknown := 0
 	var completed float64
 	samples := 0
@@ -167,7 +167,7 @@
 }
 
 // checkStalled stops a run without progress, so that its entry can restart the task elsewhere.
-func (k *Keeper) checkStalled(now timer.Millis, r *run) {
+func (k *Supervisor) checkStalled(now timer.Millis, r *run) {
 	limit := stallTimeoutBase + timer.Millis(stallTimeoutFactor*float64(r.estimate))
 	if r.state == stateRunning && r.percent < 100 && now-r.progressAt > limit {
 		k.stopRun(now, r, marshaler.StatusStalled, "no progress")
@@ -175,7 +175,7 @@
 }
 
 // onUnlisted ends the runs that the hold response should list but does not.
-func (k *Keeper) onUnlisted(now timer.Millis, l Listing) (ended bool) {
+func (k *Supervisor) onUnlisted(now timer.Millis, l HoldResponse) (ended bool) {
 	listed := make(map[marshaler.RunKey]bool, len(l.Running))
 	for _, row := range l.Running {
 		listed[row.Run] = true
--- a/keeper/runs.go
+++ b/supervisor/runs.go
@@ -1,4 +1,4 @@
-package keeper
+package supervisor
 
 import (
 	"maps"
@@ -9,9 +9,9 @@
 )
 
 // onStart admits or refuses a start.
-func (k *Keeper) onStart(now timer.Millis, e *entry, m *marshaler.Start) {
+func (k *Supervisor) onStart(now timer.Millis, e *entry, m *marshaler.Start) {
 	k.recentStarts = append(k.recentStarts, recentStart{m.Run.Job, now})
-	for _, other := range marshaler.InOrder(k.entries) {
+	for _, other := range marshaler.SortedByKey(k.entries) {
 		if other.subscribed {
 			other.pendingStarts = append(other.pendingStarts, m.Run.Job)
 		}
@@ -24,7 +24,7 @@
 		ok, reason = false, "the entry does not own the job any more"
 	case k.runs[at] != nil:
 		ok, reason = false, "task runs already"
-	case !k.free.Holds(m.Room):
+	case !k.free.Contains(m.Resources):
 		ok, reason = false, "no room"
 	case m.NotAfter <= k.Clock(now):
 		ok, reason = false, "start is late"
@@ -34,7 +34,7 @@
 		k.report(Event{Kind: "refuse", Run: m.Run, Entry: e.name, Detail: reason, Value: k.free.CPU})
 		return
 	}
-	r := &run{key: m.Run, entry: e, room: m.Room, durable: m.Epoch > 0, estimate: m.Estimate, state: stateStarting, startedAt: now, progressAt: now, startHold: k.lastHold}
+	r := &run{key: m.Run, entry: e, room: m.Resources, durable: m.Epoch > 0, estimate: m.Estimate, state: stateStarting, startedAt: now, progressAt: now, startHold: k.lastHold}
 	if k.runs == nil {
 		k.runs = map[taskKey]*run{}
 	}
@@ -46,21 +46,21 @@
 }
 
 // OnStarted handles the backend server's response to a start.
-func (k *Keeper) OnStarted(now timer.Millis, s Started) {
+func (k *Supervisor) OnStarted(now timer.Millis, s StartResult) {
 	r := k.findRun(s.Run)
 	if r == nil {
 		return
 	}
 	switch s.Status {
-	case StartDone:
+	case StartConfirmed:
 		r.startHold = k.lastHold
 		if r.state == stateStarting {
 			r.state, r.startedAt, r.progressAt = stateRunning, now, now
 		}
 	case StartRefused:
 		k.endRun(now, r, marshaler.StatusRefused, s.Reason)
-	case StartOld:
-		k.endRun(now, r, marshaler.StatusOld, s.Reason)
+	case StartSuperseded:
+		k.endRun(now, r, marshaler.StatusSuperseded, s.Reason)
 	default:
 		if r.listed {
 			r.startHold = k.lastHold
@@ -76,7 +76,7 @@
 }
 
 // stopRun asks the backend server to end a run. The run keeps its resources until a hold response shows that it has ended.
-func (k *Keeper) stopRun(now timer.Millis, r *run, status marshaler.Status, reason string) {
+func (k *Supervisor) stopRun(now timer.Millis, r *run, status marshaler.Status, reason string) {
 	if r.state == stateStopping {
 		return
 	}
@@ -85,27 +85,27 @@
 	k.report(Event{Kind: "stop", Run: r.key, Entry: r.entry.name, Detail: reason})
 }
 
-func (k *Keeper) sendStop(now timer.Millis, r *run) {
+func (k *Supervisor) sendStop(now timer.Millis, r *run) {
 	r.stopSentAt = now
 	k.Stop(r.key)
 }
 
 // OnStopped handles the backend server's response to a stop. ok is false when there was none; gone says that the backend
 // server has no listener.
-func (k *Keeper) OnStopped(now timer.Millis, key marshaler.RunKey, ok, gone bool) {
+func (k *Supervisor) OnStopped(now timer.Millis, key marshaler.RunKey, ok, gone bool) {
 	if r := k.findRun(key); r != nil && gone {
 		k.endRun(now, r, marshaler.StatusLost, "backend server is gone")
 		return
 	}
 	if r := k.findRun(key); r != nil && ok && r.stopHold == 0 {
 		r.stopHold = k.lastHold
-		k.Look()
+		k.HoldNow()
 	}
 }
 
 // endListedRuns ends the runs that the backend server has listed, because it has exited. Other starts may reach its next
 // incarnation; their runs end only after a stop was answered.
-func (k *Keeper) endListedRuns(now timer.Millis, reason string) {
+func (k *Supervisor) endListedRuns(now timer.Millis, reason string) {
 	for _, r := range k.sortedRuns() {
 		switch {
 		case r.listed:
@@ -118,7 +118,7 @@
 	}
 }
 
-func (k *Keeper) findRun(key marshaler.RunKey) *run {
+func (k *Supervisor) findRun(key marshaler.RunKey) *run {
 	if r := k.runs[taskKey{key.Job, key.Index}]; r != nil && r.key.Attempt == key.Attempt {
 		return r
 	}
@@ -126,38 +126,38 @@
 }
 
 // sortedRuns returns the runs in the order of their keys, so that tests are deterministic.
-func (k *Keeper) sortedRuns() []*run {
+func (k *Supervisor) sortedRuns() []*run {
 	return slices.SortedFunc(maps.Values(k.runs), func(a, b *run) int { return a.key.Compare(b.key) })
 }
 
-func (k *Keeper) recomputeFree() {
-	k.free = k.backend.Total
+func (k *Supervisor) recomputeFree() {
+	k.free = k.backend.Capacity
 	for _, r := range k.runs {
 		k.free = k.free.Sub(r.room)
 	}
 }
 
 // endRun removes a run that is known to have ended although its end was not listed, and reports its outcome.
-func (k *Keeper) endRun(now timer.Millis, r *run, status marshaler.Status, reason string) {
+func (k *Supervisor) endRun(now timer.Millis, r *run, status marshaler.Status, reason string) {
 	k.finishRun(now, r, status, reason, 0)
 }
 
 // finishRun removes a run that is known to have ended and reports its outcome. number is that of its listed end, 0 for none.
-func (k *Keeper) finishRun(now timer.Millis, r *run, status marshaler.Status, reason string, number uint64) {
+func (k *Supervisor) finishRun(now timer.Millis, r *run, status marshaler.Status, reason string, number uint64) {
 	delete(k.runs, taskKey{r.key.Job, r.key.Index})
 	k.free = k.free.Add(r.room)
 	ran := now - r.startedAt
-	if status == marshaler.StatusRefused || status == marshaler.StatusOld {
+	if status == marshaler.StatusRefused || status == marshaler.StatusSuperseded {
 		ran = 0
 	}
-	outcome := marshaler.Outcome{Run: r.key, Status: status, Reason: reason, Ran: ran}
+	outcome := marshaler.Outcome{Run: r.key, Status: status, Reason: reason, RunTime: ran}
 	if r.durable && number > 0 && mustRecord(status) {
 		outcome.Number = number
 		k.durable.addEnd(outcome)
 	}
 	k.sendOutcome(now, r.entry, outcome)
-	settled := marshaler.Settled{Job: r.key.Job, Status: status, Ran: ran, Estimate: r.estimate, Room: r.room}
-	for _, e := range marshaler.InOrder(k.entries) {
+	settled := marshaler.CompletedRun{Job: r.key.Job, Status: status, RunTime: ran, Estimate: r.estimate, Resources: r.room}
+	for _, e := range marshaler.SortedByKey(k.entries) {
 		if e.subscribed {
 			e.pendingEnds = append(e.pendingEnds, settled)
 		}
--- a/keeper/keeper.go
+++ b/supervisor/supervisor.go
@@ -1,8 +1,8 @@
-// Package keeper implements the sidecar's state machine for restartable and durable jobs. It admits or refuses starts for
+// Package supervisor implements the sidecar's state machine for restartable and durable jobs. It admits or refuses starts for
 // its backend server, accounts for the server's resources, and ends the runs of entries that are lost. A hold is a
 // long-poll request to the backend server: it renews the lease under which runs continue, and its response lists running
 // and ended runs. The package has no clock, I/O or locking; a single goroutine calls it.
-package keeper
+package supervisor
 
 import (
 	"slices"
@@ -12,13 +12,13 @@
 )
 
 const (
-	// VouchLimit is the time without a message from an entry after which its runs are stopped.
-	VouchLimit = 450 * timer.Millisecond
-	// LeaseTerm is the duration of the lease that each hold requests. The entry timeout, this duration on a slow backend
+	// EntryTimeout is the time without a message from an entry after which its runs are stopped.
+	EntryTimeout = 450 * timer.Millisecond
+	// LeaseDuration is the duration of the lease that each hold requests. The entry timeout, this duration on a slow backend
 	// server clock and the time to stop a run add up to less than the time after which a caller resubmits a job.
-	LeaseTerm = 700 * timer.Millisecond
-	// BeatPeriod is the interval between heartbeats to an entry when nothing has changed.
-	BeatPeriod = 150 * timer.Millisecond
+	LeaseDuration = 700 * timer.Millisecond
+	// HeartbeatInterval is the interval between heartbeats to an entry when nothing has changed.
+	HeartbeatInterval = 150 * timer.Millisecond
 	// resumeGracePeriod is how long entries are not timed out after this process was paused: their messages may be unread,
 	// or their sessions have to be reopened. The lease is not renewed meanwhile, so its expiry still bounds their runs.
 	resumeGracePeriod = 200 * timer.Millisecond
@@ -45,17 +45,17 @@
 type (
 	// Backend is the description that the backend server announces.
 	Backend struct {
-		ID       string
-		Born     uint64 // start time of the backend server in Unix milliseconds
-		Sequence uint64 // increases with each announcement of one incarnation
-		Service  string
-		Labels   []string
-		Total    marshaler.Room
-		Draining bool
+		ID        string
+		StartTime uint64 // start time of the backend server in Unix milliseconds
+		Sequence  uint64 // increases with each announcement of one incarnation
+		Service   string
+		Labels    []string
+		Capacity  marshaler.Resources
+		Draining  bool
 	}
 
-	// Started is the backend server's response to a start.
-	Started struct {
+	// StartResult is the backend server's response to a start.
+	StartResult struct {
 		Run    marshaler.RunKey
 		Status StartStatus
 		Reason string
@@ -64,38 +64,38 @@
 	// StartStatus is the result of a start.
 	StartStatus uint8
 
-	// Row is an active run in a hold response.
-	Row struct {
+	// RunProgress is an active run in a hold response.
+	RunProgress struct {
 		Run     marshaler.RunKey
 		Percent int // completed
 	}
 
-	// End is an ended run in a hold response.
-	End struct {
+	// EndedRun is an ended run in a hold response.
+	EndedRun struct {
 		Number uint64 // increases by one with each ended run of one backend server incarnation
 		Run    marshaler.RunKey
 		Status marshaler.Status
 	}
 
-	// Listing is the response to a hold: the active runs, and the ended runs that are not acknowledged yet.
-	Listing struct {
-		Number  uint64 // of the hold, from BeginHold
-		Born    uint64
-		Clock   int64 // the backend server's clock in milliseconds at the time of the response
-		Running []Row
-		Ended   []End
+	// HoldResponse is the response to a hold: the active runs, and the ended runs that are not acknowledged yet.
+	HoldResponse struct {
+		Number    uint64 // of the hold, from BeginHold
+		StartTime uint64
+		Clock     int64 // the backend server's clock in milliseconds at the time of the response
+		Running   []RunProgress
+		Ended     []EndedRun
 	}
 
-	// Keeper is the state machine of a sidecar. The exported fields must be set before the first call.
-	Keeper struct {
+	// Supervisor is the state machine of a sidecar. The exported fields must be set before the first call.
+	Supervisor struct {
 		Domain string
 		// Partitions is the number of partitions of the durable jobs.
 		Partitions uint64
-		// Start, Stop, Look and Report must only queue and not block. Look requests a hold that returns immediately.
-		Start  func(s marshaler.Start)
-		Stop   func(r marshaler.RunKey)
-		Look   func()
-		Report func(e Event)
+		// Start, Stop, HoldNow and Report must only queue and not block. HoldNow requests a hold that returns immediately.
+		Start   func(s marshaler.Start)
+		Stop    func(r marshaler.RunKey)
+		HoldNow func()
+		Report  func(e Event)
 
 		backend      Backend
 		announced    bool // the backend server has announced itself; backend is valid
@@ -107,7 +107,7 @@
 
 		runs           map[taskKey]*run
 		entries        map[string]*entry
-		free           marshaler.Room
+		free           marshaler.Resources
 		lastHold       uint64 // number of the latest hold
 		lastEnd        uint64 // number of the latest ended run that was processed
 		backendClock   int64  // the backend server's clock at backendClockAt
@@ -153,7 +153,7 @@
 	run struct {
 		key        marshaler.RunKey
 		entry      *entry
-		room       marshaler.Room
+		room       marshaler.Resources
 		durable    bool // whether it belongs to a durable job
 		estimate   timer.Millis
 		state      int
@@ -180,7 +180,7 @@
 		heartbeatReceived bool // on this session
 		subscribed        bool
 		pendingStarts     []string
-		pendingEnds       []marshaler.Settled
+		pendingEnds       []marshaler.CompletedRun
 		outcomes          []sentOutcome
 	}
 
@@ -191,18 +191,18 @@
 )
 
 const (
-	// StartDone means that the run was started.
-	StartDone StartStatus = iota + 1
+	// StartConfirmed means that the run was started.
+	StartConfirmed StartStatus = iota + 1
 	// StartRefused means that the backend server did not start the run and never will on this request.
 	StartRefused
-	// StartOld means that the backend server already knows this or a later attempt.
-	StartOld
+	// StartSuperseded means that the backend server already knows this or a later attempt.
+	StartSuperseded
 	// StartUnknown means that there was no response.
 	StartUnknown
 )
 
 // SetOffset sets the log offset of the current configuration and whether the sidecar's failure domain is withdrawn.
-func (k *Keeper) SetOffset(now timer.Millis, offset uint64, withdrawn bool) {
+func (k *Supervisor) SetOffset(now timer.Millis, offset uint64, withdrawn bool) {
 	changed := k.offset != offset || k.withdrawn != withdrawn
 	k.offset, k.withdrawn = offset, withdrawn
 	if changed {
@@ -210,46 +210,46 @@
 	}
 }
 
-// Leave makes the sidecar refuse all starts. Active runs continue.
-func (k *Keeper) Leave(now timer.Millis) {
+// Drain makes the sidecar refuse all starts. Active runs continue.
+func (k *Supervisor) Drain(now timer.Millis) {
 	k.stopping = true
 	k.sendLoads(now)
 }
 
 // Running returns the number of runs that may use resources.
-func (k *Keeper) Running() int { return len(k.runs) }
+func (k *Supervisor) Running() int { return len(k.runs) }
 
 // Backend returns the latest description of the backend server. Its ID is empty before the first announcement.
-func (k *Keeper) Backend() Backend { return k.backend }
+func (k *Supervisor) Backend() Backend { return k.backend }
 
 // valid reports whether the description can be encoded for entries. Other software may send announcements too.
 func (b *Backend) valid() bool {
-	long := func(text string) bool { return len(text) > marshaler.MaxName }
-	return b.ID != "" && !long(b.ID) && !long(b.Service) && !slices.ContainsFunc(b.Labels, long) && b.Total.Holds(marshaler.Room{})
+	long := func(text string) bool { return len(text) > marshaler.MaxNameLen }
+	return b.ID != "" && !long(b.ID) && !long(b.Service) && !slices.ContainsFunc(b.Labels, long) && b.Capacity.Contains(marshaler.Resources{})
 }
 
 // Announce handles an announcement of the backend server. It returns false if the announcement is invalid or outdated.
-func (k *Keeper) Announce(now timer.Millis, b Backend) bool {
+func (k *Supervisor) Announce(now timer.Millis, b Backend) bool {
 	if !b.valid() {
 		k.report(Event{Kind: "announcementRefused", Detail: "a name is missing or too long, or the capacity is negative"})
 		return false
 	}
 	if k.announced {
-		if b.Born < k.backend.Born || b.Born == k.backend.Born && b.ID == k.backend.ID && b.Sequence <= k.backend.Sequence {
+		if b.StartTime < k.backend.StartTime || b.StartTime == k.backend.StartTime && b.ID == k.backend.ID && b.Sequence <= k.backend.Sequence {
 			return false
 		}
 	}
-	restarted := !k.announced || b.ID != k.backend.ID || b.Born != k.backend.Born
-	changed := restarted || b.Draining != k.backend.Draining || b.Total != k.backend.Total || b.Service != k.backend.Service
+	restarted := !k.announced || b.ID != k.backend.ID || b.StartTime != k.backend.StartTime
+	changed := restarted || b.Draining != k.backend.Draining || b.Capacity != k.backend.Capacity || b.Service != k.backend.Service
 	k.backend, k.announced = b, true
 	if restarted {
-		k.resetBackend(now, b.Born)
-		k.Look() // a pending hold may still wait for the previous incarnation
+		k.resetBackend(now, b.StartTime)
+		k.HoldNow() // a pending hold may still wait for the previous incarnation
 	}
 	k.recomputeFree()
 	if changed {
-		k.report(Event{Kind: "backend", Detail: b.ID, Value: b.Total.CPU})
-		for _, e := range marshaler.InOrder(k.entries) {
+		k.report(Event{Kind: "backend", Detail: b.ID, Value: b.Capacity.CPU})
+		for _, e := range marshaler.SortedByKey(k.entries) {
 			k.sendBackend(e)
 		}
 		k.sendLoads(now)
@@ -257,8 +257,8 @@
 	return true
 }
 
-// Leaves handles the deregistration of the backend server.
-func (k *Keeper) Leaves(now timer.Millis, id string) {
+// OnDeregistered handles the deregistration of the backend server.
+func (k *Supervisor) OnDeregistered(now timer.Millis, id string) {
 	if k.announced && k.backend.ID == id {
 		k.backend.Draining = true
 		k.report(Event{Kind: "deregistered", Detail: id})
@@ -267,8 +267,8 @@
 }
 
 // resetBackend discards the state of the previous backend server incarnation, whose runs have ended with it.
-func (k *Keeper) resetBackend(now timer.Millis, born uint64) {
-	k.backend.Born = born
+func (k *Supervisor) resetBackend(now timer.Millis, born uint64) {
+	k.backend.StartTime = born
 	k.lastEnd, k.reconciled, k.backendClock, k.backendClockAt, k.speed = 0, false, 0, 0, NormalSpeed
 	k.endListedRuns(now, "backend server restarted")
 	k.durable.reset()
@@ -279,7 +279,7 @@
 }
 
 // Accepting reports whether starts are admitted, and the reason if not.
-func (k *Keeper) Accepting() (bool, string) {
+func (k *Supervisor) Accepting() (bool, string) {
 	switch {
 	case !k.announced:
 		return false, "backend server not announced"
@@ -301,7 +301,7 @@
 
 // Tick sends heartbeats, resends stops, and ends the runs of lost entries. It must be called several times per heartbeat
 // interval.
-func (k *Keeper) Tick(now timer.Millis) {
+func (k *Supervisor) Tick(now timer.Millis) {
 	for _, r := range k.sortedRuns() {
 		if r.state == stateStopping && now-r.stopSentAt >= stopRetryInterval {
 			k.sendStop(now, r)
@@ -315,7 +315,7 @@
 	}
 	k.tickDurable(now)
 	k.detectPause(now)
-	for name, e := range marshaler.InOrder(k.entries) {
+	for name, e := range marshaler.SortedByKey(k.entries) {
 		if now-e.lastReceived >= k.entryTimeout(e) {
 			if now >= k.graceEnd {
 				k.removeEntry(now, name, e)
@@ -331,8 +331,8 @@
 
 // detectPause starts a grace period for all entries when this process was paused, because their messages may have arrived
 // during the pause.
-func (k *Keeper) detectPause(now timer.Millis) {
-	if pause := now - k.lastTick; k.lastTick != 0 && pause >= marshaler.PauseLimit {
+func (k *Supervisor) detectPause(now timer.Millis) {
+	if pause := now - k.lastTick; k.lastTick != 0 && pause >= marshaler.PauseThreshold {
 		k.graceEnd = now + resumeGracePeriod
 		k.report(Event{Kind: "paused", Value: int64(pause)})
 	}
@@ -342,7 +342,7 @@
 // active reports whether an entry has runs on this sidecar, is the placing entry, reports that durable jobs may be in use,
 // or owns a partition of them. Other sessions are idle and use longer heartbeat intervals and timeouts. The entry derives
 // the same result.
-func (k *Keeper) active(e *entry) bool {
+func (k *Supervisor) active(e *entry) bool {
 	if e.subscribed || e.durableInUse {
 		return true
 	}
@@ -359,31 +359,31 @@
 	return false
 }
 
-func (k *Keeper) entryTimeout(e *entry) timer.Millis {
+func (k *Supervisor) entryTimeout(e *entry) timer.Millis {
 	if k.active(e) {
-		return VouchLimit
+		return EntryTimeout
 	}
-	return marshaler.IdleSilenceLimit
+	return marshaler.IdleTimeout
 }
 
-func (k *Keeper) heartbeatInterval(e *entry) timer.Millis {
+func (k *Supervisor) heartbeatInterval(e *entry) timer.Millis {
 	if !e.synced || k.active(e) { // outcomes of its runs may be pending until the session is synced
-		return BeatPeriod
+		return HeartbeatInterval
 	}
-	return marshaler.IdleBeatPeriod
+	return marshaler.IdleHeartbeatInterval
 }
 
 // entriesAlive reports whether each entry with a run on this sidecar has sent a message within the entry timeout.
-func (k *Keeper) entriesAlive(now timer.Millis) bool {
+func (k *Supervisor) entriesAlive(now timer.Millis) bool {
 	for _, r := range k.runs {
-		if r.state != stateStopping && now-r.entry.lastReceived >= VouchLimit {
+		if r.state != stateStopping && now-r.entry.lastReceived >= EntryTimeout {
 			return false
 		}
 	}
 	return true
 }
 
-func (k *Keeper) removeEntry(now timer.Millis, name string, e *entry) {
+func (k *Supervisor) removeEntry(now timer.Millis, name string, e *entry) {
 	delete(k.entries, name)
 	k.onOwnerLost(e)
 	stopped := 0
@@ -400,7 +400,7 @@
 	k.report(Event{Kind: "entryLost", Entry: name, Value: int64(stopped)})
 }
 
-func (k *Keeper) report(e Event) {
+func (k *Supervisor) report(e Event) {
 	if k.Report != nil {
 		k.Report(e)
 	}
--- a/keeper/keeper_test.go
+++ b/supervisor/supervisor_test.go
@@ -1,4 +1,4 @@
-package keeper
+package supervisor
 
 import (
 	"slices"
@@ -9,9 +9,9 @@
 	"github.com/crocuslb/crocuslb/timer"
 )
 
-// fixture is a Keeper with an entry session, which records the messages and requests that the Keeper sends.
+// fixture is a Supervisor with an entry session, which records the messages and requests that the Supervisor sends.
 type fixture struct {
-	k           *Keeper
+	k           *Supervisor
 	now         timer.Millis
 	link        *marshaler.Link
 	outcomes    []marshaler.Outcome
@@ -24,12 +24,12 @@
 
 func newFixture() *fixture {
 	f := &fixture{now: 1000}
-	f.k = &Keeper{
-		Start: func(s marshaler.Start) { f.starts = append(f.starts, s.Run) },
-		Stop:  func(r marshaler.RunKey) { f.stops = append(f.stops, r) },
-		Look:  func() {},
+	f.k = &Supervisor{
+		Start:   func(s marshaler.Start) { f.starts = append(f.starts, s.Run) },
+		Stop:    func(r marshaler.RunKey) { f.stops = append(f.stops, r) },
+		HoldNow: func() {},
 	}
-	f.k.Announce(f.now, Backend{ID: "i-1", Born: 10, Sequence: 1, Service: "svc", Total: marshaler.Room{CPU: 10_000, MemoryMB: 100}})
+	f.k.Announce(f.now, Backend{ID: "i-1", StartTime: 10, Sequence: 1, Service: "svc", Capacity: marshaler.Resources{CPU: 10_000, MemoryMB: 100}})
 	f.connect("entry", 1)
 	f.list(nil)
 	return f
@@ -42,19 +42,19 @@
 			switch m := m.(type) {
 			case *marshaler.Outcome:
 				f.outcomes = append(f.outcomes, *m)
-			case *marshaler.Held:
+			case *marshaler.ActiveRuns:
 				f.held = append(f.held, m.Runs)
 			case *marshaler.Load:
 				f.loadReports++
 			}
 		},
 	}
-	f.k.OnUp(f.now, f.link)
+	f.k.OnConnect(f.now, f.link)
 }
 
-func (f *fixture) list(running []Row, ended ...End) {
+func (f *fixture) list(running []RunProgress, ended ...EndedRun) {
 	h, _ := f.k.BeginHold(f.now)
-	f.k.OnListing(f.now, Listing{Number: h.Number, Born: 10, Clock: int64(f.now), Running: running, Ended: ended})
+	f.k.OnHoldResponse(f.now, HoldResponse{Number: h.Number, StartTime: 10, Clock: int64(f.now), Running: running, Ended: ended})
 }
 
 // advance moves the time on by length, with a Tick every 25 ms as in a process that is not paused.
@@ -66,7 +66,7 @@
 }
 
 func (f *fixture) start(r marshaler.RunKey, room int64) {
-	f.k.OnMessage(f.now, f.link, &marshaler.Start{Run: r, Room: marshaler.Room{CPU: room}, Estimate: 100, NotAfter: int64(f.now) + 400})
+	f.k.OnMessage(f.now, f.link, &marshaler.Start{Run: r, Resources: marshaler.Resources{CPU: room}, Estimate: 100, NotAfter: int64(f.now) + 400})
 }
 
 func (f *fixture) latestStatus() marshaler.Status {
@@ -90,40 +90,40 @@
 		{"resources of a stopping run", func(f *fixture) {
 			other := marshaler.RunKey{Job: "other", Attempt: 1}
 			f.start(other, 9000)
-			f.k.OnStarted(f.now, Started{Run: other, Status: StartDone})
+			f.k.OnStarted(f.now, StartResult{Run: other, Status: StartConfirmed})
 			f.k.OnMessage(f.now, f.link, &marshaler.Stop{Run: other})
 			f.k.OnStopped(f.now, other, true, false)
 		}, false},
 		{"resources of an ended run", func(f *fixture) {
 			other := marshaler.RunKey{Job: "other", Attempt: 1}
 			f.start(other, 9000)
-			f.k.OnStarted(f.now, Started{Run: other, Status: StartDone})
-			f.list(nil, End{1, other, marshaler.StatusDone})
+			f.k.OnStarted(f.now, StartResult{Run: other, Status: StartConfirmed})
+			f.list(nil, EndedRun{1, other, marshaler.StatusDone})
 		}, true},
 		{"task is already running", func(f *fixture) { f.start(marshaler.RunKey{Job: "job", Index: 0, Attempt: 3}, 100) }, false},
 		{"draining", func(f *fixture) {
-			f.k.Announce(f.now, Backend{ID: "i-1", Born: 10, Sequence: 2, Service: "svc", Total: marshaler.Room{CPU: 10_000}, Draining: true})
+			f.k.Announce(f.now, Backend{ID: "i-1", StartTime: 10, Sequence: 2, Service: "svc", Capacity: marshaler.Resources{CPU: 10_000}, Draining: true})
 		}, false},
 		{"delayed announcement from before draining", func(f *fixture) {
-			f.k.Announce(f.now, Backend{ID: "i-1", Born: 10, Sequence: 5, Service: "svc", Total: marshaler.Room{CPU: 10_000}, Draining: true})
-			f.k.Announce(f.now, Backend{ID: "i-1", Born: 10, Sequence: 4, Service: "svc", Total: marshaler.Room{CPU: 10_000}})
+			f.k.Announce(f.now, Backend{ID: "i-1", StartTime: 10, Sequence: 5, Service: "svc", Capacity: marshaler.Resources{CPU: 10_000}, Draining: true})
+			f.k.Announce(f.now, Backend{ID: "i-1", StartTime: 10, Sequence: 4, Service: "svc", Capacity: marshaler.Resources{CPU: 10_000}})
 		}, false},
 		{"announcement of a previous incarnation", func(f *fixture) {
-			f.k.Announce(f.now, Backend{ID: "i-0", Born: 9, Sequence: 50, Service: "svc", Draining: true})
+			f.k.Announce(f.now, Backend{ID: "i-0", StartTime: 9, Sequence: 50, Service: "svc", Draining: true})
 		}, true},
-		{"deregistered", func(f *fixture) { f.k.Leaves(f.now, "i-1") }, false},
+		{"deregistered", func(f *fixture) { f.k.OnDeregistered(f.now, "i-1") }, false},
 		{"withdrawn domain", func(f *fixture) { f.k.SetOffset(f.now, 5, true) }, false},
 		{"domain is returned", func(f *fixture) { f.k.SetOffset(f.now, 5, true); f.k.SetOffset(f.now, 6, false) }, true},
-		{"stopping", func(f *fixture) { f.k.Leave(f.now) }, false},
+		{"stopping", func(f *fixture) { f.k.Drain(f.now) }, false},
 		{"new incarnation without a hold response", func(f *fixture) {
-			f.k.Announce(f.now, Backend{ID: "i-2", Born: 11, Sequence: 1, Service: "svc", Total: marshaler.Room{CPU: 10_000}})
+			f.k.Announce(f.now, Backend{ID: "i-2", StartTime: 11, Sequence: 1, Service: "svc", Capacity: marshaler.Resources{CPU: 10_000}})
 		}, false},
 		{"one lost response", func(f *fixture) { f.now += 100; f.k.OnHoldFailed(f.now, false, "timeout") }, true},
 		{"unresponsive", func(f *fixture) { f.now += 500; f.k.OnHoldFailed(f.now, false, "timeout") }, false},
 		{"no listener", func(f *fixture) { f.k.OnHoldFailed(f.now, true, "refused") }, false},
 		{"unknown run is active", func(f *fixture) {
-			f.k.Announce(f.now, Backend{ID: "i-2", Born: 10, Sequence: 1, Service: "svc", Total: marshaler.Room{CPU: 10_000}})
-			f.list([]Row{{Run: marshaler.RunKey{Job: "stranger", Attempt: 1}}})
+			f.k.Announce(f.now, Backend{ID: "i-2", StartTime: 10, Sequence: 1, Service: "svc", Capacity: marshaler.Resources{CPU: 10_000}})
+			f.list([]RunProgress{{Run: marshaler.RunKey{Job: "stranger", Attempt: 1}}})
 		}, false},
 	}
 	for _, c := range cases {
@@ -142,16 +142,16 @@
 
 // TestRunEnds guards against outcomes that are reported while the run may still be active.
 func TestRunEnds(t *testing.T) {
-	row := []Row{{Run: firstRun, Percent: 10}}
-	unknown := Started{Run: firstRun, Status: StartUnknown}
-	done := Started{Run: firstRun, Status: StartDone}
+	row := []RunProgress{{Run: firstRun, Percent: 10}}
+	unknown := StartResult{Run: firstRun, Status: StartUnknown}
+	done := StartResult{Run: firstRun, Status: StartConfirmed}
 	cases := []struct {
 		name   string
 		events func(f *fixture)
 		want   marshaler.Status // 0 while the run may be active
 	}{
-		{"refused", func(f *fixture) { f.k.OnStarted(f.now, Started{Run: firstRun, Status: StartRefused}) }, marshaler.StatusRefused},
-		{"superseded", func(f *fixture) { f.k.OnStarted(f.now, Started{Run: firstRun, Status: StartOld}) }, marshaler.StatusOld},
+		{"refused", func(f *fixture) { f.k.OnStarted(f.now, StartResult{Run: firstRun, Status: StartRefused}) }, marshaler.StatusRefused},
+		{"superseded", func(f *fixture) { f.k.OnStarted(f.now, StartResult{Run: firstRun, Status: StartSuperseded}) }, marshaler.StatusSuperseded},
 		{"no response", func(f *fixture) { f.k.OnStarted(f.now, unknown) }, 0},
 		{"no response, listed", func(f *fixture) { f.list(row); f.k.OnStarted(f.now, unknown) }, 0},
 		{"no response, not listed before the stop", func(f *fixture) { f.k.OnStarted(f.now, unknown); f.list(nil) }, 0},
@@ -171,11 +171,11 @@
 			f.list(nil)
 		}, 0},
 		{"no response, no listener", func(f *fixture) { f.k.OnStarted(f.now, unknown); f.k.OnStopped(f.now, firstRun, false, true) }, marshaler.StatusLost},
-		{"done", func(f *fixture) { f.k.OnStarted(f.now, done); f.list(nil, End{1, firstRun, marshaler.StatusDone}) }, marshaler.StatusDone},
-		{"done before the response to the start", func(f *fixture) { f.list(nil, End{1, firstRun, marshaler.StatusDone}) }, marshaler.StatusDone},
+		{"done", func(f *fixture) { f.k.OnStarted(f.now, done); f.list(nil, EndedRun{1, firstRun, marshaler.StatusDone}) }, marshaler.StatusDone},
+		{"done before the response to the start", func(f *fixture) { f.list(nil, EndedRun{1, firstRun, marshaler.StatusDone}) }, marshaler.StatusDone},
 		{"end of an earlier attempt", func(f *fixture) {
 			f.k.OnStarted(f.now, done)
-			f.list(row, End{1, marshaler.RunKey{Job: "job"}, marshaler.StatusDone})
+			f.list(row, EndedRun{1, marshaler.RunKey{Job: "job"}, marshaler.StatusDone})
 		}, 0},
 		{"stopped by the entry", func(f *fixture) {
 			f.k.OnStarted(f.now, done)
@@ -184,12 +184,12 @@
 		{"stopped and listed as stopped", func(f *fixture) {
 			f.k.OnStarted(f.now, done)
 			f.k.OnMessage(f.now, f.link, &marshaler.Stop{Run: firstRun})
-			f.list(nil, End{1, firstRun, marshaler.StatusStopped})
+			f.list(nil, EndedRun{1, firstRun, marshaler.StatusStopped})
 		}, marshaler.StatusStopped},
-		{"restart of a listed run", func(f *fixture) { f.list(row); f.k.Announce(f.now, Backend{ID: "i-1", Born: 11, Service: "svc"}) }, marshaler.StatusLost},
+		{"restart of a listed run", func(f *fixture) { f.list(row); f.k.Announce(f.now, Backend{ID: "i-1", StartTime: 11, Service: "svc"}) }, marshaler.StatusLost},
 		{"restart during the start", func(f *fixture) {
 			f.k.OnStarted(f.now, done)
-			f.k.Announce(f.now, Backend{ID: "i-1", Born: 11, Service: "svc"})
+			f.k.Announce(f.now, Backend{ID: "i-1", StartTime: 11, Service: "svc"})
 		}, 0},
 		{"no listener, listed run", func(f *fixture) { f.list(row); f.k.OnHoldFailed(f.now, true, "refused") }, marshaler.StatusLost},
 		{"no listener, start pending", func(f *fixture) { f.k.OnHoldFailed(f.now, true, "refused") }, 0},
@@ -199,7 +199,7 @@
 			f.list(row)
 			f.now += 200
 			f.list(row)
-			f.list(nil, End{1, firstRun, marshaler.StatusStopped})
+			f.list(nil, EndedRun{1, firstRun, marshaler.StatusStopped})
 		}, marshaler.StatusStalled},
 	}
 	for _, c := range cases {
@@ -216,19 +216,19 @@
 func TestEntryTimeout(t *testing.T) {
 	const resubmitDelay = 1300 * timer.Millisecond
 	const stopTime = 50
-	if sum := VouchLimit + LeaseTerm*102/100 + stopTime; sum >= resubmitDelay {
+	if sum := EntryTimeout + LeaseDuration*102/100 + stopTime; sum >= resubmitDelay {
 		t.Errorf("got %s from the loss of an entry to the end of its runs, want less than %s", sum, resubmitDelay)
 	}
 	f := newFixture()
 	f.start(firstRun, 3000)
-	f.k.OnStarted(f.now, Started{Run: firstRun, Status: StartDone})
-	f.k.OnDown(f.link)
+	f.k.OnStarted(f.now, StartResult{Run: firstRun, Status: StartConfirmed})
+	f.k.OnDisconnect(f.link)
 	for range 17 {
 		f.now += 25
 		f.k.Tick(f.now)
 	}
 	if len(f.stops) != 0 {
-		t.Errorf("got %d stops %d ms after the disconnect, want 0 before %s", len(f.stops), f.now-1000, VouchLimit)
+		t.Errorf("got %d stops %d ms after the disconnect, want 0 before %s", len(f.stops), f.now-1000, EntryTimeout)
 	}
 	f.now += 50
 	f.k.Tick(f.now)
@@ -249,28 +249,28 @@
 		{"entry is connected", 500, 10, 0},
 		{"entry reconnects", 500, 150, 0},
 		{"entry is lost", 500, 0, resumeGracePeriod},
-		{"not paused", 25, 0, VouchLimit - 25},
+		{"not paused", 25, 0, EntryTimeout - 25},
 	}
 	for _, c := range cases {
 		f := newFixture()
 		polls := 0
-		f.k.Look = func() { polls++ }
+		f.k.HoldNow = func() { polls++ }
 		f.advance(25)
 		f.start(firstRun, 3000)
-		f.k.OnMessage(f.now, f.link, &marshaler.Beat{})
-		f.k.OnStarted(f.now, Started{Run: firstRun, Status: StartDone})
-		f.list([]Row{{Run: firstRun}})
+		f.k.OnMessage(f.now, f.link, &marshaler.Heartbeat{})
+		f.k.OnStarted(f.now, StartResult{Run: firstRun, Status: StartConfirmed})
+		f.list([]RunProgress{{Run: firstRun}})
 		f.now += c.pause
 		resumed := f.now
 		var stopped timer.Millis
 		for f.now < resumed+1000 {
 			silent := c.messageAfter == 0 || f.now < resumed+c.messageAfter
 			h, _ := f.k.BeginHold(f.now)
-			if renewed := h.Until > 0; silent && c.pause >= VouchLimit && renewed && len(f.stops) == 0 {
-				t.Fatalf("%s: got a lease to %d while the entry is silent, want none", c.name, h.Until)
+			if renewed := h.LeaseUntil > 0; silent && c.pause >= EntryTimeout && renewed && len(f.stops) == 0 {
+				t.Fatalf("%s: got a lease to %d while the entry is silent, want none", c.name, h.LeaseUntil)
 			}
 			if !silent {
-				f.k.OnMessage(f.now, f.link, &marshaler.Beat{})
+				f.k.OnMessage(f.now, f.link, &marshaler.Heartbeat{})
 			}
 			f.k.Tick(f.now)
 			if len(f.stops) > 0 && stopped == 0 {
@@ -303,9 +303,9 @@
 	for _, c := range cases {
 		f := newFixture()
 		f.start(firstRun, 3000)
-		f.k.OnStarted(f.now, Started{Run: firstRun, Status: StartDone})
-		f.list([]Row{{Run: firstRun}})
-		f.k.OnDown(f.link)
+		f.k.OnStarted(f.now, StartResult{Run: firstRun, Status: StartConfirmed})
+		f.list([]RunProgress{{Run: firstRun}})
+		f.k.OnDisconnect(f.link)
 		f.advance(c.pause)
 		f.connect("entry", c.incarnation)
 		if got := len(f.held[len(f.held)-1]); got != c.held {
@@ -317,8 +317,8 @@
 	}
 	f := newFixture()
 	f.start(firstRun, 3000)
-	f.k.OnDown(f.link)
-	f.list(nil, End{1, firstRun, marshaler.StatusDone})
+	f.k.OnDisconnect(f.link)
+	f.list(nil, EndedRun{1, firstRun, marshaler.StatusDone})
 	f.connect("entry", 1)
 	if f.latestStatus() != marshaler.StatusDone {
 		t.Errorf("end while disconnected: got outcome %s on the next session, want done", f.latestStatus())
@@ -333,11 +333,11 @@
 		refuse func(f *fixture)
 	}{
 		{"accepting", func(*fixture) {}}, {"withdrawn domain", func(f *fixture) { f.k.SetOffset(f.now, 5, true) }},
-		{"stopping", func(f *fixture) { f.k.Leave(f.now) }},
+		{"stopping", func(f *fixture) { f.k.Drain(f.now) }},
 	}
 	for _, c := range cases {
 		f := newFixture()
-		f.k.Announce(f.now, Backend{ID: "i-2", Born: 10, Sequence: 1, Service: "svc", Total: marshaler.Room{CPU: 10_000}})
+		f.k.Announce(f.now, Backend{ID: "i-2", StartTime: 10, Sequence: 1, Service: "svc", Capacity: marshaler.Resources{CPU: 10_000}})
 		c.refuse(f)
 		f.held = nil
 		f.connect("entry", 1)
@@ -353,13 +353,13 @@
 
 // TestForeignAnnouncements guards against announcements of other software that entries cannot decode.
 func TestForeignAnnouncements(t *testing.T) {
-	long := strings.Repeat("x", marshaler.MaxName+1)
+	long := strings.Repeat("x", marshaler.MaxNameLen+1)
 	cases := []struct {
 		name string
 		b    Backend
 	}{
-		{"no identifier", Backend{Born: 11}}, {"long identifier", Backend{ID: long, Born: 11}}, {"long service", Backend{ID: "i-2", Born: 11, Service: long}},
-		{"long label", Backend{ID: "i-2", Born: 11, Labels: []string{long}}}, {"negative capacity", Backend{ID: "i-2", Born: 11, Total: marshaler.Room{CPU: -1}}},
+		{"no identifier", Backend{StartTime: 11}}, {"long identifier", Backend{ID: long, StartTime: 11}}, {"long service", Backend{ID: "i-2", StartTime: 11, Service: long}},
+		{"long label", Backend{ID: "i-2", StartTime: 11, Labels: []string{long}}}, {"negative capacity", Backend{ID: "i-2", StartTime: 11, Capacity: marshaler.Resources{CPU: -1}}},
 	}
 	for _, c := range cases {
 		f := newFixture()
@@ -378,21 +378,21 @@
 		Remote: marshaler.Hello{Role: marshaler.RoleEntry, Name: "placing", Incarnation: 1}, Close: func(error) {},
 		Send: func(m marshaler.Message) {
 			if l, ok := m.(*marshaler.Load); ok {
-				seen = append(seen, l.Seen...)
+				seen = append(seen, l.HandledStarts...)
 			}
 		},
 	}
-	f.k.OnUp(f.now, placing)
+	f.k.OnConnect(f.now, placing)
 	f.start(firstRun, 3000)
 	f.advance(100)
-	f.k.OnMessage(f.now, placing, &marshaler.Subscribe{On: true}) // sent before the start
+	f.k.OnMessage(f.now, placing, &marshaler.LoadSubscription{Enabled: true}) // sent before the start
 	if !slices.Equal(seen, []string{firstRun.Job}) {
 		t.Errorf("got starts %v in the reports to a placing entry that did not request them, want %v", seen, []string{firstRun.Job})
 	}
 	seen = nil
 	second := marshaler.RunKey{Job: "second", Attempt: 1}
 	f.start(second, 3000)
-	f.advance(BeatPeriod)
+	f.advance(HeartbeatInterval)
 	if !slices.Equal(seen, []string{second.Job}) {
 		t.Errorf("got starts %v in the reports to the placing entry, want %v", seen, []string{second.Job})
 	}
@@ -402,30 +402,30 @@
 // times out late because its session was idle before.
 func TestIdleSessions(t *testing.T) {
 	f := newFixture()
-	f.advance(marshaler.IdleBeatPeriod)
+	f.advance(marshaler.IdleHeartbeatInterval)
 	before := f.loadReports
 	for range 10 {
-		f.k.OnMessage(f.now, f.link, &marshaler.Beat{})
-		f.advance(marshaler.IdleBeatPeriod)
+		f.k.OnMessage(f.now, f.link, &marshaler.Heartbeat{})
+		f.advance(marshaler.IdleHeartbeatInterval)
 	}
 	if got := f.loadReports - before; got != 10 {
 		t.Errorf("got %d reports in 10 idle periods, want 10", got)
 	}
-	f.advance(VouchLimit)
+	f.advance(EntryTimeout)
 	if f.closed != 0 {
-		t.Errorf("got an idle session closed after %s without a message, want it open", VouchLimit)
+		t.Errorf("got an idle session closed after %s without a message, want it open", EntryTimeout)
 	}
 	before = f.loadReports
 	f.start(firstRun, 3000)
-	f.k.OnStarted(f.now, Started{Run: firstRun, Status: StartDone})
+	f.k.OnStarted(f.now, StartResult{Run: firstRun, Status: StartConfirmed})
 	startedAt := f.now
 	for len(f.stops) == 0 && f.now < startedAt+1000 {
 		f.advance(25)
 	}
-	if got := f.now - startedAt; got < VouchLimit || got > VouchLimit+25 {
-		t.Errorf("got a stop %s after the start, the last message, want %s", got, VouchLimit)
+	if got := f.now - startedAt; got < EntryTimeout || got > EntryTimeout+25 {
+		t.Errorf("got a stop %s after the start, the last message, want %s", got, EntryTimeout)
 	}
 	if got := f.loadReports - before; got < 2 {
-		t.Errorf("got %d reports while a run was active, want one per %s", got, BeatPeriod)
+		t.Errorf("got %d reports while a run was active, want one per %s", got, HeartbeatInterval)
 	}
 }
--- a/timer/boot.go
+++ b/timer/boot.go
@@ -4,9 +4,9 @@
 	"golang.org/x/sys/unix"
 )
 
-// Boot returns a clock based on CLOCK_BOOTTIME, which includes the time that the machine was suspended. It falls back to
+// BootClock returns a clock based on CLOCK_BOOTTIME, which includes the time that the machine was suspended. It falls back to
 // the monotonic clock if the system does not support it.
-func Boot() Clock {
+func BootClock() Clock {
 	if _, ok := bootMillis(); !ok {
 		return Clock{}
 	}
