--- a/appender/appender.go
+++ b/appender/appender.go
@@ -14,13 +14,13 @@
 	// MaxBody is the largest record body in bytes.
 	MaxBody = 1 << 20
 	// MaxID is the longest record identifier in bytes.
-	MaxID = 64
+	MaxIDLen = 64
 	// MaxLimit is the largest number of records that one read may ask for.
-	MaxLimit = 1000
+	MaxReadRecords = 1000
 
 	defaultTimeout = 3 * timer.Second
 	// maxPage bounds a response of the log. Bodies travel in base64, which adds a third.
-	maxPage = 16 << 20
+	maxResponseLen = 16 << 20
 	// maxUnresolved bounds the memory for appends of unknown outcome; the oldest are forgotten first.
 	maxUnresolved = 1024
 )
@@ -41,11 +41,11 @@
 	}
 
 	// floors holds what a Client knows about its streams.
-	floors struct {
-		mu         sync.Mutex
-		next       map[string]uint64    // per stream, the highest head seen
-		unresolved map[appendKey]uint64 // per append of unknown outcome, the head known before its first attempt
-		order      []appendKey          // keys of unresolved, oldest first
+	appendState struct {
+		mu              sync.Mutex
+		heads           map[string]uint64    // per stream, the highest head seen
+		unresolved      map[appendKey]uint64 // per append of unknown outcome, the head known before its first attempt
+		unresolvedOrder []appendKey          // keys of unresolved, oldest first
 	}
 
 	appendKey struct{ stream, id string }
@@ -59,35 +59,35 @@
 }
 
 // head returns the highest known head of the stream; ok is false when none is known.
-func (f *floors) head(stream string) (next uint64, ok bool) {
+func (f *appendState) knownHead(stream string) (next uint64, ok bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	next, ok = f.next[stream]
+	next, ok = f.heads[stream]
 	return next, ok
 }
 
 // saw records that the stream's head is at least next.
-func (f *floors) saw(stream string, next uint64) {
+func (f *appendState) advanceHead(stream string, next uint64) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.next == nil {
-		f.next = map[string]uint64{}
+	if f.heads == nil {
+		f.heads = map[string]uint64{}
 	}
-	if old, ok := f.next[stream]; !ok || next > old {
-		f.next[stream] = next
+	if old, ok := f.heads[stream]; !ok || next > old {
+		f.heads[stream] = next
 	}
 }
 
 // floorOf returns the head known before the first attempt of an append of unknown outcome.
-func (f *floors) floorOf(k appendKey) (floor uint64, ok bool) {
+func (f *appendState) searchStart(k appendKey) (offset uint64, ok bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	floor, ok = f.unresolved[k]
-	return floor, ok
+	offset, ok = f.unresolved[k]
+	return offset, ok
 }
 
 // remember notes that the outcome of the append is unknown. The floor of an earlier attempt is kept.
-func (f *floors) remember(k appendKey, floor uint64) {
+func (f *appendState) addUnresolved(k appendKey, searchStart uint64) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if _, ok := f.unresolved[k]; ok {
@@ -96,25 +96,25 @@
 	if f.unresolved == nil {
 		f.unresolved = map[appendKey]uint64{}
 	}
-	if len(f.order) >= maxUnresolved {
-		delete(f.unresolved, f.order[0])
-		f.order = f.order[1:]
+	if len(f.unresolvedOrder) >= maxUnresolved {
+		delete(f.unresolved, f.unresolvedOrder[0])
+		f.unresolvedOrder = f.unresolvedOrder[1:]
 	}
-	f.unresolved[k] = floor
-	f.order = append(f.order, k)
+	f.unresolved[k] = searchStart
+	f.unresolvedOrder = append(f.unresolvedOrder, k)
 }
 
 // forget drops a resolved append.
-func (f *floors) forget(k appendKey) {
+func (f *appendState) removeUnresolved(k appendKey) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if _, ok := f.unresolved[k]; !ok {
 		return
 	}
 	delete(f.unresolved, k)
-	for i := range f.order {
-		if f.order[i] == k {
-			f.order = append(f.order[:i:i], f.order[i+1:]...)
+	for i := range f.unresolvedOrder {
+		if f.unresolvedOrder[i] == k {
+			f.unresolvedOrder = append(f.unresolvedOrder[:i:i], f.unresolvedOrder[i+1:]...)
 			return
 		}
 	}
--- a/appender/client.go
+++ b/appender/client.go
@@ -20,14 +20,14 @@
 )
 
 const (
-	firstBackoff timer.Millis = 10
-	lastBackoff  timer.Millis = 500
+	minBackoff timer.Millis = 10
+	maxBackoff timer.Millis = 500
 	// readBackAfter is when the read-back begins beside an append without an answer. A synced write takes several ms,
 	// so a response that is later than this may be lost on a silent connection.
-	readBackAfter timer.Millis = 300
+	readBackDelay timer.Millis = 300
 	readBackWait  timer.Millis = 200
 	// secondReadAfter is how late an answer may be before the read is sent again on a new connection.
-	secondReadAfter timer.Millis = 300
+	readHedgeDelay timer.Millis = 300
 )
 
 type (
@@ -43,18 +43,18 @@
 		// Timeout bounds an append attempt, the read-back after it, and a read beyond its wait; 0 means 3 s.
 		Timeout timer.Millis
 
-		floors floors
+		appendState appendState
 	}
 
 	// reading is the result of a read, and when its exchange began.
-	reading struct {
-		page  Page
-		began timer.Millis
-		err   error
+	readResult struct {
+		page      Page
+		startedAt timer.Millis
+		err       error
 	}
 
 	// outcome is the result of an append attempt or of a read-back.
-	outcome struct {
+	appendResult struct {
 		offset uint64
 		found  bool
 		err    error
@@ -63,7 +63,7 @@
 
 // shared is used by clients without their own http.Client. A redirected POST could be sent twice, so redirects are
 // not followed.
-var shared = &http.Client{
+var defaultHTTPClient = &http.Client{
 	Transport: &http.Transport{
 		DialContext:         (&net.Dialer{Timeout: time.Second}).DialContext,
 		MaxIdleConnsPerHost: 8,
@@ -81,36 +81,36 @@
 	switch {
 	case len(body) > MaxBody:
 		return 0, trace.BadParameter("record body of %d bytes is larger than %d", len(body), MaxBody)
-	case id == "" || len(id) > MaxID:
-		return 0, trace.BadParameter("record identifier of %d bytes is not between 1 and %d bytes long", len(id), MaxID)
+	case id == "" || len(id) > MaxIDLen:
+		return 0, trace.BadParameter("record identifier of %d bytes is not between 1 and %d bytes long", len(id), MaxIDLen)
 	}
 	k := appendKey{stream: stream, id: id}
-	floor, again := c.floors.floorOf(k)
-	if again {
-		o := c.find(ctx, k, floor, false)
+	searchStart, retried := c.appendState.searchStart(k)
+	if retried {
+		o := c.findRecord(ctx, k, searchStart, false)
 		if o.found {
 			return o.offset, nil
 		}
 		if o.err != nil {
-			return 0, &unknownError{cause: o.err}
+			return 0, &unknownOutcomeError{cause: o.err}
 		}
-	} else if floor, err = c.floor(ctx, stream); err != nil {
+	} else if searchStart, err = c.currentHead(ctx, stream); err != nil {
 		return 0, trace.Wrap(err, "head of stream %q is not known, nothing was sent", stream)
 	}
-	if err := ctx.Err(); err != nil && !again {
+	if err := ctx.Err(); err != nil && !retried {
 		return 0, trace.Wrap(err, "nothing was sent")
 	}
-	c.floors.remember(k, floor)
-	offset, err = c.resolve(ctx, k, floor, body)
+	c.appendState.addUnresolved(k, searchStart)
+	offset, err = c.resolve(ctx, k, searchStart, body)
 	switch {
 	case err == nil:
-		c.floors.forget(k)
+		c.appendState.removeUnresolved(k)
 	case IsUnknown(err):
-	case again:
+	case retried:
 		// The earlier attempt under this identifier is still open.
-		err = &unknownError{cause: err}
+		err = &unknownOutcomeError{cause: err}
 	default:
-		c.floors.forget(k)
+		c.appendState.removeUnresolved(k)
 	}
 	return offset, err
 }
@@ -124,67 +124,67 @@
 // Read returns at most limit records from an offset on. When there are none, the log waits for one up to the given
 // time. The error satisfies IsTruncated when from lies before the first retained record.
 func (c *Client) Read(ctx context.Context, stream string, from uint64, limit int, wait timer.Millis) (Page, error) {
-	r := c.read(ctx, stream, from, limit, wait, c.timeout())
+	r := c.hedgedRead(ctx, stream, from, limit, wait, c.timeoutOrDefault())
 	return r.page, r.err
 }
 
 // read reads once, and a second time on a new connection when the first has no answer in time: a connection can go
 // silent while new ones work.
-func (c *Client) read(ctx context.Context, stream string, from uint64, limit int, wait, timeout timer.Millis) reading {
+func (c *Client) hedgedRead(ctx context.Context, stream string, from uint64, limit int, wait, timeout timer.Millis) readResult {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	results, open := make(chan reading, 2), 0
+	results, pending := make(chan readResult, 2), 0
 	send := func() {
-		open++
-		began := c.Clock.Now()
+		pending++
+		startedAt := c.Clock.Now()
 		go func() {
-			p, err := c.readOnce(ctx, stream, from, limit, wait, timeout)
-			results <- reading{page: p, began: began, err: err}
+			p, err := c.readAttempt(ctx, stream, from, limit, wait, timeout)
+			results <- readResult{page: p, startedAt: startedAt, err: err}
 		}()
 	}
-	late := time.NewTimer((wait + secondReadAfter).Duration())
-	defer late.Stop()
+	hedgeTimer := time.NewTimer((wait + readHedgeDelay).Duration())
+	defer hedgeTimer.Stop()
 	send()
 	for {
 		select {
 		case r := <-results:
-			open--
-			if r.err == nil || open == 0 || IsTruncated(r.err) {
+			pending--
+			if r.err == nil || pending == 0 || IsTruncated(r.err) {
 				return r
 			}
-		case <-late.C:
-			c.client().CloseIdleConnections()
+		case <-hedgeTimer.C:
+			c.httpClient().CloseIdleConnections()
 			send()
 		}
 	}
 }
 
-func (c *Client) readOnce(ctx context.Context, stream string, from uint64, limit int, wait, timeout timer.Millis) (Page, error) {
+func (c *Client) readAttempt(ctx context.Context, stream string, from uint64, limit int, wait, timeout timer.Millis) (Page, error) {
 	ctx, cancel := context.WithTimeout(ctx, (timeout + wait).Duration())
 	defer cancel()
 	q := url.Values{}
 	q.Set("from", strconv.FormatUint(from, 10))
-	q.Set("limit", strconv.Itoa(min(max(limit, 1), MaxLimit)))
+	q.Set("limit", strconv.Itoa(min(max(limit, 1), MaxReadRecords)))
 	q.Set("waitMs", strconv.FormatInt(int64(wait), 10))
-	body, err := c.exchange(ctx, http.MethodGet, stream, q.Encode(), nil)
+	body, err := c.doRequest(ctx, http.MethodGet, stream, q.Encode(), nil)
 	var s *statusError
 	if errors.As(err, &s) && s.code == http.StatusGone {
-		return Page{First: s.first}, &truncatedError{stream: stream, from: from, first: s.first}
+		return Page{First: s.firstRetained}, &truncatedError{stream: stream, from: from, firstRetained: s.firstRetained}
 	}
 	if err != nil {
 		return Page{}, err
 	}
-	p, err := decodePage(body, from)
+	p, err := decodeReadResponse(body, from)
 	if err != nil {
 		return Page{}, err
 	}
-	c.floors.saw(stream, p.Next)
+	c.appendState.advanceHead(stream, p.Next)
 	return p, nil
 }
 
 // floor returns a head of the stream that was known before now.
-func (c *Client) floor(ctx context.Context, stream string) (uint64, error) {
-	if next, ok := c.floors.head(stream); ok {
+func (c *Client) currentHead(ctx context.Context, stream string) (uint64, error) {
+	if next, ok := c.appendState.knownHead(stream); ok {
 		return next, nil
 	}
 	_, next, err := c.Head(ctx, stream)
@@ -193,69 +193,69 @@
 
 // resolve sends the record and looks for it when there is no answer in time or a failure that is not definite. Its error
 // is either definite or satisfies IsUnknown.
-func (c *Client) resolve(ctx context.Context, k appendKey, floor uint64, body []byte) (uint64, error) {
+func (c *Client) resolve(ctx context.Context, k appendKey, searchStart uint64, body []byte) (uint64, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	var (
-		sent  = make(chan outcome, 1)
-		back  chan outcome // nil while no read-back runs
-		fault error        // of the attempts, when they have ended
-		fresh bool         // the read-back began after that
-		late  = time.NewTimer(readBackAfter.Duration())
+		attemptResult       = make(chan appendResult, 1)
+		readBackResult      chan appendResult // nil while no read-back runs
+		attemptErr          error             // of the attempts, when they have ended
+		startedAfterFailure bool              // the read-back began after that
+		readBackTimer       = time.NewTimer(readBackDelay.Duration())
 	)
-	defer late.Stop()
-	go func() { sent <- c.attempts(ctx, k, body) }()
-	look := func() {
+	defer readBackTimer.Stop()
+	go func() { attemptResult <- c.appendWithRetry(ctx, k, body) }()
+	startReadBack := func() {
 		// The connections that are open may be silent; the read-back needs one that works.
-		c.client().CloseIdleConnections()
-		back, fresh = make(chan outcome, 1), fault != nil
-		go func(result chan<- outcome) { result <- c.find(ctx, k, floor, true) }(back)
+		c.httpClient().CloseIdleConnections()
+		readBackResult, startedAfterFailure = make(chan appendResult, 1), attemptErr != nil
+		go func(result chan<- appendResult) { result <- c.findRecord(ctx, k, searchStart, true) }(readBackResult)
 	}
 	for {
 		select {
-		case <-late.C:
-			if back == nil && fault == nil {
-				look()
+		case <-readBackTimer.C:
+			if readBackResult == nil && attemptErr == nil {
+				startReadBack()
 			}
-		case o := <-sent:
-			if o.err == nil || definite(o.err) {
+		case o := <-attemptResult:
+			if o.err == nil || isDefiniteFailure(o.err) {
 				return o.offset, o.err
 			}
-			fault = o.err
-			if back == nil {
-				look()
+			attemptErr = o.err
+			if readBackResult == nil {
+				startReadBack()
 			}
-		case o := <-back:
+		case o := <-readBackResult:
 			if o.found {
 				return o.offset, nil
 			}
-			switch back = nil; {
-			case fresh:
+			switch readBackResult = nil; {
+			case startedAfterFailure:
 				// Not joined as causes: a refused read does not make the append definite.
-				return 0, &unknownError{cause: trace.Errorf("%v; read-back: %v", fault, o.err)}
-			case fault != nil:
-				look()
+				return 0, &unknownOutcomeError{cause: trace.Errorf("%v; read-back: %v", attemptErr, o.err)}
+			case attemptErr != nil:
+				startReadBack()
 			}
 		}
 	}
 }
 
 // attempts sends the append and repeats it while the failure is definite and time is left.
-func (c *Client) attempts(ctx context.Context, k appendKey, body []byte) outcome {
-	ctx, cancel := context.WithTimeout(ctx, c.timeout().Duration())
+func (c *Client) appendWithRetry(ctx context.Context, k appendKey, body []byte) appendResult {
+	ctx, cancel := context.WithTimeout(ctx, c.timeoutOrDefault().Duration())
 	defer cancel()
 	payload := encodeAppend(k.id, body)
-	for pause := firstBackoff; ; pause = min(2*pause, lastBackoff) {
-		answer, err := c.exchange(ctx, http.MethodPost, k.stream, "", payload)
+	for backoff := minBackoff; ; backoff = min(2*backoff, maxBackoff) {
+		response, err := c.doRequest(ctx, http.MethodPost, k.stream, "", payload)
 		if err == nil {
 			var offset uint64
-			if offset, err = decodeOffset(answer); err == nil {
-				c.floors.saw(k.stream, offset+1)
+			if offset, err = decodeAppendResponse(response); err == nil {
+				c.appendState.advanceHead(k.stream, offset+1)
 			}
-			return outcome{offset: offset, err: err}
+			return appendResult{offset: offset, err: err}
 		}
-		if !repeatable(err) || !sleep(ctx, pause) {
-			return outcome{err: err}
+		if !isRetryable(err) || !sleep(ctx, backoff) {
+			return appendResult{err: err}
 		}
 	}
 }
@@ -263,31 +263,31 @@
 // find reads the stream from floor on and looks for the identifier. With poll it waits for the record until Timeout,
 // because a slow append can take effect after its response was given up; otherwise it stops at the head. Without an
 // error, the record was not there up to the head.
-func (c *Client) find(ctx context.Context, k appendKey, floor uint64, poll bool) outcome {
-	ctx, cancel := context.WithTimeout(ctx, c.timeout().Duration())
+func (c *Client) findRecord(ctx context.Context, k appendKey, searchStart uint64, poll bool) appendResult {
+	ctx, cancel := context.WithTimeout(ctx, c.timeoutOrDefault().Duration())
 	defer cancel()
-	from, wait, pause := floor, timer.Millis(0), firstBackoff
+	from, wait, backoff := searchStart, timer.Millis(0), minBackoff
 	for {
-		p, err := c.Read(ctx, k.stream, from, MaxLimit, wait)
+		p, err := c.Read(ctx, k.stream, from, MaxReadRecords, wait)
 		if IsTruncated(err) {
-			return outcome{err: err}
+			return appendResult{err: err}
 		}
 		if err != nil {
-			if !sleep(ctx, pause) {
-				return outcome{err: err}
+			if !sleep(ctx, backoff) {
+				return appendResult{err: err}
 			}
-			pause = min(2*pause, lastBackoff)
+			backoff = min(2*backoff, maxBackoff)
 			continue
 		}
 		for _, r := range p.Records {
 			if r.ID == k.id {
-				return outcome{offset: r.Offset, found: true}
+				return appendResult{offset: r.Offset, found: true}
 			}
 			from = r.Offset + 1
 		}
 		if from >= p.Next {
 			if !poll {
-				return outcome{}
+				return appendResult{}
 			}
 			wait = readBackWait
 		}
@@ -295,55 +295,55 @@
 }
 
 // exchange sends one request and returns the body of a successful answer.
-func (c *Client) exchange(ctx context.Context, method, stream, query string, payload []byte) ([]byte, error) {
+func (c *Client) doRequest(ctx context.Context, method, stream, query string, payload []byte) ([]byte, error) {
 	u, err := url.Parse(c.URL)
 	if err != nil {
 		return nil, trace.BadParameter("log address %q is malformed: %v", c.URL, err)
 	}
 	u = u.JoinPath("v1", "streams", stream, "records")
 	u.RawQuery = query
-	var tried, connected atomic.Bool
+	var connectionWanted, connectionObtained atomic.Bool
 	ctx = httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{
-		GetConn: func(string) { tried.Store(true) },
-		GotConn: func(httptrace.GotConnInfo) { connected.Store(true) },
+		GetConn: func(string) { connectionWanted.Store(true) },
+		GotConn: func(httptrace.GotConnInfo) { connectionObtained.Store(true) },
 	})
-	q, err := http.NewRequestWithContext(ctx, method, u.String(), bytes.NewReader(payload))
+	request, err := http.NewRequestWithContext(ctx, method, u.String(), bytes.NewReader(payload))
 	if err != nil {
 		return nil, trace.BadParameter("log address %q is malformed: %v", c.URL, err)
 	}
 	if method == http.MethodPost {
-		q.Header.Set("Content-Type", "application/json")
+		request.Header.Set("Content-Type", "application/json")
 	}
-	a, err := c.client().Do(q)
+	response, err := c.httpClient().Do(request)
 	if err != nil {
 		// A transport that does not report its connections leaves both unset.
-		if tried.Load() && !connected.Load() {
-			return nil, &notSentError{cause: err}
+		if connectionWanted.Load() && !connectionObtained.Load() {
+			return nil, &noConnectionError{cause: err}
 		}
 		return nil, trace.Wrap(err)
 	}
-	defer func() { _ = a.Body.Close() }()
-	body, err := io.ReadAll(io.LimitReader(a.Body, maxPage+1))
+	defer func() { _ = response.Body.Close() }()
+	content, err := io.ReadAll(io.LimitReader(response.Body, maxResponseLen+1))
 	if err != nil {
 		return nil, trace.Wrap(err)
 	}
-	if len(body) > maxPage {
-		return nil, trace.LimitExceeded("answer of the log is larger than %d bytes", maxPage)
+	if len(content) > maxResponseLen {
+		return nil, trace.LimitExceeded("answer of the log is larger than %d bytes", maxResponseLen)
 	}
-	if a.StatusCode != http.StatusOK {
-		return nil, decodeStatus(a.StatusCode, body)
+	if response.StatusCode != http.StatusOK {
+		return nil, decodeErrorResponse(response.StatusCode, content)
 	}
-	return body, nil
+	return content, nil
 }
 
-func (c *Client) client() *http.Client {
+func (c *Client) httpClient() *http.Client {
 	if c.HTTP != nil {
 		return c.HTTP
 	}
-	return shared
+	return defaultHTTPClient
 }
 
-func (c *Client) timeout() timer.Millis { return orDefault(c.Timeout, defaultTimeout) }
+func (c *Client) timeoutOrDefault() timer.Millis { return orDefault(c.Timeout, defaultTimeout) }
 
 // sleep waits and reports whether the context is still open.
 func sleep(ctx context.Context, d timer.Millis) bool {
--- a/appender/client_test.go
+++ b/appender/client_test.go
@@ -26,31 +26,31 @@
 
 type (
 	// call is the result of one call of Append.
-	call struct {
-		verdict string
+	appendCall struct {
+		outcome string
 		offset  uint64
 	}
 
 	// round is a time with certain faults, in which appends begin.
-	round struct {
-		faults      emulator.LogSettings
-		refusals    emulator.Refusals
-		stayRefused bool // until the next round
-		silence     bool // the connections used so far go silent
-		appends     int
-		appendAgain bool // appends of unknown outcome are called again
-		healAfter   timer.Millis
+	faultRound struct {
+		faults             emulator.LogSettings
+		refusals           emulator.Refusals
+		keepRefusals       bool // until the next round
+		silenceConnections bool // the connections used so far go silent
+		appends            int
+		retryUnknown       bool // appends of unknown outcome are called again
+		faultDuration      timer.Millis
 	}
 
-	roundTrip func(q *http.Request) (*http.Response, error)
+	roundTripFunc func(q *http.Request) (*http.Response, error)
 )
 
 // A fixed seed makes runs repeatable; -rapid.seed tries others.
 var _ = flag.Set("rapid.seed", "1")
 
-func (f roundTrip) RoundTrip(q *http.Request) (*http.Response, error) { return f(q) }
+func (f roundTripFunc) RoundTrip(q *http.Request) (*http.Response, error) { return f(q) }
 
-func judge(err error) string {
+func outcomeOf(err error) string {
 	switch {
 	case err == nil:
 		return appended
@@ -92,23 +92,23 @@
 }
 
 // drawRounds draws faults and what happens under them.
-func drawRounds(t *rapid.T) []round {
-	one := func(t *rapid.T, in int, label string) bool { return rapid.IntRange(1, in).Draw(t, label) == in }
-	return rapid.SliceOfN(rapid.Custom(func(t *rapid.T) round {
-		return round{
-			appends:     rapid.IntRange(1, 4).Draw(t, "appends"),
-			healAfter:   timer.Millis(rapid.IntRange(0, 3000).Draw(t, "heal after ms")),
-			silence:     one(t, 3, "silence connections"),
-			appendAgain: one(t, 2, "append again"),
-			stayRefused: one(t, 2, "stay refused"),
-			refusals:    emulator.Refusals{Reads: one(t, 5, "refuse reads"), Appends: one(t, 5, "refuse appends")},
+func drawRounds(t *rapid.T) []faultRound {
+	oneIn := func(t *rapid.T, in int, label string) bool { return rapid.IntRange(1, in).Draw(t, label) == in }
+	return rapid.SliceOfN(rapid.Custom(func(t *rapid.T) faultRound {
+		return faultRound{
+			appends:            rapid.IntRange(1, 4).Draw(t, "appends"),
+			faultDuration:      timer.Millis(rapid.IntRange(0, 3000).Draw(t, "heal after ms")),
+			silenceConnections: oneIn(t, 3, "silence connections"),
+			retryUnknown:       oneIn(t, 2, "append again"),
+			keepRefusals:       oneIn(t, 2, "stay refused"),
+			refusals:           emulator.Refusals{Reads: oneIn(t, 5, "refuse reads"), Appends: oneIn(t, 5, "refuse appends")},
 			faults: emulator.LogSettings{
 				AppendDelay:      rapid.SampledFrom([]timer.Millis{0, 0, 5, 1500, 2500, 9000}).Draw(t, "append delay"),
 				ReadDelay:        rapid.SampledFrom([]timer.Millis{0, 0, 100, 3000}).Draw(t, "read delay"),
 				LoseNext:         rapid.IntRange(0, 3).Draw(t, "lose"),
-				LoseSilently:     one(t, 2, "lose silently"),
-				Outage:           one(t, 5, "outage"),
-				Silent:           one(t, 6, "silent"),
+				LoseSilently:     oneIn(t, 2, "lose silently"),
+				Outage:           oneIn(t, 5, "outage"),
+				Silent:           oneIn(t, 6, "silent"),
 				AppendsPerSecond: rapid.SampledFrom([]int{0, 0, 1, 20}).Draw(t, "rate"),
 			},
 		}
@@ -116,60 +116,60 @@
 }
 
 // runRounds returns what is wrong with the verdicts and the log after the rounds, or nothing.
-func runRounds(rounds []round) string {
+func runRounds(rounds []faultRound) string {
 	l := &emulator.Log{}
-	m := &emulator.Transport{Log: l}
-	c := &appender.Client{URL: "http://log", HTTP: &http.Client{Transport: m}, Timeout: 2 * timer.Second}
+	transport := &emulator.Transport{Log: l}
+	client := &appender.Client{URL: "http://log", HTTP: &http.Client{Transport: transport}, Timeout: 2 * timer.Second}
 	var mu sync.Mutex
-	calls := map[string][]call{}
-	send := func(id string) {
-		offset, err := c.Append(context.Background(), "claims", id, []byte(id))
+	calls := map[string][]appendCall{}
+	appendRecord := func(id string) {
+		offset, err := client.Append(context.Background(), "claims", id, []byte(id))
 		mu.Lock()
 		defer mu.Unlock()
-		calls[id] = append(calls[id], call{judge(err), offset})
+		calls[id] = append(calls[id], appendCall{outcomeOf(err), offset})
 	}
 	for n, r := range rounds {
 		l.Change(func(s *emulator.LogSettings) { *s = r.faults })
-		m.Refuse(r.refusals)
-		if r.silence {
+		transport.Refuse(r.refusals)
+		if r.silenceConnections {
 			l.SilenceConnections()
 		}
 		var ids []string
 		for i := range r.appends {
 			ids = append(ids, fmt.Sprint(n, "-", i))
 		}
-		for id, tries := range calls {
-			if r.appendAgain && tries[len(tries)-1].verdict == unknown {
+		for id, results := range calls {
+			if r.retryUnknown && results[len(results)-1].outcome == unknown {
 				ids = append(ids, id)
 			}
 		}
 		var g sync.WaitGroup
 		for _, id := range ids {
-			g.Go(func() { send(id) })
+			g.Go(func() { appendRecord(id) })
 		}
-		time.Sleep(r.healAfter.Duration())
+		time.Sleep(r.faultDuration.Duration())
 		l.Change(func(s *emulator.LogSettings) {
 			*s = emulator.LogSettings{AppendDelay: s.AppendDelay, LoseNext: s.LoseNext}
 		})
-		if !r.stayRefused {
-			m.Refuse(emulator.Refusals{})
+		if !r.keepRefusals {
+			transport.Refuse(emulator.Refusals{})
 		}
 		g.Wait()
 	}
 	time.Sleep(time.Minute) // lets the slow appends take effect
-	in := map[string][]uint64{}
+	offsetsByID := map[string][]uint64{}
 	for _, r := range l.Records("claims") {
-		if in[r.ID] = append(in[r.ID], r.Offset); r.ID != string(r.Body) {
+		if offsetsByID[r.ID] = append(offsetsByID[r.ID], r.Offset); r.ID != string(r.Body) {
 			return fmt.Sprintf("record %d has another body", r.Offset)
 		}
 	}
-	for id, tries := range calls {
-		offsets, last := in[id], tries[len(tries)-1]
+	for id, results := range calls {
+		offsets, last := offsetsByID[id], results[len(results)-1]
 		switch {
-		case len(offsets) > len(tries),
-			last.verdict == appended && !slices.Contains(offsets, last.offset),
-			last.verdict == notAppended && len(offsets) > 0:
-			return fmt.Sprintf("append with calls %+v is in the log at %v", tries, offsets)
+		case len(offsets) > len(results),
+			last.outcome == appended && !slices.Contains(offsets, last.offset),
+			last.outcome == notAppended && len(offsets) > 0:
+			return fmt.Sprintf("append with calls %+v is in the log at %v", results, offsets)
 		}
 	}
 	return ""
@@ -178,11 +178,11 @@
 // Guards against an append with a false verdict or offset, and against one call that leaves two records.
 func TestAppendUnderFaults(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
-		var fault string
+		var violation string
 		rounds := drawRounds(r)
-		synctest.Test(t, func(*testing.T) { fault = runRounds(rounds) })
-		if fault != "" {
-			r.Fatal(fault)
+		synctest.Test(t, func(*testing.T) { violation = runRounds(rounds) })
+		if violation != "" {
+			r.Fatal(violation)
 		}
 	})
 }
@@ -228,11 +228,11 @@
 		{"no connection", -1, "", nil, notAppended},
 	} {
 		synctest.Test(t, func(t *testing.T) {
-			m := &emulator.Transport{Log: &emulator.Log{}}
-			h := &http.Client{Transport: roundTrip(func(q *http.Request) (*http.Response, error) {
+			transport := &emulator.Transport{Log: &emulator.Log{}}
+			h := &http.Client{Transport: roundTripFunc(func(q *http.Request) (*http.Response, error) {
 				switch {
 				case q.Method == http.MethodGet:
-					return m.RoundTrip(q)
+					return transport.RoundTrip(q)
 				case c.code < 0:
 					return unreachable.RoundTrip(q)
 				case c.code == 0 && c.err == nil:
@@ -244,7 +244,7 @@
 				return &http.Response{StatusCode: c.code, Body: io.NopCloser(strings.NewReader(c.body))}, nil
 			})}
 			_, err := (&appender.Client{URL: "http://log", HTTP: h}).Append(t.Context(), "s", "id", nil)
-			if got := judge(err); got != c.want {
+			if got := outcomeOf(err); got != c.want {
 				t.Errorf("%s: got %s (%v), want %s", c.name, got, err, c.want)
 			}
 			time.Sleep(2 * time.Minute) // lets an open dial end
@@ -277,18 +277,18 @@
 	} {
 		synctest.Test(t, func(t *testing.T) {
 			l := &emulator.Log{}
-			m := &emulator.Transport{Log: l}
-			a := &appender.Client{URL: "http://log", HTTP: &http.Client{Transport: m}, Timeout: 2 * timer.Second}
+			transport := &emulator.Transport{Log: l}
+			a := &appender.Client{URL: "http://log", HTTP: &http.Client{Transport: transport}, Timeout: 2 * timer.Second}
 			// Makes the head known, and uses up the rate of one append a second.
 			if _, err := a.Append(t.Context(), "s", "first", nil); err != nil {
 				t.Fatal(err)
 			}
 			for i, s := range c.steps {
 				l.Change(func(p *emulator.LogSettings) { *p = s.faults })
-				m.Refuse(s.refusals)
+				transport.Refuse(s.refusals)
 				began := time.Now()
 				offset, err := a.Append(t.Context(), "s", "id", nil)
-				if got := judge(err); got != s.want || got == appended && offset != 1 {
+				if got := outcomeOf(err); got != s.want || got == appended && offset != 1 {
 					t.Errorf("%s, call %d: got %s at %d (%v), want %s at 1", c.name, i, got, offset, err, s.want)
 				}
 				if took := timer.FromDuration(time.Since(began)); s.within > 0 && took > s.within {
@@ -316,12 +316,12 @@
 	}{
 		{"large body", "http://log", "id", t.Context(), appender.MaxBody + 1},
 		{"no identifier", "http://log", "", t.Context(), 0},
-		{"long identifier", "http://log", strings.Repeat("x", appender.MaxID+1), t.Context(), 0},
+		{"long identifier", "http://log", strings.Repeat("x", appender.MaxIDLen+1), t.Context(), 0},
 		{"address", "http://log:x", "id", t.Context(), 0},
 		{"context ended", "http://log", "id", ended, 0},
 	} {
 		_, err := (&appender.Client{URL: c.url, HTTP: h}).Append(c.ctx, "s", c.id, make([]byte, c.size))
-		if got := judge(err); got != notAppended || l.Counts().Appended > 0 {
+		if got := outcomeOf(err); got != notAppended || l.Counts().Appended > 0 {
 			t.Errorf("%s: got %s (%v), %d appended", c.name, got, err, l.Counts().Appended)
 		}
 	}
--- a/appender/fields.go
+++ b/appender/fields.go
@@ -16,28 +16,28 @@
 // Fields calls visit for each protobuf field of b, in order, and stops at the first error. Varints and
 // length-delimited fields are the only types. Bytes are parts of b.
 func Fields(b []byte, visit func(f Field) error) error {
-	for at := 0; at < len(b); {
-		tag, typ, n := protowire.ConsumeTag(b[at:])
+	for pos := 0; pos < len(b); {
+		tag, wireType, n := protowire.ConsumeTag(b[pos:])
 		if n < 0 {
-			return trace.BadParameter("field tag at byte %d is malformed", at)
+			return trace.BadParameter("field tag at byte %d is malformed", pos)
 		}
-		f := Field{Tag: tag, Type: typ}
+		f := Field{Tag: tag, Type: wireType}
 		var size int
-		switch typ {
+		switch wireType {
 		case protowire.VarintType:
-			f.Number, size = protowire.ConsumeVarint(b[at+n:])
+			f.Number, size = protowire.ConsumeVarint(b[pos+n:])
 		case protowire.BytesType:
-			f.Bytes, size = protowire.ConsumeBytes(b[at+n:])
+			f.Bytes, size = protowire.ConsumeBytes(b[pos+n:])
 		default:
-			return trace.BadParameter("field %d at byte %d has the unexpected wire type %d", tag, at, typ)
+			return trace.BadParameter("field %d at byte %d has the unexpected wire type %d", tag, pos, wireType)
 		}
 		if size < 0 {
-			return trace.BadParameter("field %d at byte %d is truncated or malformed", tag, at)
+			return trace.BadParameter("field %d at byte %d is truncated or malformed", tag, pos)
 		}
 		if err := visit(f); err != nil {
 			return err
 		}
-		at += n + size
+		pos += n + size
 	}
 	return nil
 }
--- a/appender/gap.go
+++ b/appender/gap.go
@@ -7,7 +7,7 @@
 // many, the oldest are dropped: a newer checkpoint needs only the newer ones. The zero value is empty.
 type Gap struct {
 	records []Record
-	bytes   int
+	size    int
 }
 
 // Add holds the record. A record that does not follow the last one drops what is held.
@@ -16,10 +16,10 @@
 		*g = Gap{}
 	}
 	g.records = append(g.records, r)
-	g.bytes += recordSize(r)
+	g.size += recordMemory(r)
 	n := 0
-	for g.bytes > maxGapBytes && n < len(g.records)-1 {
-		g.bytes -= recordSize(g.records[n])
+	for g.size > maxGapBytes && n < len(g.records)-1 {
+		g.size -= recordMemory(g.records[n])
 		g.records[n] = Record{}
 		n++
 	}
@@ -44,4 +44,4 @@
 }
 
 // recordSize counts the body and what the record itself takes.
-func recordSize(r Record) int { return len(r.Body) + len(r.ID) + 64 }
+func recordMemory(r Record) int { return len(r.Body) + len(r.ID) + 64 }
--- a/appender/tail.go
+++ b/appender/tail.go
@@ -52,15 +52,15 @@
 // Run reads until ctx ends or the next record is no longer retained; the error then satisfies IsTruncated. Failed reads
 // are reported to OnRead and repeated.
 func (t *Tail) Run(ctx context.Context) error {
-	next, pause, limit := t.From, firstBackoff, t.Limit
+	next, backoff, limit := t.From, minBackoff, t.Limit
 	if limit <= 0 {
-		limit = MaxLimit
+		limit = MaxReadRecords
 	}
 	// The first read does not wait, so that a new process learns at once that it has reached the head. Neither does
 	// one after a failure.
 	wait := timer.Millis(0)
 	for ctx.Err() == nil {
-		r := t.Client.read(ctx, t.Stream, next, limit, wait, orDefault(t.Timeout, defaultTailTimeout))
+		r := t.Client.hedgedRead(ctx, t.Stream, next, limit, wait, orDefault(t.Timeout, defaultTailTimeout))
 		switch {
 		case r.err != nil && ctx.Err() != nil:
 			return ctx.Err()
@@ -69,12 +69,12 @@
 			r.err = trace.CompareFailed("head %d of stream %q lies before offset %d, which was read already", r.page.Next, t.Stream, next)
 		}
 		if r.err != nil {
-			t.report(Progress{Began: r.began, Next: next, Err: r.err})
+			t.report(Progress{Began: r.startedAt, Next: next, Err: r.err})
 			if IsTruncated(r.err) {
 				return r.err
 			}
-			sleep(ctx, pause)
-			wait, pause = 0, min(2*pause, lastBackoff)
+			sleep(ctx, backoff)
+			wait, backoff = 0, min(2*backoff, maxBackoff)
 			continue
 		}
 		for _, record := range r.page.Records {
@@ -83,8 +83,8 @@
 			}
 			next = record.Offset + 1
 		}
-		t.report(Progress{Began: r.began, Next: next, First: r.page.First, Head: next >= r.page.Next})
-		wait, pause = orDefault(t.Wait, defaultTailWait), firstBackoff
+		t.report(Progress{Began: r.startedAt, Next: next, First: r.page.First, Head: next >= r.page.Next})
+		wait, backoff = orDefault(t.Wait, defaultTailWait), minBackoff
 	}
 	return ctx.Err()
 }
@@ -95,9 +95,9 @@
 	}
 }
 
-func orDefault(d, missing timer.Millis) timer.Millis {
+func orDefault(d, fallback timer.Millis) timer.Millis {
 	if d > 0 {
 		return d
 	}
-	return missing
+	return fallback
 }
--- a/appender/tail_test.go
+++ b/appender/tail_test.go
@@ -15,18 +15,18 @@
 )
 
 // follower runs a Tail in virtual time and keeps what it reports.
-type follower struct {
-	log   *emulator.Log
-	ended chan error
+type tailTest struct {
+	log  *emulator.Log
+	done chan error
 
-	mu     sync.Mutex
-	bodies string
-	reads  []appender.Progress
-	age    timer.Millis // of the last read when it was reported
+	mu       sync.Mutex
+	received string
+	reads    []appender.Progress
+	lastAge  timer.Millis // of the last read when it was reported
 }
 
-func follow(ctx context.Context, from uint64) *follower {
-	f := &follower{log: &emulator.Log{}, ended: make(chan error, 1)}
+func startTail(ctx context.Context, from uint64) *tailTest {
+	f := &tailTest{log: &emulator.Log{}, done: make(chan error, 1)}
 	started := time.Now()
 	now := func() timer.Millis { return timer.FromDuration(time.Since(started)) }
 	t := &appender.Tail{
@@ -37,36 +37,36 @@
 		OnRecord: func(r appender.Record) {
 			f.mu.Lock()
 			defer f.mu.Unlock()
-			f.bodies += string(r.Body)
+			f.received += string(r.Body)
 		},
 		OnRead: func(p appender.Progress) {
 			f.mu.Lock()
 			defer f.mu.Unlock()
-			f.reads, f.age = append(f.reads, p), now()-p.Began
+			f.reads, f.lastAge = append(f.reads, p), now()-p.Began
 		},
 	}
-	go func() { f.ended <- t.Run(ctx) }()
+	go func() { f.done <- t.Run(ctx) }()
 	return f
 }
 
 // add appends records.
-func (f *follower) add(bodies ...string) {
+func (f *tailTest) appendBodies(bodies ...string) {
 	for _, b := range bodies {
 		f.log.Append("roster", appender.NewID(), []byte(b))
 	}
 }
 
 // sleep passes time and lets the Tail come to rest.
-func (f *follower) sleep(d timer.Millis) {
+func (f *tailTest) advance(d timer.Millis) {
 	time.Sleep(d.Duration())
 	synctest.Wait()
 }
 
 // seen returns what was reported so far, and the last read with its age.
-func (f *follower) seen() (bodies string, reads []appender.Progress, last appender.Progress, age timer.Millis) {
+func (f *tailTest) snapshot() (bodies string, reads []appender.Progress, last appender.Progress, age timer.Millis) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.bodies, f.reads[:len(f.reads):len(f.reads)], f.reads[len(f.reads)-1], f.age
+	return f.received, f.reads[:len(f.reads):len(f.reads)], f.reads[len(f.reads)-1], f.lastAge
 }
 
 // Guards against lost, repeated or late records, and against a head, the basis of freshness leases, that is not true.
@@ -74,94 +74,94 @@
 	for _, c := range []struct {
 		name string
 		from uint64
-		run  func(t *testing.T, f *follower)
+		run  func(t *testing.T, f *tailTest)
 	}{
-		{"empty stream is confirmed at once", 0, func(t *testing.T, f *follower) {
-			if _, reads, _, _ := f.seen(); len(reads) != 1 || !reads[0].Head || reads[0].Began != 0 {
+		{"empty stream is confirmed at once", 0, func(t *testing.T, f *tailTest) {
+			if _, reads, _, _ := f.snapshot(); len(reads) != 1 || !reads[0].Head || reads[0].Began != 0 {
 				t.Errorf("got reads %+v", reads)
 			}
 		}},
-		{"idle stream is confirmed for 200 ms at a time", 0, func(t *testing.T, f *follower) {
-			f.sleep(1000)
-			if _, reads, p, age := f.seen(); !p.Head || age != 200 || len(reads) != 6 {
+		{"idle stream is confirmed for 200 ms at a time", 0, func(t *testing.T, f *tailTest) {
+			f.advance(1000)
+			if _, reads, p, age := f.snapshot(); !p.Head || age != 200 || len(reads) != 6 {
 				t.Errorf("got %+v with age %s after %d reads", p, age, len(reads))
 			}
 		}},
-		{"record arrives without delay, head only after the last one", 0, func(t *testing.T, f *follower) {
-			f.add("a")
+		{"record arrives without delay, head only after the last one", 0, func(t *testing.T, f *tailTest) {
+			f.appendBodies("a")
 			synctest.Wait()
-			if got, _, _, _ := f.seen(); got != "a" {
+			if got, _, _, _ := f.snapshot(); got != "a" {
 				t.Errorf("got records %q at once", got)
 			}
 			f.log.Change(func(s *emulator.LogSettings) { s.ReadDelay = 50 })
-			f.add("b", "c", "d", "e", "f")
+			f.appendBodies("b", "c", "d", "e", "f")
 			synctest.Wait()
-			_, before, _, _ := f.seen()
-			f.sleep(1000)
-			_, reads, _, _ := f.seen()
+			_, before, _, _ := f.snapshot()
+			f.advance(1000)
+			_, reads, _, _ := f.snapshot()
 			for _, p := range reads[len(before):] {
 				if p.Head != (p.Next == 6) {
 					t.Errorf("got %+v", p)
 				}
 			}
-			if got, _, _, _ := f.seen(); got != "abcdef" {
+			if got, _, _, _ := f.snapshot(); got != "abcdef" {
 				t.Errorf("got records %q", got)
 			}
 		}},
-		{"outage and silence are reported and end", 0, func(t *testing.T, f *follower) {
+		{"outage and silence are reported and end", 0, func(t *testing.T, f *tailTest) {
 			for _, faults := range []emulator.LogSettings{{Outage: true}, {Silent: true}} {
 				f.log.Change(func(s *emulator.LogSettings) { *s = faults })
-				f.sleep(3000)
-				if _, reads, p, _ := f.seen(); p.Err == nil || p.Head || len(reads) > 30 {
+				f.advance(3000)
+				if _, reads, p, _ := f.snapshot(); p.Err == nil || p.Head || len(reads) > 30 {
 					t.Errorf("got %+v after %d reads", p, len(reads))
 				}
 			}
 			f.log.Change(func(s *emulator.LogSettings) { s.Silent = false })
-			f.add("a")
-			f.sleep(1000)
-			if _, _, p, _ := f.seen(); !p.Head || p.Next != 1 {
+			f.appendBodies("a")
+			f.advance(1000)
+			if _, _, p, _ := f.snapshot(); !p.Head || p.Next != 1 {
 				t.Errorf("got %+v", p)
 			}
 		}},
-		{"silent connection is replaced within the lease", 0, func(t *testing.T, f *follower) {
-			f.add("a")
+		{"silent connection is replaced within the lease", 0, func(t *testing.T, f *tailTest) {
+			f.appendBodies("a")
 			f.log.SilenceConnections()
-			f.add("b")
-			f.sleep(1200)
-			if _, _, p, _ := f.seen(); !p.Head || p.Next != 2 || p.Began < 500 {
+			f.appendBodies("b")
+			f.advance(1200)
+			if _, _, p, _ := f.snapshot(); !p.Head || p.Next != 2 || p.Began < 500 {
 				t.Errorf("got %+v", p)
 			}
-			_, reads, _, _ := f.seen()
+			_, reads, _, _ := f.snapshot()
 			for _, p := range reads {
 				if p.Err != nil {
 					t.Errorf("got %+v", p)
 				}
 			}
 		}},
-		{"slow read is as old as its exchange", 0, func(t *testing.T, f *follower) {
+		{"slow read is as old as its exchange", 0, func(t *testing.T, f *tailTest) {
 			f.log.Change(func(s *emulator.LogSettings) { s.ReadDelay = 800 })
-			f.sleep(5000)
-			if _, _, p, age := f.seen(); !p.Head || age < 800 {
+			f.advance(5000)
+			if _, _, p, age := f.snapshot(); !p.Head || age < 800 {
 				t.Errorf("got %+v with age %s", p, age)
 			}
 		}},
-		{"dropped records end the tail", 0, func(t *testing.T, f *follower) {
+		{"dropped records end the tail", 0, func(t *testing.T, f *tailTest) {
 			f.log.Change(func(s *emulator.LogSettings) { s.Outage = true })
-			f.sleep(1000)
+			f.advance(1000)
 			f.log.Change(func(s *emulator.LogSettings) { *s = emulator.LogSettings{Retention: 1} })
-			f.add("a", "b", "c")
-			f.sleep(1000)
-			if bodies, _, _, _ := f.seen(); bodies != "" {
+			f.appendBodies("a", "b", "c")
+			f.advance(1000)
+			if bodies, _, _, _ := f.snapshot(); bodies != "" {
 				t.Errorf("got records %q", bodies)
 			}
-			if err := <-f.ended; !appender.IsTruncated(err) {
+			if err := <-f.done; !appender.IsTruncated(err) {
 				t.Errorf("got error %v", err)
 			}
-			f.ended <- nil
+			f.done <- nil
 		}},
-		{"log that lost records confirms nothing", 7, func(t *testing.T, f *follower) {
-			f.sleep(1000)
-			_, reads, _, _ := f.seen()
+		{"log that lost records confirms nothing", 7, func(t *testing.T, f *tailTest) {
+			f.advance(1000)
+			_, reads, _, _ := f.snapshot()
 			for _, p := range reads {
 				if p.Head || p.Err == nil || p.Next != 7 {
 					t.Errorf("got %+v", p)
@@ -172,11 +172,11 @@
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				ctx, cancel := context.WithCancel(t.Context())
-				f := follow(ctx, c.from)
+				f := startTail(ctx, c.from)
 				synctest.Wait()
 				c.run(t, f)
 				cancel()
-				if err := <-f.ended; err != nil && !errors.Is(err, context.Canceled) {
+				if err := <-f.done; err != nil && !errors.Is(err, context.Canceled) {
 					t.Errorf("got error %v", err)
 				}
 			})
--- a/appender/wire.go
+++ b/appender/wire.go
@@ -9,28 +9,28 @@
 )
 
 type (
-	appendWire struct {
+	appendRequest struct {
 		ID   string `json:"id"`
 		Body []byte `json:"body"`
 	}
 
-	offsetWire struct {
+	appendResponse struct {
 		Offset *uint64 `json:"offset"`
 	}
 
-	recordWire struct {
+	responseRecord struct {
 		Offset uint64 `json:"offset"`
 		ID     string `json:"id"`
 		Body   []byte `json:"body"`
 	}
 
-	pageWire struct {
-		First   *uint64      `json:"first"`
-		Next    *uint64      `json:"next"`
-		Records []recordWire `json:"records"`
+	readResponse struct {
+		First   *uint64          `json:"first"`
+		Next    *uint64          `json:"next"`
+		Records []responseRecord `json:"records"`
 	}
 
-	refusalWire struct {
+	errorResponse struct {
 		First    uint64 `json:"first"`
 		Appended *bool  `json:"appended"`
 	}
@@ -40,15 +40,15 @@
 	if body == nil {
 		body = []byte{}
 	}
-	b, err := json.Marshal(appendWire{ID: id, Body: body})
+	b, err := json.Marshal(appendRequest{ID: id, Body: body})
 	if err != nil {
 		panic(err) // strings and bytes always encode
 	}
 	return b
 }
 
-func decodeOffset(b []byte) (uint64, error) {
-	var w offsetWire
+func decodeAppendResponse(b []byte) (uint64, error) {
+	var w appendResponse
 	if err := json.Unmarshal(b, &w); err != nil {
 		return 0, trace.Wrap(err, "answer to an append is malformed")
 	}
@@ -62,8 +62,8 @@
 }
 
 // decodePage decodes a page and checks that its records are contiguous and follow from.
-func decodePage(b []byte, from uint64) (Page, error) {
-	var w pageWire
+func decodeReadResponse(b []byte, from uint64) (Page, error) {
+	var w readResponse
 	if err := json.Unmarshal(b, &w); err != nil {
 		return Page{}, trace.Wrap(err, "page of the log is malformed")
 	}
@@ -84,12 +84,12 @@
 }
 
 // decodeStatus returns the error for an answer other than success. Its body is optional.
-func decodeStatus(code int, b []byte) *statusError {
-	const longest = 200
-	e := &statusError{code: code, text: strings.ToValidUTF8(string(b[:min(len(b), longest)]), "?")}
-	var w refusalWire
+func decodeErrorResponse(code int, b []byte) *statusError {
+	const maxMessageLen = 200
+	e := &statusError{code: code, message: strings.ToValidUTF8(string(b[:min(len(b), maxMessageLen)]), "?")}
+	var w errorResponse
 	if json.Unmarshal(b, &w) == nil {
-		e.first, e.notAppended = w.First, w.Appended != nil && !*w.Appended
+		e.firstRetained, e.notAppended = w.First, w.Appended != nil && !*w.Appended
 	}
 	return e
 }
--- a/appender/wire_test.go
+++ b/appender/wire_test.go
@@ -22,7 +22,7 @@
 		f.Add([]byte(body), uint64(2))
 	}
 	f.Fuzz(func(t *testing.T, body []byte, from uint64) {
-		if p, err := decodePage(body, from); err == nil {
+		if p, err := decodeReadResponse(body, from); err == nil {
 			if p.First > p.Next || !bytes.Contains(bytes.ToLower(body), []byte("next")) {
 				t.Fatalf("got page %+v", p)
 			}
@@ -34,10 +34,10 @@
 				next++
 			}
 		}
-		if offset, err := decodeOffset(body); err == nil && offset == 1<<64-1 {
+		if offset, err := decodeAppendResponse(body); err == nil && offset == 1<<64-1 {
 			t.Fatal("the offset after the last one was accepted")
 		}
-		if s := decodeStatus(503, body); s.notAppended && !json.Valid(body) {
+		if s := decodeErrorResponse(503, body); s.notAppended && !json.Valid(body) {
 			t.Fatal("a malformed refusal was taken for a definite one")
 		}
 	})
--- a/watcher/bench_test.go
+++ b/watcher/bench_test.go
@@ -14,30 +14,30 @@
 	const members = 1700
 	for _, changes := range []int{0, 5} {
 		b.Run(fmt.Sprintf("changes/s=%d", changes), func(b *testing.B) {
-			s, err := newSealer(developmentSecret)
+			auth, err := newAuthenticator(developmentSecret)
 			if err != nil {
 				b.Fatal(err)
 			}
-			heap := func() uint64 {
+			heapAlloc := func() uint64 {
 				var m runtime.MemStats
 				runtime.GC()
 				runtime.ReadMemStats(&m)
 				return m.HeapAlloc
 			}
-			before := heap()
+			before := heapAlloc()
 			c := &Core{Self: Member{"self", "10.0.0.1:7000", 1, 0}}
-			list := make([]Member, members)
-			now, bytes := timer.Millis(1), 0
-			for i := range list {
-				list[i] = Member{fmt.Sprintf("worker-%04d-sidecar", i), fmt.Sprintf("10.1.%d.%d:7000", i/256, i%256), 1, 0}
-				c.Receive(now, "x", &Packet{Kind: KindAck, From: list[i]})
+			peers := make([]Member, members)
+			now, traffic := timer.Millis(1), 0
+			for i := range peers {
+				peers[i] = Member{fmt.Sprintf("worker-%04d-sidecar", i), fmt.Sprintf("10.1.%d.%d:7000", i/256, i%256), 1, 0}
+				c.Receive(now, "x", &Packet{Kind: KindAck, From: peers[i]})
 			}
-			memory := heap() - before
-			c.rumors = nil // the start is not part of the measurement
+			memory := heapAlloc() - before
+			c.gossipQueue = nil // the start is not part of the measurement
 			exchange := func(out Output) (answers []Packet) {
 				for i := range out.Send {
-					datagram := s.seal(&out.Send[i].Packet)
-					bytes += len(datagram) + 28 // headers of IP and UDP
+					datagram := auth.sealPacket(&out.Send[i].Packet)
+					traffic += len(datagram) + 28 // headers of IP and UDP
 					if p := out.Send[i].Packet; p.Kind == KindPing {
 						answers = append(answers, Packet{Kind: KindAck, Sequence: p.Sequence, From: p.Target, Target: p.Target, Updates: p.Updates})
 					}
@@ -45,9 +45,9 @@
 				return answers
 			}
 			deliver := func(p Packet) {
-				datagram := s.seal(&p)
-				bytes += len(datagram) + 28
-				opened, err := s.open(datagram)
+				datagram := auth.sealPacket(&p)
+				traffic += len(datagram) + 28
+				opened, err := auth.openDatagram(datagram)
 				if err != nil {
 					b.Fatal(err)
 				}
@@ -60,16 +60,16 @@
 						deliver(answer)
 					}
 					n++
-					deliver(Packet{Kind: KindPing, Sequence: uint64(n), From: list[n%members], Target: c.Self})
-					now += defaultPeriod
+					deliver(Packet{Kind: KindPing, Sequence: uint64(n), From: peers[n%members], Target: c.Self})
+					now += defaultProbeInterval
 				}
 				for range changes {
 					n++
-					list[n%members].Refutations++
-					deliver(Packet{Kind: KindPage, From: list[n%members]})
+					peers[n%members].Refutations++
+					deliver(Packet{Kind: KindPage, From: peers[n%members]})
 				}
 			}
-			b.ReportMetric(float64(bytes)/float64(b.N), "B/s")
+			b.ReportMetric(float64(traffic)/float64(b.N), "B/s")
 			b.ReportMetric(float64(memory)/members, "heap-B/member")
 			runtime.KeepAlive(c)
 		})
--- a/watcher/member.go
+++ b/watcher/member.go
@@ -19,7 +19,7 @@
 	StateDead
 
 	// MaxName is the longest identifier and the longest address of a member in bytes.
-	MaxName = 128
+	MaxNameLen = 128
 )
 
 type (
@@ -42,13 +42,13 @@
 	}
 
 	// row is the record of a member.
-	row struct {
-		member Member
-		state  State
-		sent   uint8        // how often the present state was told
-		queued bool         // the row is in Core.rumors
-		at     int          // index in Core.order
-		since  timer.Millis // when the state was entered
+	record struct {
+		member        Member
+		state         State
+		transmissions uint8        // how often the present state was told
+		queued        bool         // the row is in Core.rumors
+		index         int          // index in Core.order
+		stateSince    timer.Millis // when the state was entered
 	}
 )
 
@@ -75,7 +75,7 @@
 
 // overrides reports whether u replaces the record: a newer version always does, and of one version the worse state does.
 // The order is total, so all processes end with the same record in whichever order updates arrive.
-func (u Update) overrides(r *row) bool {
+func (u Update) overrides(r *record) bool {
 	if u.Member.newer(r.member) {
 		return true
 	}
@@ -83,7 +83,7 @@
 }
 
 // step moves the row along the chart. It panics when the chart refuses the event, because the callers check for that.
-func (r *row) step(event string) {
+func (r *record) applyEvent(event string) {
 	next, err := chart.Step(r.state.String(), event)
 	if err != nil {
 		panic(err)
--- a/watcher/packet.go
+++ b/watcher/packet.go
@@ -15,7 +15,7 @@
 	// KindAck answers a ping, or a request on behalf of Target.
 	KindAck
 	// KindRequest asks the receiver to ping Target.
-	KindRequest
+	KindPingRequest
 	// KindSync asks for the members whose identifiers follow Cursor.
 	KindSync
 	// KindPage answers a sync. Cursor is the last identifier of the page, empty at the end.
@@ -24,9 +24,9 @@
 	// MaxDatagram is the largest datagram in bytes. It fits into one packet on common networks.
 	MaxDatagram = 1400
 
-	maxUpdates = 64
-	sealSize   = 16
-	version    = 1
+	maxUpdates      = 64
+	macSize         = 16
+	protocolVersion = 1
 )
 
 type (
@@ -44,40 +44,40 @@
 	}
 
 	// sealer signs and verifies datagrams with a key that is derived from the secret.
-	sealer struct{ key []byte }
+	authenticator struct{ key []byte }
 )
 
-func newSealer(secret string) (sealer, error) {
+func newAuthenticator(secret string) (authenticator, error) {
 	key, err := hkdf.Key(sha256.New, []byte(secret), nil, "crocuslb/1 watcher", sha256.Size)
-	return sealer{key}, err
+	return authenticator{key}, err
 }
 
-func (s sealer) sum(dst, data []byte) []byte {
+func (s authenticator) appendMAC(dst, data []byte) []byte {
 	h := hmac.New(sha256.New, s.key)
 	h.Write(data)
 	return h.Sum(dst)
 }
 
 // seal returns the datagram of p.
-func (s sealer) seal(p *Packet) []byte {
+func (s authenticator) sealPacket(p *Packet) []byte {
 	b := appendPacket(make([]byte, 0, 256), p)
-	return s.sum(b, b)[:len(b)+sealSize]
+	return s.appendMAC(b, b)[:len(b)+macSize]
 }
 
 // open verifies and decodes a datagram.
-func (s sealer) open(datagram []byte) (Packet, error) {
-	size := len(datagram) - sealSize
+func (s authenticator) openDatagram(datagram []byte) (Packet, error) {
+	size := len(datagram) - macSize
 	if size < 0 || len(datagram) > MaxDatagram {
 		return Packet{}, trace.BadParameter("datagram of %d bytes", len(datagram))
 	}
-	if !hmac.Equal(s.sum(nil, datagram[:size])[:sealSize], datagram[size:]) {
+	if !hmac.Equal(s.appendMAC(nil, datagram[:size])[:macSize], datagram[size:]) {
 		return Packet{}, trace.AccessDenied("datagram with a wrong seal")
 	}
 	return decodePacket(datagram[:size])
 }
 
 func appendPacket(b []byte, p *Packet) []byte {
-	b = append(b, version, byte(p.Kind))
+	b = append(b, protocolVersion, byte(p.Kind))
 	b = protowire.AppendVarint(b, p.Sequence)
 	b = appendMember(b, &p.From)
 	b = appendMember(b, &p.Target)
@@ -100,20 +100,22 @@
 }
 
 // size bounds the encoded size of an update from above.
-func (u *Update) size() int { return len(u.Member.ID) + len(u.Member.Address) + 1 + 2*2 + 2*10 }
+func (u *Update) maxEncodedSize() int {
+	return len(u.Member.ID) + len(u.Member.Address) + 1 + 2*2 + 2*10
+}
 
 // parser takes values from the front of a datagram. After the first fault, failed stays set.
-type parser struct {
-	rest   []byte
-	failed bool
+type decoder struct {
+	remaining []byte
+	failed    bool
 }
 
 func decodePacket(b []byte) (Packet, error) {
-	if len(b) < 2 || b[0] != version || Kind(b[1]) < KindPing || Kind(b[1]) > KindPage {
+	if len(b) < 2 || b[0] != protocolVersion || Kind(b[1]) < KindPing || Kind(b[1]) > KindPage {
 		return Packet{}, trace.BadParameter("packet of an unknown version or kind")
 	}
-	d := parser{rest: b[2:]}
-	p := Packet{Kind: Kind(b[1]), Sequence: d.varint(), From: d.member(), Target: d.member(), Cursor: d.text()}
+	d := decoder{remaining: b[2:]}
+	p := Packet{Kind: Kind(b[1]), Sequence: d.varint(), From: d.member(), Target: d.member(), Cursor: d.name()}
 	count := int(d.byte())
 	if count > maxUpdates {
 		return Packet{}, trace.BadParameter("packet has %d updates, at most %d are allowed", count, maxUpdates)
@@ -128,50 +130,50 @@
 			d.failed = true
 		}
 	}
-	if d.failed || len(d.rest) > 0 || p.From.ID == "" {
+	if d.failed || len(d.remaining) > 0 || p.From.ID == "" {
 		return Packet{}, trace.BadParameter("packet of kind %d is malformed", b[1])
 	}
 	return p, nil
 }
 
-func (d *parser) advance(n int) bool {
+func (d *decoder) advance(n int) bool {
 	if n < 0 || d.failed {
-		d.failed, d.rest = true, nil
+		d.failed, d.remaining = true, nil
 		return false
 	}
-	d.rest = d.rest[n:]
+	d.remaining = d.remaining[n:]
 	return true
 }
 
-func (d *parser) byte() byte {
-	if len(d.rest) == 0 {
+func (d *decoder) byte() byte {
+	if len(d.remaining) == 0 {
 		d.failed = true
 		return 0
 	}
-	b := d.rest[0]
+	b := d.remaining[0]
 	d.advance(1)
 	return b
 }
 
-func (d *parser) varint() uint64 {
-	v, n := protowire.ConsumeVarint(d.rest)
+func (d *decoder) varint() uint64 {
+	v, n := protowire.ConsumeVarint(d.remaining)
 	d.advance(n)
 	return v
 }
 
-func (d *parser) text() string {
-	raw, n := protowire.ConsumeBytes(d.rest)
-	if d.advance(n) && len(raw) <= MaxName {
+func (d *decoder) name() string {
+	raw, n := protowire.ConsumeBytes(d.remaining)
+	if d.advance(n) && len(raw) <= MaxNameLen {
 		return string(raw)
 	}
 	d.failed = true
 	return ""
 }
 
-func (d *parser) member() Member {
-	m := Member{ID: d.text()}
+func (d *decoder) member() Member {
+	m := Member{ID: d.name()}
 	if m.ID != "" {
-		m.Address, m.Incarnation, m.Refutations = d.text(), d.varint(), d.varint()
+		m.Address, m.Incarnation, m.Refutations = d.name(), d.varint(), d.varint()
 	}
 	return m
 }
--- a/watcher/packet_test.go
+++ b/watcher/packet_test.go
@@ -19,28 +19,28 @@
 
 // Guards against fields that are lost, and against datagrams that another key sealed or that were changed on the way.
 func TestSeal(t *testing.T) {
-	s, _ := newSealer(strings.Repeat("a", MinSecret))
-	other, _ := newSealer(strings.Repeat("b", MinSecret))
+	auth, _ := newAuthenticator(strings.Repeat("a", MinSecretLen))
+	other, _ := newAuthenticator(strings.Repeat("b", MinSecretLen))
 	for _, want := range packets {
-		datagram := s.seal(&want)
-		if got, err := s.open(datagram); err != nil || !reflect.DeepEqual(got, want) {
+		datagram := auth.sealPacket(&want)
+		if got, err := auth.openDatagram(datagram); err != nil || !reflect.DeepEqual(got, want) {
 			t.Errorf("got %+v, %v, want %+v", got, err, want)
 		}
-		if _, err := other.open(datagram); err == nil {
+		if _, err := other.openDatagram(datagram); err == nil {
 			t.Error("another key opened the datagram")
 		}
 		for i := range datagram {
-			if _, err := s.open(datagram[:i]); err == nil {
+			if _, err := auth.openDatagram(datagram[:i]); err == nil {
 				t.Errorf("%d of %d bytes were accepted", i, len(datagram))
 			}
 			datagram[i] ^= 1
-			if _, err := s.open(datagram); err == nil {
+			if _, err := auth.openDatagram(datagram); err == nil {
 				t.Errorf("a change of byte %d was accepted", i)
 			}
 			datagram[i] ^= 1
 		}
 	}
-	if _, err := s.open(make([]byte, MaxDatagram+1)); err == nil {
+	if _, err := auth.openDatagram(make([]byte, MaxDatagram+1)); err == nil {
 		t.Error("a datagram above the limit was accepted")
 	}
 }
@@ -55,10 +55,10 @@
 		var want []Update
 		for range 4 {
 			c := &Core{Self: Member{ID: "self"}}
-			c.begin()
-			c.apply(1, Update{Member{ID: "m"}, StateAlive})
+			c.beginCall()
+			c.applyUpdate(1, Update{Member{ID: "m"}, StateAlive})
 			for _, u := range rapid.Permutation(updates).Draw(t, "order") {
-				c.apply(1, u)
+				c.applyUpdate(1, u)
 			}
 			if want == nil {
 				want = c.Members()
@@ -93,42 +93,42 @@
 // Guards against a process that does not find others, or does not notice that one left or fell silent.
 func TestProcess(t *testing.T) {
 	changes := make(chan string, 1000)
-	first, stop := context.WithCancel(t.Context())
-	second, leave := context.WithCancel(t.Context())
-	watch := &Process{Secret: strings.Repeat("s", MinSecret), OnChange: func(m Member, s State) { changes <- m.ID + " " + s.String() }}
-	watch.Core.Self = Member{ID: "a", Incarnation: 1}
-	address, err := watch.Start(first, "127.0.0.1:0")
+	observerCtx, stopObserver := context.WithCancel(t.Context())
+	othersCtx, stopOthers := context.WithCancel(t.Context())
+	observer := &Process{Secret: strings.Repeat("s", MinSecretLen), OnChange: func(m Member, s State) { changes <- m.ID + " " + s.String() }}
+	observer.Core.Self = Member{ID: "a", Incarnation: 1}
+	address, err := observer.Start(observerCtx, "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	leaving, silent := &Process{}, &Process{}
-	for i, p := range []*Process{leaving, silent} {
-		p.Secret, p.Seeds, p.Core.Self = watch.Secret, []string{address}, Member{ID: fmt.Sprint("b", i), Incarnation: 1}
+	leaving, crashed := &Process{}, &Process{}
+	for i, p := range []*Process{leaving, crashed} {
+		p.Secret, p.Seeds, p.Core.Self = observer.Secret, []string{address}, Member{ID: fmt.Sprint("b", i), Incarnation: 1}
 		p.Core.Period, p.Core.Suspicion = 100, 300
-		if _, err := p.Start(second, "127.0.0.1:0"); err != nil {
+		if _, err := p.Start(othersCtx, "127.0.0.1:0"); err != nil {
 			t.Fatal(err)
 		}
 	}
-	seen := map[string]bool{}
+	observed := map[string]bool{}
 	await := func(want string) {
 		t.Helper()
-		for limit := time.After(time.Minute); !seen[want]; {
+		for timeout := time.After(time.Minute); !observed[want]; {
 			select {
 			case got := <-changes:
-				seen[got] = true
-			case <-limit:
+				observed[got] = true
+			case <-timeout:
 				t.Fatalf("got no change %q", want)
 			}
 		}
 	}
 	await("b0 alive")
 	await("b1 alive")
-	_ = silent.socket.Close() // without a word
+	_ = crashed.socket.Close() // without a word
 	await("b1 dead")
-	leave()
+	stopOthers()
 	await("b0 dead")
-	stop()
-	watch.Wait()
+	stopObserver()
+	observer.Wait()
 	for _, p := range []*Process{{}, {Secret: "short"}} {
 		p.Core.Self.ID = "c"
 		if _, err := p.Start(t.Context(), "0.0.0.0:0"); err == nil || !strings.Contains(err.Error(), "secret") {
--- a/watcher/probe.go
+++ b/watcher/probe.go
@@ -8,54 +8,54 @@
 
 // startProbe pings the next member that is not dead. Each round visits every member once, in a new random order.
 func (c *Core) startProbe(now timer.Millis) {
-	for range c.order {
-		if c.position >= len(c.order) {
-			c.position = 0
-			c.random.Shuffle(len(c.order), c.swap)
+	for range c.probeOrder {
+		if c.nextProbe >= len(c.probeOrder) {
+			c.nextProbe = 0
+			c.rng.Shuffle(len(c.probeOrder), c.swapProbeOrder)
 		}
-		r := c.order[c.position]
-		c.position++
+		r := c.probeOrder[c.nextProbe]
+		c.nextProbe++
 		if r.state == StateDead {
 			continue
 		}
 		c.sequence++
-		c.probe = probe{target: r, member: r.member, sequence: c.sequence, deadline: now + c.timeout()}
+		c.currentProbe = probe{target: r, member: r.member, sequence: c.sequence, deadline: now + c.probeTimeout()}
 		c.send(r.member.Address, Packet{
-			Kind: KindPing, Sequence: c.sequence, Target: r.member, Updates: c.news(r.member.ID),
+			Kind: KindPing, Sequence: c.sequence, Target: r.member, Updates: c.refutableUpdate(r.member.ID),
 		})
 		return
 	}
 }
 
 // conclude ends the probe of the past period.
-func (c *Core) conclude(now timer.Millis) {
-	r, probed := c.probe.target, c.probe.member
-	c.probe = probe{}
+func (c *Core) finishProbe(now timer.Millis) {
+	r, probed := c.currentProbe.target, c.currentProbe.member
+	c.currentProbe = probe{}
 	if r == nil || r.state == StateDead || r.member.newer(probed) {
 		return
 	}
 	before := r.state
-	r.step("probeFailed")
-	c.entered(now, r, before != r.state)
+	r.applyEvent("probeFailed")
+	c.afterTransition(now, r, before != r.state)
 }
 
 // acknowledge ends the own probe, or one that runs on behalf of another member.
-func (c *Core) acknowledge(p *Packet) {
-	if t := c.probe.target; t != nil && p.Sequence == c.probe.sequence && p.Target.ID == t.member.ID {
-		c.probe = probe{}
+func (c *Core) handleAck(p *Packet) {
+	if t := c.currentProbe.target; t != nil && p.Sequence == c.currentProbe.sequence && p.Target.ID == t.member.ID {
+		c.currentProbe = probe{}
 		return
 	}
-	i := slices.IndexFunc(c.relays, func(r relay) bool { return r.sequence == p.Sequence && r.target == p.From.ID })
+	i := slices.IndexFunc(c.relays, func(r relay) bool { return r.sequence == p.Sequence && r.targetID == p.From.ID })
 	if i < 0 {
 		return
 	}
 	r := c.relays[i]
 	c.relays = slices.Delete(c.relays, i, i+1)
-	c.send(r.to, Packet{Kind: KindAck, Sequence: r.original, Target: p.From})
+	c.send(r.requester, Packet{Kind: KindAck, Sequence: r.requesterSequence, Target: p.From})
 }
 
 // relay pings the target of a request. The oldest relay is dropped when there are too many.
-func (c *Core) relay(from string, p *Packet) {
+func (c *Core) relayProbe(from string, p *Packet) {
 	if p.Target.ID == "" || p.Target.ID == c.Self.ID {
 		return
 	}
@@ -65,19 +65,19 @@
 	c.sequence++
 	c.relays = append(c.relays, relay{c.sequence, from, p.Sequence, p.Target.ID})
 	c.send(p.Target.Address, Packet{
-		Kind: KindPing, Sequence: c.sequence, Target: p.Target, Updates: c.news(p.Target.ID),
+		Kind: KindPing, Sequence: c.sequence, Target: p.Target, Updates: c.refutableUpdate(p.Target.ID),
 	})
 }
 
 // pick returns up to n different live members other than the one named.
-func (c *Core) pick(n int, except string) []*row {
-	var list []*row
+func (c *Core) randomAlive(n int, except string) []*record {
+	var list []*record
 	// The attempts are bounded, so that the cost does not grow with the number of dead members.
 	for range 4 * n {
-		if len(c.order) == 0 || len(list) == n {
+		if len(c.probeOrder) == 0 || len(list) == n {
 			break
 		}
-		r := c.order[c.random.IntN(len(c.order))]
+		r := c.probeOrder[c.rng.IntN(len(c.probeOrder))]
 		if r.state == StateAlive && r.member.ID != except && !slices.Contains(list, r) {
 			list = append(list, r)
 		}
--- a/watcher/process.go
+++ b/watcher/process.go
@@ -17,19 +17,19 @@
 
 const (
 	// MinSecret is the shortest secret in bytes.
-	MinSecret = 32
+	MinSecretLen = 32
 	// developmentSecret protects nothing. It is used on loopback only.
 	developmentSecret = "insecure development secret of crocuslb"
 	// maxWaiting bounds the datagrams that were received and not yet handled; later ones are dropped.
-	maxWaiting = 256
+	receiveQueueLen = 256
 	// rejoinPeriod is the time between two attempts to join at first, and while no member is known.
-	rejoinPeriod = timer.Second
+	joinRetryInterval = timer.Second
 	// firstJoins is the number of attempts at first. Processes that start together join seeds that know nobody yet; with
 	// one attempt they found each other only after reseedPeriod.
-	firstJoins = 10
+	initialJoins = 10
 	// reseedPeriod is the time between two attempts to join otherwise. They unite groups that do not know each other
 	// because their members started while they were separated.
-	reseedPeriod = timer.Minute
+	rejoinInterval = timer.Minute
 )
 
 type (
@@ -44,15 +44,15 @@
 		// It must not block for long.
 		OnChange func(m Member, s State)
 
-		sealer  sealer
-		socket  *net.UDPConn
-		refused atomic.Uint64
-		asks    chan chan<- []Update
-		ended   chan struct{} // closed when no ask is answered any more
-		wait    sync.WaitGroup
+		authenticator  authenticator
+		socket         *net.UDPConn
+		rejected       atomic.Uint64
+		memberRequests chan chan<- []Update
+		done           chan struct{} // closed when no ask is answered any more
+		goroutines     sync.WaitGroup
 	}
 
-	arrival struct {
+	receivedPacket struct {
 		from   string
 		packet Packet
 	}
@@ -61,60 +61,60 @@
 // Start begins to watch on a UDP address, until ctx ends; it then tells others that this process leaves. It returns the
 // bound address, which becomes the address of Core.Self when that is empty.
 func (p *Process) Start(ctx context.Context, address string) (string, error) {
-	at, err := net.ResolveUDPAddr("udp", address)
+	udpAddress, err := net.ResolveUDPAddr("udp", address)
 	if err != nil {
 		return "", trace.BadParameter("watcher address %q: %v", address, err)
 	}
 	secret := p.Secret
 	switch {
-	case secret == "" && !at.IP.IsLoopback():
-		return "", trace.BadParameter("address %v is not a loopback address; other addresses require a secret", at)
+	case secret == "" && !udpAddress.IP.IsLoopback():
+		return "", trace.BadParameter("address %v is not a loopback address; other addresses require a secret", udpAddress)
 	case secret == "":
 		secret = developmentSecret
-	case len(secret) < MinSecret:
-		return "", trace.BadParameter("the secret has %d bytes, at least %d are required", len(secret), MinSecret)
+	case len(secret) < MinSecretLen:
+		return "", trace.BadParameter("the secret has %d bytes, at least %d are required", len(secret), MinSecretLen)
 	}
-	if p.sealer, err = newSealer(secret); err != nil {
+	if p.authenticator, err = newAuthenticator(secret); err != nil {
 		return "", trace.Wrap(err, "cannot derive the key")
 	}
-	if p.socket, err = net.ListenUDP("udp", at); err != nil {
+	if p.socket, err = net.ListenUDP("udp", udpAddress); err != nil {
 		return "", trace.ConnectionProblem(err, "cannot listen on %q: %v", address, err)
 	}
 	bound := p.socket.LocalAddr().String()
 	if p.Core.Self.Address == "" {
 		p.Core.Self.Address = bound
 	}
-	if s := &p.Core.Self; s.ID == "" || len(s.ID) > MaxName || len(s.Address) > MaxName {
+	if s := &p.Core.Self; s.ID == "" || len(s.ID) > MaxNameLen || len(s.Address) > MaxNameLen {
 		_ = p.socket.Close()
-		return "", trace.BadParameter("identifier %q and address %q need 1 to %d bytes", s.ID, s.Address, MaxName)
+		return "", trace.BadParameter("identifier %q and address %q need 1 to %d bytes", s.ID, s.Address, MaxNameLen)
 	}
-	arrivals := make(chan arrival, maxWaiting)
-	p.asks, p.ended = make(chan chan<- []Update), make(chan struct{})
-	p.wait.Go(func() { p.read(arrivals) })
-	p.wait.Go(func() { p.run(ctx, arrivals) })
+	received := make(chan receivedPacket, receiveQueueLen)
+	p.memberRequests, p.done = make(chan chan<- []Update), make(chan struct{})
+	p.goroutines.Go(func() { p.receiveLoop(received) })
+	p.goroutines.Go(func() { p.eventLoop(ctx, received) })
 	return bound, nil
 }
 
 // Wait blocks until the process has ended after its context.
-func (p *Process) Wait() { p.wait.Wait() }
+func (p *Process) Wait() { p.goroutines.Wait() }
 
 // Members returns the records of all other members, in no order, and nothing after the end. Start must have succeeded.
 // It must not be called from OnChange, because the goroutine that answers is the one that calls OnChange.
 func (p *Process) Members() []Update {
-	answer := make(chan []Update, 1)
+	response := make(chan []Update, 1)
 	select {
-	case p.asks <- answer:
-		return <-answer
-	case <-p.ended:
+	case p.memberRequests <- response:
+		return <-response
+	case <-p.done:
 		return nil
 	}
 }
 
 // Refused returns the number of datagrams that were malformed, had a wrong seal, or came too fast.
-func (p *Process) Refused() uint64 { return p.refused.Load() }
+func (p *Process) Refused() uint64 { return p.rejected.Load() }
 
 // read decodes datagrams until the socket is closed.
-func (p *Process) read(arrivals chan<- arrival) {
+func (p *Process) receiveLoop(received chan<- receivedPacket) {
 	buffer := make([]byte, MaxDatagram+1)
 	for {
 		n, from, err := p.socket.ReadFromUDPAddrPort(buffer)
@@ -124,52 +124,52 @@
 			}
 			continue
 		}
-		packet, err := p.sealer.open(buffer[:n])
+		packet, err := p.authenticator.openDatagram(buffer[:n])
 		if err != nil {
-			p.refused.Add(1)
+			p.rejected.Add(1)
 			continue
 		}
 		select {
-		case arrivals <- arrival{from.String(), packet}:
+		case received <- receivedPacket{from.String(), packet}:
 		default:
-			p.refused.Add(1)
+			p.rejected.Add(1)
 		}
 	}
 }
 
 // run owns the core.
-func (p *Process) run(ctx context.Context, arrivals <-chan arrival) {
-	defer close(p.ended)
+func (p *Process) eventLoop(ctx context.Context, received <-chan receivedPacket) {
+	defer close(p.done)
 	defer p.socket.Close() //nolint:errcheck // nothing is left to do with the socket
-	alarm := time.NewTimer(0)
-	defer alarm.Stop()
-	joined, joins, first := p.Clock.Now()-reseedPeriod, 0, rand.IntN(max(len(p.Seeds), 1))
+	tickTimer := time.NewTimer(0)
+	defer tickTimer.Stop()
+	lastJoin, joinCount, firstSeed := p.Clock.Now()-rejoinInterval, 0, rand.IntN(max(len(p.Seeds), 1))
 	for {
 		select {
 		case <-ctx.Done():
-			p.perform(p.Core.Leave())
+			p.handleOutput(p.Core.Leave())
 			return
-		case a := <-arrivals:
-			p.perform(p.Core.Receive(p.Clock.Now(), a.from, &a.packet))
-		case answer := <-p.asks:
-			answer <- p.Core.Members()
-		case <-alarm.C:
+		case r := <-received:
+			p.handleOutput(p.Core.Receive(p.Clock.Now(), r.from, &r.packet))
+		case response := <-p.memberRequests:
+			response <- p.Core.Members()
+		case <-tickTimer.C:
 			now := p.Clock.Now()
-			p.perform(p.Core.Tick(now))
-			period := reseedPeriod
-			if joins < firstJoins || len(p.Core.order) == 0 {
-				period = rejoinPeriod
+			p.handleOutput(p.Core.Tick(now))
+			interval := rejoinInterval
+			if joinCount < initialJoins || len(p.Core.probeOrder) == 0 {
+				interval = joinRetryInterval
 			}
-			if len(p.Seeds) > 0 && now-joined >= period {
-				p.perform(p.Core.Join(p.Seeds[(first+joins)%len(p.Seeds)]))
-				joined, joins = now, joins+1
+			if len(p.Seeds) > 0 && now-lastJoin >= interval {
+				p.handleOutput(p.Core.Join(p.Seeds[(firstSeed+joinCount)%len(p.Seeds)]))
+				lastJoin, joinCount = now, joinCount+1
 			}
-			alarm.Reset(max(1, p.Core.Next()-now).Duration())
+			tickTimer.Reset(max(1, p.Core.Next()-now).Duration())
 		}
 	}
 }
 
-func (p *Process) perform(out Output) {
+func (p *Process) handleOutput(out Output) {
 	for i := range out.Send {
 		// Names are not resolved, because that would block.
 		to, err := netip.ParseAddrPort(out.Send[i].To)
@@ -177,7 +177,7 @@
 			continue
 		}
 		// A lost datagram and one that cannot be sent are the same to the protocol.
-		_, _ = p.socket.WriteToUDPAddrPort(p.sealer.seal(&out.Send[i].Packet), to)
+		_, _ = p.socket.WriteToUDPAddrPort(p.authenticator.sealPacket(&out.Send[i].Packet), to)
 	}
 	if p.OnChange != nil {
 		for _, u := range out.Changes {
