--- a/watcher/bench_test.go
+++ b/watcher/bench_test.go
@@ -8,8 +8,8 @@
 	"github.com/crocuslb/crocuslb/timer"
 )
 
-// BenchmarkMember measures one member among 1,700 for one second of virtual time: its own probes, the answers, the
-// probes of others, and the coding and sealing of all its datagrams in both directions.
+// BenchmarkMember measures one of 1,700 members for one second of virtual time: its own probes, their acks, the probes
+// of others, and the encoding, signing and verification of all its datagrams.
 func BenchmarkMember(b *testing.B) {
 	const members = 1700
 	for _, changes := range []int{0, 5} {
@@ -33,10 +33,10 @@
 				c.Receive(now, "x", &Packet{Kind: KindAck, From: peers[i]})
 			}
 			memory := heapAlloc() - before
-			c.gossipQueue = nil // the start is not part of the measurement
+			c.gossipQueue = nil // exclude the gossip about the initial members
 			exchange := func(out Output) (answers []Packet) {
 				for i := range out.Send {
-					datagram := auth.sealPacket(&out.Send[i].Packet)
+					datagram := auth.signPacket(&out.Send[i].Packet)
 					traffic += len(datagram) + 28 // headers of IP and UDP
 					if p := out.Send[i].Packet; p.Kind == KindPing {
 						answers = append(answers, Packet{Kind: KindAck, Sequence: p.Sequence, From: p.Target, Target: p.Target, Updates: p.Updates})
@@ -45,17 +45,17 @@
 				return answers
 			}
 			deliver := func(p Packet) {
-				datagram := auth.sealPacket(&p)
+				datagram := auth.signPacket(&p)
 				traffic += len(datagram) + 28
-				opened, err := auth.openDatagram(datagram)
+				verified, err := auth.verifyDatagram(datagram)
 				if err != nil {
 					b.Fatal(err)
 				}
-				exchange(c.Receive(now, "10.1.0.1:7000", &opened))
+				exchange(c.Receive(now, "10.1.0.1:7000", &verified))
 			}
 			n := 0
 			for b.Loop() {
-				for range 2 { // two periods in a second
+				for range 2 { // two probe intervals per second
 					for _, answer := range exchange(c.Tick(now)) {
 						deliver(answer)
 					}
--- a/watcher/core.go
+++ b/watcher/core.go
@@ -9,76 +9,77 @@
 
 const (
 	defaultProbeInterval = 500
-	// syncPeriods is the number of periods between two requests for a page of another member's records. They repair
-	// what rumors missed, and reach members that were declared dead across a partition.
+	// syncPeriods is the number of probe intervals between two requests for a page of another member's records. This
+	// anti-entropy repairs what gossip missed, and reaches members that were declared dead across a partition.
 	syncPeriods = 20
-	// forgetAfter is longer than the usual partitions of about an hour, so that both sides find each other again.
+	// deadRetention is how long the record of a dead member is kept. It exceeds the usual partitions of about an hour,
+	// so that both sides find each other again.
 	deadRetention = 6 * 60 * timer.Minute
-	// indirect is the number of members that are asked to probe on behalf of another one.
+	// indirectProbes is the number of members that are asked for an indirect probe.
 	indirectProbes = 3
-	// maxRelays bounds the probes that run on behalf of others.
+	// maxRelays bounds the indirect probes in progress for other members.
 	maxRelays = 64
-	// maxRumorBytes bounds the updates on a packet other than a page.
+	// maxGossipBytes bounds the size of the updates that are piggybacked on a packet.
 	maxGossipBytes = 512
-	// headerBytes bounds the size of a packet without members, cursor and updates, and with its seal.
+	// packetOverhead bounds the size of a packet without its members, cursor and updates, but with its MAC.
 	packetOverhead = 64
-	// wholeList is the sequence number of a sync that goes on until the last page.
+	// fullSync is the sequence number of a sync that requests all pages, one after another.
 	fullSync = 1
-	// maxMembers bounds the memory that members, or a faulty one, can claim. 1,700 workers are required.
+	// maxMembers bounds the memory for records, also when a faulty member announces many. 1,700 workers are required.
 	maxMembers = 16384
 )
 
 type (
-	// Core is the pure part of failure detection: it has no clock and does no input or output. Set the exported fields
-	// before the first call. It is not safe for concurrent use.
+	// Core is the failure detector without clock, input and output. Set the exported fields before the first call. It is
+	// not safe for concurrent use.
 	Core struct {
-		Self      Member
-		Seed      uint64       // of the random choices
-		Period    timer.Millis // between probes; 0 means 500
-		Timeout   timer.Millis // of a direct probe, less than Period; 0 means a third of Period
-		Suspicion timer.Millis // until a suspect is declared dead; 0 means 3 periods times the decimal digits of the member count
+		Self             Member
+		Seed             uint64       // of the random number generator
+		ProbeInterval    timer.Millis // between two probes; 0 means 500 ms
+		ProbeTimeout     timer.Millis // of a direct probe, less than ProbeInterval; 0 means a third of ProbeInterval
+		SuspicionTimeout timer.Millis // until a suspect is declared dead; 0 means 3 probe intervals times the decimal digits of the member count
 
 		rng          *rand.Rand
 		records      map[string]*record
-		probeOrder   []*record // probe order
+		probeOrder   []*record // shuffled after each round
 		nextProbe    int
-		sortedIDs    []string // identifiers in order, for pages; nil when out of date
+		sortedIDs    []string // for pages; nil when out of date
 		gossipQueue  []*record
-		suspects     []*record // in the order of since
-		dead         []*record // in the order of since
+		suspects     []*record // in the order of stateSince
+		dead         []*record // in the order of stateSince
 		currentProbe probe
 		relays       []relay
 		sequence     uint64
-		nextPeriod   timer.Millis // start of the next period
-		lastTick     timer.Millis // time of the last tick
+		nextPeriod   timer.Millis // start of the next probe interval
+		lastTick     timer.Millis
 		started      bool
 		periodCount  int
 		leaving      bool
 		output       Output
 	}
 
-	// Output is what a call of Core asks for. It is valid until the next call.
+	// Output holds the datagrams to send and the changes to report after a call of Core. It is valid until the next call.
 	Output struct {
 		Send    []Datagram
 		Changes []Update
 	}
 
-	// Datagram is a packet to an address.
+	// Datagram is a packet with the address of its receiver.
 	Datagram struct {
 		To     string
 		Packet Packet
 	}
 
-	// probe is the probe of the current period.
+	// probe is the probe of the current probe interval.
 	probe struct {
 		target   *record
-		member   Member // the version that was probed
+		member   Member // as of the start of the probe
 		sequence uint64
-		indirect bool         // others were asked
+		indirect bool         // indirect probes were requested
 		deadline timer.Millis // of the direct probe
 	}
 
-	// relay is a probe on behalf of another member.
+	// relay is an indirect probe for another member.
 	relay struct {
 		sequence          uint64
 		requester         string
@@ -87,14 +88,15 @@
 	}
 )
 
-// Join asks the process at an address for its members. Repeat it until Members is not empty.
+// Join requests the member list of the process at an address. Repeat it until Members is not empty.
 func (c *Core) Join(address string) Output {
 	c.beginCall()
 	c.send(address, Packet{Kind: KindSync, Sequence: fullSync})
 	return c.output
 }
 
-// Leave declares this member dead by its own wish, and tells some members at once. It does not refute from then on.
+// Leave announces to some random members that this member leaves, as its death. Reports of its death are not refuted
+// from then on.
 func (c *Core) Leave() Output {
 	c.beginCall()
 	c.leaving = true
@@ -104,7 +106,7 @@
 	return c.output
 }
 
-// Members returns the records of all other members, in no order.
+// Members returns all other members in no particular order.
 func (c *Core) Members() []Update {
 	list := make([]Update, 0, len(c.probeOrder))
 	for _, r := range c.probeOrder {
@@ -113,8 +115,8 @@
 	return list
 }
 
-// Next returns the time at which Tick has something to do.
-func (c *Core) Next() timer.Millis {
+// NextTick returns the time at which Tick is due.
+func (c *Core) NextTick() timer.Millis {
 	next := c.nextPeriod
 	if c.currentProbe.target != nil && !c.currentProbe.indirect {
 		next = min(next, c.currentProbe.deadline)
@@ -122,14 +124,15 @@
 	return next
 }
 
-// Tick probes, suspects and declares dead as the time demands. Late calls are harmless: a pause of this process does not
-// count against the others.
+// Tick starts and finishes probes and applies the timeouts that are due. After a pause of this process of more than two
+// probe intervals, it discards the probe in progress and extends the suspicions by the pause, because answers and
+// refutations may still wait in the socket.
 func (c *Core) Tick(now timer.Millis) Output {
 	c.beginCall()
 	if !c.started {
 		c.started, c.nextPeriod, c.lastTick = true, now, now
 	}
-	if gap := now - c.lastTick; gap > 2*c.probeInterval() {
+	if gap := now - c.lastTick; gap > 2*c.probeIntervalOrDefault() {
 		c.currentProbe = probe{}
 		for _, r := range c.suspects {
 			r.stateSince += gap
@@ -137,15 +140,15 @@
 		c.nextPeriod = now
 	}
 	c.lastTick = now
-	if probe := &c.currentProbe; probe.target != nil && !probe.indirect && now >= probe.deadline {
-		probe.indirect = true
-		for _, r := range c.randomAlive(indirectProbes, probe.target.member.ID) {
-			c.send(r.member.Address, Packet{Kind: KindPingRequest, Sequence: probe.sequence, Target: probe.target.member})
+	if current := &c.currentProbe; current.target != nil && !current.indirect && now >= current.deadline {
+		current.indirect = true
+		for _, r := range c.randomAlive(indirectProbes, current.target.member.ID) {
+			c.send(r.member.Address, Packet{Kind: KindPingRequest, Sequence: current.sequence, Target: current.target.member})
 		}
 	}
 	c.expireRecords(now)
 	if now >= c.nextPeriod {
-		c.nextPeriod = now + c.probeInterval()
+		c.nextPeriod = now + c.probeIntervalOrDefault()
 		c.finishProbe(now)
 		c.startProbe(now)
 		if c.periodCount++; c.periodCount%syncPeriods == 0 {
@@ -159,7 +162,7 @@
 func (c *Core) Receive(now timer.Millis, from string, p *Packet) Output {
 	c.beginCall()
 	if p.From.ID == c.Self.ID {
-		return c.output // an echo, or a former incarnation of this process
+		return c.output // reflected packet, or one of an earlier incarnation of this process
 	}
 	c.applyUpdate(now, Update{p.From, StateAlive})
 	for _, u := range p.Updates {
@@ -167,7 +170,7 @@
 	}
 	switch p.Kind {
 	case KindPing:
-		// Another process may have taken over the address of the target.
+		// A ping for another identifier was meant for a process that used this address before.
 		if p.Target.ID == c.Self.ID {
 			c.send(from, Packet{Kind: KindAck, Sequence: p.Sequence, Target: p.Target, Updates: c.refutableUpdate(p.From.ID)})
 		}
@@ -185,6 +188,7 @@
 	return c.output
 }
 
+// beginCall initializes the core on the first call and clears the output of the previous one.
 func (c *Core) beginCall() {
 	if c.rng == nil {
 		c.rng = rand.New(rand.NewPCG(c.Seed, 0))
@@ -194,7 +198,7 @@
 	c.output.Send, c.output.Changes = c.output.Send[:0], c.output.Changes[:0]
 }
 
-// send adds rumors to a packet and queues it.
+// send adds a packet to the output, with gossip unless it is a sync or a page.
 func (c *Core) send(to string, p Packet) {
 	p.From = c.Self
 	if p.Kind == KindPing || p.Kind == KindAck || p.Kind == KindPingRequest {
@@ -203,7 +207,8 @@
 	c.output.Send = append(c.output.Send, Datagram{to, p})
 }
 
-// news returns the record of the receiver if others believe that it fails, so that it can refute.
+// refutableUpdate returns the record of a member if it is suspect or dead, to be sent to that member so that it can
+// refute it.
 func (c *Core) refutableUpdate(id string) []Update {
 	if r := c.records[id]; r != nil && r.state != StateAlive {
 		return []Update{{r.member, r.state}}
@@ -211,8 +216,8 @@
 	return nil
 }
 
-// gossip appends the rumors that were told least often. Each is told a number of times that grows with the logarithm of
-// the member count.
+// appendGossip appends queued updates up to maxGossipBytes. Each update is sent a number of times that grows with the
+// logarithm of the member count; after each time it goes to the end of the queue.
 func (c *Core) appendGossip(list []Update) []Update {
 	limit := uint8(3 * bits.Len(uint(len(c.probeOrder)+1)))
 	size := 0
@@ -233,7 +238,8 @@
 	return list
 }
 
-// spread queues the present state of a row as a rumor, before the older ones.
+// enqueueGossip puts the record at the front of the gossip queue. A record that is queued already keeps its position, but
+// its transmissions are counted anew.
 func (c *Core) enqueueGossip(r *record) {
 	r.transmissions = 0
 	if !r.queued {
@@ -244,27 +250,27 @@
 	}
 }
 
-func (c *Core) probeInterval() timer.Millis {
-	if c.Period > 0 {
-		return c.Period
+func (c *Core) probeIntervalOrDefault() timer.Millis {
+	if c.ProbeInterval > 0 {
+		return c.ProbeInterval
 	}
 	return defaultProbeInterval
 }
 
-func (c *Core) probeTimeout() timer.Millis {
-	if c.Timeout > 0 {
-		return c.Timeout
+func (c *Core) probeTimeoutOrDefault() timer.Millis {
+	if c.ProbeTimeout > 0 {
+		return c.ProbeTimeout
 	}
-	return c.probeInterval() / 3
+	return c.probeIntervalOrDefault() / 3
 }
 
-func (c *Core) suspicionTimeout() timer.Millis {
-	if c.Suspicion > 0 {
-		return c.Suspicion
+func (c *Core) suspicionTimeoutOrDefault() timer.Millis {
+	if c.SuspicionTimeout > 0 {
+		return c.SuspicionTimeout
 	}
 	digits := 1
 	for n := len(c.probeOrder) + 1; n >= 10; n /= 10 {
 		digits++
 	}
-	return timer.Millis(3*digits) * c.probeInterval()
+	return timer.Millis(3*digits) * c.probeIntervalOrDefault()
 }
--- a/watcher/core_test.go
+++ b/watcher/core_test.go
@@ -14,19 +14,19 @@
 // A fixed seed makes runs repeatable; -rapid.seed tries others.
 var _ = flag.Set("rapid.seed", "1")
 
-// network connects cores in memory, in virtual time. It delivers packets after a delay, or drops them.
+// network simulates a network of cores in virtual time. It delivers packets after a random delay, or drops them.
 type network struct {
 	t              testing.TB
 	rng            *rand.Rand
 	now            timer.Millis
 	loss           float64
-	drops          func(from, to string) bool // packets that are dropped
-	maxDelay       timer.Millis               // longest delay of a packet
+	drops          func(from, to string) bool // drops all packets of a path
+	maxDelay       timer.Millis               // of a packet
 	cores          map[string]*Core           // running cores by address
-	pausedAddress  string                     // address of a core that is paused; packets to it wait
+	pausedAddress  string                     // of a core that is not run; packets to it wait
 	inFlight       []inFlightPacket
-	newestVersions map[[2]string]Member // newest version by observer and member
-	declaredDead   map[string]bool      // identifiers that were declared dead by anyone
+	newestVersions map[[2]string]Member // by observer and member
+	declaredDead   map[string]bool      // identifiers that any core declared dead
 }
 
 type inFlightPacket struct {
@@ -56,7 +56,7 @@
 	n.cores[m.Address] = &Core{Self: m, Seed: n.rng.Uint64()}
 	for key := range n.newestVersions {
 		if key[0] == m.ID {
-			delete(n.newestVersions, key) // a new process knows nothing
+			delete(n.newestVersions, key) // a restarted process has no records
 		}
 	}
 }
@@ -71,7 +71,7 @@
 	for _, u := range out.Changes {
 		key := [2]string{c.Self.ID, u.Member.ID}
 		if n.newestVersions[key].newer(u.Member) {
-			n.t.Errorf("%s went from version %+v to %+v", c.Self.ID, n.newestVersions[key], u.Member)
+			n.t.Errorf("%s replaced version %+v by the older %+v", c.Self.ID, n.newestVersions[key], u.Member)
 		}
 		n.newestVersions[key] = u.Member
 		if u.State == StateDead {
@@ -80,7 +80,7 @@
 	}
 }
 
-// run advances the time by a number of default periods.
+// run advances the time by a number of default probe intervals.
 func (n *network) run(periods int) {
 	for end := n.now + timer.Millis(periods*defaultProbeInterval); n.now < end; n.now += 20 {
 		inFlight := n.inFlight
@@ -97,10 +97,10 @@
 			if c == nil || c.Self.Address == n.pausedAddress {
 				continue
 			}
-			if n.now >= c.Next() {
+			if n.now >= c.NextTick() {
 				n.handleOutput(c, c.Tick(n.now))
 			}
-			// Process joins a seed in the same way.
+			// Process also retries to join a seed while it knows no members.
 			if len(c.probeOrder) == 0 && n.now%defaultProbeInterval == 0 {
 				n.handleOutput(c, c.Join(nodeAddress(0)))
 			}
@@ -108,28 +108,30 @@
 	}
 }
 
-// agreed returns a difference between what the running cores know and the truth, or the empty string.
+// disagreement describes a difference between the records of a running core and the actual state, or returns the empty
+// string.
 func (n *network) disagreement() string {
 	for _, c := range n.cores {
 		known := map[string]Update{}
 		for _, u := range c.Members() {
 			known[u.Member.ID] = u
 			if n.cores[u.Member.Address] == nil && u.State != StateDead {
-				return fmt.Sprintf("%s believes %s %v, but it is dead", c.Self.ID, u.Member.ID, u.State)
+				return fmt.Sprintf("%s has %s as %v, but it is dead", c.Self.ID, u.Member.ID, u.State)
 			}
 		}
 		for _, other := range n.cores {
 			u := known[other.Self.ID]
 			if other != c && (u.State != StateAlive || u.Member.Incarnation != other.Self.Incarnation) {
-				return fmt.Sprintf("%s believes %+v, but %+v is alive", c.Self.ID, u, other.Self)
+				return fmt.Sprintf("%s has record %+v, but %+v is alive", c.Self.ID, u, other.Self)
 			}
 		}
 	}
 	return ""
 }
 
-// Guards against members that stay dead although they are reachable again, dead members that some process keeps, and
-// versions that go back: whatever happened before, all agree on the truth some time after the network has recovered.
+// TestAgreement guards against members that stay dead although they are reachable again, dead members that some process
+// considers alive, and versions that decrease. After crashes, restarts, partitions and packet loss, all records must
+// converge to the actual state once the network has recovered.
 func TestAgreement(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		size := rapid.IntRange(3, 9).Draw(t, "size")
@@ -157,12 +159,12 @@
 		n.drops, n.loss = func(string, string) bool { return false }, 0
 		n.run(150)
 		if difference := n.disagreement(); difference != "" {
-			t.Errorf("no agreement: %s", difference)
+			t.Errorf("records did not converge: %s", difference)
 		}
 	})
 }
 
-// failer lets a network report errors to rapid.
+// rapidReporter reports the errors of a network to rapid.
 type rapidReporter struct {
 	testing.TB
 	t *rapid.T
@@ -170,8 +172,8 @@
 
 func (f rapidReporter) Errorf(format string, args ...any) { f.t.Errorf(format, args...) }
 
-// Guards against false deaths: a member whose packets all arrive in time is never declared dead, whatever happens to
-// others, also when its observers pause.
+// TestNoFalseDeath guards against false positives: a member whose packets all arrive in time must never be declared dead,
+// even when other members crash or an observer pauses.
 func TestNoFalseDeath(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		size := rapid.IntRange(4, 10).Draw(t, "size")
@@ -193,12 +195,12 @@
 			}
 		}
 		if difference := n.disagreement(); difference != "" {
-			t.Errorf("no agreement: %s", difference)
+			t.Errorf("records did not converge: %s", difference)
 		}
 	})
 }
 
-// Guards against one bad path that kills a member: others reach it, so it must stay alive without a suspicion.
+// TestIndirectProbe guards against a suspicion because of a single broken path, while other members reach the target.
 func TestIndirectProbe(t *testing.T) {
 	n := newNetwork(t, 6, 1)
 	n.run(10)
@@ -209,14 +211,15 @@
 	}
 }
 
-// Guards against a pause of this process that counts against others: the refutation may wait in the socket.
+// TestPause guards against declaring a suspect dead after a pause of the local process, when the refutation may still wait
+// in the socket.
 func TestPause(t *testing.T) {
 	m := Member{ID: "m", Address: "x", Incarnation: 1}
 	for _, tt := range []struct {
 		pause timer.Millis
 		want  State
 	}{{defaultProbeInterval, StateDead}, {1000 * defaultProbeInterval, StateSuspect}} {
-		c := &Core{Self: Member{ID: "self"}, Suspicion: 10 * defaultProbeInterval}
+		c := &Core{Self: Member{ID: "self"}, SuspicionTimeout: 10 * defaultProbeInterval}
 		c.Tick(0)
 		c.Receive(0, "x", &Packet{Kind: KindPage, From: Member{ID: "n", Address: "y"}, Updates: []Update{{m, StateSuspect}}})
 		for now := timer.Millis(0); now <= max(tt.pause, 20*defaultProbeInterval); now += tt.pause {
@@ -228,7 +231,8 @@
 	}
 }
 
-// Guards against rumors that never end, and against packets above the limit, with the longest names.
+// TestBounds guards against gossip that never ends, and against packets above the size limit when all names have the
+// maximum length.
 func TestBounds(t *testing.T) {
 	auth, err := newAuthenticator(developmentSecret)
 	if err != nil {
@@ -247,12 +251,12 @@
 		sends = append(sends, c.Receive(now, "x", &Packet{Kind: KindPing, From: Member{ID: name(7)}, Target: c.Self}).Send...)
 		sends = append(sends, c.Receive(now, "x", &Packet{Kind: KindSync, From: Member{ID: name(7)}, Cursor: name(3)}).Send...)
 		for _, d := range sends {
-			if size := len(auth.sealPacket(&d.Packet)); size > MaxDatagram || len(d.Packet.Updates) > maxUpdates {
+			if size := len(auth.signPacket(&d.Packet)); size > MaxDatagramLen || len(d.Packet.Updates) > maxUpdates {
 				t.Fatalf("kind %d has %d bytes and %d updates", d.Packet.Kind, size, len(d.Packet.Updates))
 			}
 		}
 		if ticks++; ticks > 100_000 {
-			t.Fatalf("%d rumors are still told", len(c.gossipQueue))
+			t.Fatalf("%d updates are still in the gossip queue", len(c.gossipQueue))
 		}
 	}
 }
--- a/watcher/member.go
+++ b/watcher/member.go
@@ -1,33 +1,34 @@
-// Package watcher detects failed processes. Each member probes one other member in each period, asks others to probe on
-// its behalf, and spreads suspicions, deaths and refutations on the probes, in the manner of SWIM. The cost per member
-// does not depend on the number of members.
+// Package watcher implements group membership and failure detection with a protocol like SWIM. Each member probes one
+// other member per probe interval, falls back to indirect probes through other members, and piggybacks suspicions, deaths
+// and refutations on the probes. The load per member does not depend on the number of members.
 package watcher
 
 import (
-	_ "embed" // the chart
+	_ "embed" // for member.chart
 
 	"github.com/crocuslb/crocuslb/interpreter"
 	"github.com/crocuslb/crocuslb/timer"
 )
 
 const (
-	// StateAlive means that the member answers, or that nobody has found otherwise.
+	// StateAlive means that the member is neither suspected nor declared dead.
 	StateAlive State = iota + 1
 	// StateSuspect means that a probe failed and the member has not refuted it yet.
 	StateSuspect
 	// StateDead means that the suspicion was not refuted in time, or that the member left.
 	StateDead
 
-	// MaxName is the longest identifier and the longest address of a member in bytes.
+	// MaxNameLen is the maximum length of a member's identifier and of its address in bytes.
 	MaxNameLen = 128
 )
 
 type (
-	// State is what a process knows of a member.
+	// State is the state of a member as one process sees it.
 	State uint8
 
-	// Member names one incarnation of a process and its address. A restarted process has a larger incarnation.
-	// Refutations counts how often the incarnation contradicted a suspicion. Both only grow.
+	// Member identifies one incarnation of a process and its address. A restarted process has a larger incarnation.
+	// Refutations counts how often the incarnation refuted its suspicion or death. Both only grow; together they are the
+	// version of the member.
 	Member struct {
 		ID          string
 		Address     string
@@ -35,20 +36,20 @@
 		Refutations uint64
 	}
 
-	// Update is a member with its state, as it is told to others.
+	// Update is a member and its state, as sent to other members.
 	Update struct {
 		Member Member
 		State  State
 	}
 
-	// row is the record of a member.
+	// record is what this process stores about another member.
 	record struct {
 		member        Member
 		state         State
-		transmissions uint8        // how often the present state was told
-		queued        bool         // the row is in Core.rumors
-		index         int          // index in Core.order
-		stateSince    timer.Millis // when the state was entered
+		transmissions uint8        // of the current state, by gossip
+		queued        bool         // in Core.gossipQueue
+		index         int          // in Core.probeOrder
+		stateSince    timer.Millis // when the state or the version last changed
 	}
 )
 
@@ -58,7 +59,7 @@
 var (
 	chart      = interpreter.MustParse("member.chart", chartText)
 	stateNames = []string{"", "alive", "suspect", "dead"}
-	// events are the events of the chart by the state that another process reports.
+	// events maps the state that another process reports to the event of the chart.
 	events = []string{"", "announced", "suspected", "confirmed"}
 )
 
@@ -73,8 +74,8 @@
 	return m.Refutations > other.Refutations
 }
 
-// overrides reports whether u replaces the record: a newer version always does, and of one version the worse state does.
-// The order is total, so all processes end with the same record in whichever order updates arrive.
+// overrides reports whether u replaces r: a newer version always does, and of the same version the worse state does.
+// The order is total, so that all processes converge to the same record whatever the order in which updates arrive.
 func (u Update) overrides(r *record) bool {
 	if u.Member.newer(r.member) {
 		return true
@@ -82,7 +83,7 @@
 	return !r.member.newer(u.Member) && u.State > r.state
 }
 
-// step moves the row along the chart. It panics when the chart refuses the event, because the callers check for that.
+// applyEvent moves the record to its next state. It panics if the chart refuses the event; callers send no such event.
 func (r *record) applyEvent(event string) {
 	next, err := chart.Step(r.state.String(), event)
 	if err != nil {
--- a/watcher/packet.go
+++ b/watcher/packet.go
@@ -10,19 +10,19 @@
 )
 
 const (
-	// KindPing asks for an ack. Target is the probed member.
+	// KindPing requests an ack. Target is the probed member.
 	KindPing Kind = iota + 1
-	// KindAck answers a ping, or a request on behalf of Target.
+	// KindAck answers a ping, or a ping request after Target answered.
 	KindAck
-	// KindRequest asks the receiver to ping Target.
+	// KindPingRequest asks the receiver to ping Target (an indirect probe).
 	KindPingRequest
-	// KindSync asks for the members whose identifiers follow Cursor.
+	// KindSync requests a page of the members whose identifiers follow Cursor.
 	KindSync
-	// KindPage answers a sync. Cursor is the last identifier of the page, empty at the end.
+	// KindPage answers a sync. Cursor is the last identifier of the page, or empty on the last page.
 	KindPage
 
-	// MaxDatagram is the largest datagram in bytes. It fits into one packet on common networks.
-	MaxDatagram = 1400
+	// MaxDatagramLen is the maximum size of a datagram in bytes. It avoids IP fragmentation on common networks.
+	MaxDatagramLen = 1400
 
 	maxUpdates      = 64
 	macSize         = 16
@@ -33,7 +33,7 @@
 	// Kind is the type of a packet.
 	Kind uint8
 
-	// Packet is the content of a datagram.
+	// Packet is the decoded content of a datagram.
 	Packet struct {
 		Kind     Kind
 		Sequence uint64
@@ -43,7 +43,7 @@
 		Updates  []Update
 	}
 
-	// sealer signs and verifies datagrams with a key that is derived from the secret.
+	// authenticator signs and verifies datagrams by HMAC-SHA256 with a key that is derived from the shared secret.
 	authenticator struct{ key []byte }
 )
 
@@ -52,26 +52,27 @@
 	return authenticator{key}, err
 }
 
-func (s authenticator) appendMAC(dst, data []byte) []byte {
-	h := hmac.New(sha256.New, s.key)
+// appendMAC appends the untruncated MAC of data to dst.
+func (a authenticator) appendMAC(dst, data []byte) []byte {
+	h := hmac.New(sha256.New, a.key)
 	h.Write(data)
 	return h.Sum(dst)
 }
 
-// seal returns the datagram of p.
-func (s authenticator) sealPacket(p *Packet) []byte {
+// signPacket encodes p and appends its MAC.
+func (a authenticator) signPacket(p *Packet) []byte {
 	b := appendPacket(make([]byte, 0, 256), p)
-	return s.appendMAC(b, b)[:len(b)+macSize]
+	return a.appendMAC(b, b)[:len(b)+macSize]
 }
 
-// open verifies and decodes a datagram.
-func (s authenticator) openDatagram(datagram []byte) (Packet, error) {
+// verifyDatagram checks the size and the MAC of a datagram and decodes it.
+func (a authenticator) verifyDatagram(datagram []byte) (Packet, error) {
 	size := len(datagram) - macSize
-	if size < 0 || len(datagram) > MaxDatagram {
-		return Packet{}, trace.BadParameter("datagram of %d bytes", len(datagram))
+	if size < 0 || len(datagram) > MaxDatagramLen {
+		return Packet{}, trace.BadParameter("invalid datagram size of %d bytes", len(datagram))
 	}
-	if !hmac.Equal(s.appendMAC(nil, datagram[:size])[:macSize], datagram[size:]) {
-		return Packet{}, trace.AccessDenied("datagram with a wrong seal")
+	if !hmac.Equal(a.appendMAC(nil, datagram[:size])[:macSize], datagram[size:]) {
+		return Packet{}, trace.AccessDenied("datagram has an invalid MAC")
 	}
 	return decodePacket(datagram[:size])
 }
@@ -99,12 +100,12 @@
 	return protowire.AppendVarint(b, m.Refutations)
 }
 
-// size bounds the encoded size of an update from above.
+// maxEncodedSize returns an upper bound of the encoded size of the update.
 func (u *Update) maxEncodedSize() int {
 	return len(u.Member.ID) + len(u.Member.Address) + 1 + 2*2 + 2*10
 }
 
-// parser takes values from the front of a datagram. After the first fault, failed stays set.
+// decoder reads values from a datagram. Once a value is malformed, failed stays set.
 type decoder struct {
 	remaining []byte
 	failed    bool
@@ -112,7 +113,7 @@
 
 func decodePacket(b []byte) (Packet, error) {
 	if len(b) < 2 || b[0] != protocolVersion || Kind(b[1]) < KindPing || Kind(b[1]) > KindPage {
-		return Packet{}, trace.BadParameter("packet of an unknown version or kind")
+		return Packet{}, trace.BadParameter("packet has an unknown version or kind")
 	}
 	d := decoder{remaining: b[2:]}
 	p := Packet{Kind: Kind(b[1]), Sequence: d.varint(), From: d.member(), Target: d.member(), Cursor: d.name()}
@@ -131,7 +132,7 @@
 		}
 	}
 	if d.failed || len(d.remaining) > 0 || p.From.ID == "" {
-		return Packet{}, trace.BadParameter("packet of kind %d is malformed", b[1])
+		return Packet{}, trace.BadParameter("malformed packet of kind %d", b[1])
 	}
 	return p, nil
 }
--- a/watcher/packet_test.go
+++ b/watcher/packet_test.go
@@ -17,35 +17,36 @@
 	{Kind: KindPage, From: Member{ID: "a"}, Updates: []Update{{Member{"b", "y", 1, 0}, StateSuspect}, {Member{ID: "c"}, StateDead}}},
 }
 
-// Guards against fields that are lost, and against datagrams that another key sealed or that were changed on the way.
-func TestSeal(t *testing.T) {
+// TestAuthentication guards against fields that are lost in encoding, and against accepting datagrams that were signed with
+// another key, truncated or modified.
+func TestAuthentication(t *testing.T) {
 	auth, _ := newAuthenticator(strings.Repeat("a", MinSecretLen))
 	other, _ := newAuthenticator(strings.Repeat("b", MinSecretLen))
 	for _, want := range packets {
-		datagram := auth.sealPacket(&want)
-		if got, err := auth.openDatagram(datagram); err != nil || !reflect.DeepEqual(got, want) {
+		datagram := auth.signPacket(&want)
+		if got, err := auth.verifyDatagram(datagram); err != nil || !reflect.DeepEqual(got, want) {
 			t.Errorf("got %+v, %v, want %+v", got, err, want)
 		}
-		if _, err := other.openDatagram(datagram); err == nil {
-			t.Error("another key opened the datagram")
+		if _, err := other.verifyDatagram(datagram); err == nil {
+			t.Error("a datagram signed with another key was accepted")
 		}
 		for i := range datagram {
-			if _, err := auth.openDatagram(datagram[:i]); err == nil {
+			if _, err := auth.verifyDatagram(datagram[:i]); err == nil {
 				t.Errorf("%d of %d bytes were accepted", i, len(datagram))
 			}
 			datagram[i] ^= 1
-			if _, err := auth.openDatagram(datagram); err == nil {
+			if _, err := auth.verifyDatagram(datagram); err == nil {
 				t.Errorf("a change of byte %d was accepted", i)
 			}
 			datagram[i] ^= 1
 		}
 	}
-	if _, err := auth.openDatagram(make([]byte, MaxDatagram+1)); err == nil {
+	if _, err := auth.verifyDatagram(make([]byte, MaxDatagramLen+1)); err == nil {
 		t.Error("a datagram above the limit was accepted")
 	}
 }
 
-// Guards against records that depend on the order in which updates arrive.
+// TestUpdateOrder guards against records that depend on the order in which updates arrive.
 func TestUpdateOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		updates := rapid.SliceOfN(rapid.Custom(func(t *rapid.T) Update {
@@ -70,7 +71,7 @@
 	})
 }
 
-// Guards against panics and against packets that change when they are encoded again.
+// FuzzPacket guards against panics on malformed packets, and against packets that change when they are encoded again.
 func FuzzPacket(f *testing.F) {
 	for i := range packets {
 		f.Add(appendPacket(nil, &packets[i]))
@@ -90,7 +91,7 @@
 	})
 }
 
-// Guards against a process that does not find others, or does not notice that one left or fell silent.
+// TestProcess guards against processes that do not find each other, or do not detect that another one left or crashed.
 func TestProcess(t *testing.T) {
 	changes := make(chan string, 1000)
 	observerCtx, stopObserver := context.WithCancel(t.Context())
@@ -104,7 +105,7 @@
 	leaving, crashed := &Process{}, &Process{}
 	for i, p := range []*Process{leaving, crashed} {
 		p.Secret, p.Seeds, p.Core.Self = observer.Secret, []string{address}, Member{ID: fmt.Sprint("b", i), Incarnation: 1}
-		p.Core.Period, p.Core.Suspicion = 100, 300
+		p.Core.ProbeInterval, p.Core.SuspicionTimeout = 100, 300
 		if _, err := p.Start(othersCtx, "127.0.0.1:0"); err != nil {
 			t.Fatal(err)
 		}
@@ -123,7 +124,7 @@
 	}
 	await("b0 alive")
 	await("b1 alive")
-	_ = crashed.socket.Close() // without a word
+	_ = crashed.socket.Close() // without announcing that it leaves
 	await("b1 dead")
 	stopOthers()
 	await("b0 dead")
--- a/watcher/probe.go
+++ b/watcher/probe.go
@@ -6,7 +6,7 @@
 	"github.com/crocuslb/crocuslb/timer"
 )
 
-// startProbe pings the next member that is not dead. Each round visits every member once, in a new random order.
+// startProbe pings the next member that is not dead. Each round visits the members in a new random order.
 func (c *Core) startProbe(now timer.Millis) {
 	for range c.probeOrder {
 		if c.nextProbe >= len(c.probeOrder) {
@@ -19,7 +19,7 @@
 			continue
 		}
 		c.sequence++
-		c.currentProbe = probe{target: r, member: r.member, sequence: c.sequence, deadline: now + c.probeTimeout()}
+		c.currentProbe = probe{target: r, member: r.member, sequence: c.sequence, deadline: now + c.probeTimeoutOrDefault()}
 		c.send(r.member.Address, Packet{
 			Kind: KindPing, Sequence: c.sequence, Target: r.member, Updates: c.refutableUpdate(r.member.ID),
 		})
@@ -27,7 +27,8 @@
 	}
 }
 
-// conclude ends the probe of the past period.
+// finishProbe ends the probe of the previous probe interval. Its target becomes suspect unless it answered or announced
+// a newer version.
 func (c *Core) finishProbe(now timer.Millis) {
 	r, probed := c.currentProbe.target, c.currentProbe.member
 	c.currentProbe = probe{}
@@ -39,7 +40,7 @@
 	c.afterTransition(now, r, before != r.state)
 }
 
-// acknowledge ends the own probe, or one that runs on behalf of another member.
+// handleAck ends the current probe, or forwards the ack of an indirect probe to the member that requested it.
 func (c *Core) handleAck(p *Packet) {
 	if t := c.currentProbe.target; t != nil && p.Sequence == c.currentProbe.sequence && p.Target.ID == t.member.ID {
 		c.currentProbe = probe{}
@@ -54,7 +55,7 @@
 	c.send(r.requester, Packet{Kind: KindAck, Sequence: r.requesterSequence, Target: p.From})
 }
 
-// relay pings the target of a request. The oldest relay is dropped when there are too many.
+// relayProbe pings the target of a ping request. Beyond maxRelays, the oldest relay is dropped.
 func (c *Core) relayProbe(from string, p *Packet) {
 	if p.Target.ID == "" || p.Target.ID == c.Self.ID {
 		return
@@ -69,10 +70,10 @@
 	})
 }
 
-// pick returns up to n different live members other than the one named.
+// randomAlive returns up to n distinct members in StateAlive, without the member except.
 func (c *Core) randomAlive(n int, except string) []*record {
 	var list []*record
-	// The attempts are bounded, so that the cost does not grow with the number of dead members.
+	// Bounded attempts keep the cost independent of the number of dead members.
 	for range 4 * n {
 		if len(c.probeOrder) == 0 || len(list) == n {
 			break
--- a/watcher/process.go
+++ b/watcher/process.go
@@ -16,28 +16,28 @@
 )
 
 const (
-	// MinSecret is the shortest secret in bytes.
+	// MinSecretLen is the minimum length of the secret in bytes.
 	MinSecretLen = 32
-	// developmentSecret protects nothing. It is used on loopback only.
+	// developmentSecret gives no protection, because it is public. It is used on loopback only.
 	developmentSecret = "insecure development secret of crocuslb"
-	// maxWaiting bounds the datagrams that were received and not yet handled; later ones are dropped.
+	// receiveQueueLen bounds the packets that were received and not yet handled; further ones are dropped.
 	receiveQueueLen = 256
-	// rejoinPeriod is the time between two attempts to join at first, and while no member is known.
+	// joinRetryInterval is the time between the first attempts to join, and between all while no member is known.
 	joinRetryInterval = timer.Second
-	// firstJoins is the number of attempts at first. Processes that start together join seeds that know nobody yet; with
-	// one attempt they found each other only after reseedPeriod.
+	// initialJoins is the number of attempts at joinRetryInterval after the start. Processes that start together join
+	// seeds that know no members yet; with a single attempt they found each other only after rejoinInterval.
 	initialJoins = 10
-	// reseedPeriod is the time between two attempts to join otherwise. They unite groups that do not know each other
-	// because their members started while they were separated.
+	// rejoinInterval is the time between two later attempts to join. They merge groups that do not know each other
+	// because their members started during a network partition.
 	rejoinInterval = timer.Minute
 )
 
 type (
-	// Process runs a Core on a UDP socket. Set the exported fields before Run is called.
+	// Process runs a Core on a UDP socket. Set the exported fields before Start is called.
 	Process struct {
 		Core   Core
 		Clock  timer.Clock
-		Secret string // at least MinSecret bytes; without one, only loopback addresses are allowed
+		Secret string // at least MinSecretLen bytes; if empty, only loopback addresses are allowed
 		// Seeds are the addresses of processes to join.
 		Seeds []string
 		// OnChange is called from the goroutine of the process when a member appears or changes its state or version.
@@ -48,7 +48,7 @@
 		socket         *net.UDPConn
 		rejected       atomic.Uint64
 		memberRequests chan chan<- []Update
-		done           chan struct{} // closed when no ask is answered any more
+		done           chan struct{} // closed when memberRequests is no longer served
 		goroutines     sync.WaitGroup
 	}
 
@@ -58,8 +58,8 @@
 	}
 )
 
-// Start begins to watch on a UDP address, until ctx ends; it then tells others that this process leaves. It returns the
-// bound address, which becomes the address of Core.Self when that is empty.
+// Start runs the protocol on a UDP address in the background until ctx ends; the process then announces that it leaves.
+// Start returns the bound address, which becomes the address of Core.Self if that is empty.
 func (p *Process) Start(ctx context.Context, address string) (string, error) {
 	udpAddress, err := net.ResolveUDPAddr("udp", address)
 	if err != nil {
@@ -75,7 +75,7 @@
 		return "", trace.BadParameter("the secret has %d bytes, at least %d are required", len(secret), MinSecretLen)
 	}
 	if p.authenticator, err = newAuthenticator(secret); err != nil {
-		return "", trace.Wrap(err, "cannot derive the key")
+		return "", trace.Wrap(err, "cannot derive the MAC key from the secret")
 	}
 	if p.socket, err = net.ListenUDP("udp", udpAddress); err != nil {
 		return "", trace.ConnectionProblem(err, "cannot listen on %q: %v", address, err)
@@ -95,11 +95,11 @@
 	return bound, nil
 }
 
-// Wait blocks until the process has ended after its context.
+// Wait blocks until the goroutines of the process have ended. They end after the context of Start.
 func (p *Process) Wait() { p.goroutines.Wait() }
 
-// Members returns the records of all other members, in no order, and nothing after the end. Start must have succeeded.
-// It must not be called from OnChange, because the goroutine that answers is the one that calls OnChange.
+// Members returns all other members in no particular order, or nil after the process has ended. Start must have succeeded.
+// A call from OnChange deadlocks, because the goroutine that runs OnChange also serves Members.
 func (p *Process) Members() []Update {
 	response := make(chan []Update, 1)
 	select {
@@ -110,12 +110,13 @@
 	}
 }
 
-// Refused returns the number of datagrams that were malformed, had a wrong seal, or came too fast.
+// Refused returns the number of datagrams that were dropped because they were malformed, had an invalid MAC, or found the
+// receive queue full.
 func (p *Process) Refused() uint64 { return p.rejected.Load() }
 
-// read decodes datagrams until the socket is closed.
+// receiveLoop verifies and queues datagrams until the socket is closed.
 func (p *Process) receiveLoop(received chan<- receivedPacket) {
-	buffer := make([]byte, MaxDatagram+1)
+	buffer := make([]byte, MaxDatagramLen+1)
 	for {
 		n, from, err := p.socket.ReadFromUDPAddrPort(buffer)
 		if err != nil {
@@ -124,7 +125,7 @@
 			}
 			continue
 		}
-		packet, err := p.authenticator.openDatagram(buffer[:n])
+		packet, err := p.authenticator.verifyDatagram(buffer[:n])
 		if err != nil {
 			p.rejected.Add(1)
 			continue
@@ -137,10 +138,10 @@
 	}
 }
 
-// run owns the core.
+// eventLoop makes all calls of the core, which is not safe for concurrent use.
 func (p *Process) eventLoop(ctx context.Context, received <-chan receivedPacket) {
 	defer close(p.done)
-	defer p.socket.Close() //nolint:errcheck // nothing is left to do with the socket
+	defer p.socket.Close() //nolint:errcheck // the socket is not used any more
 	tickTimer := time.NewTimer(0)
 	defer tickTimer.Stop()
 	lastJoin, joinCount, firstSeed := p.Clock.Now()-rejoinInterval, 0, rand.IntN(max(len(p.Seeds), 1))
@@ -164,20 +165,21 @@
 				p.handleOutput(p.Core.Join(p.Seeds[(firstSeed+joinCount)%len(p.Seeds)]))
 				lastJoin, joinCount = now, joinCount+1
 			}
-			tickTimer.Reset(max(1, p.Core.Next()-now).Duration())
+			tickTimer.Reset(max(1, p.Core.NextTick()-now).Duration())
 		}
 	}
 }
 
+// handleOutput sends the datagrams and reports the changes of a call of the core.
 func (p *Process) handleOutput(out Output) {
 	for i := range out.Send {
-		// Names are not resolved, because that would block.
+		// Host names are not supported, because their resolution would block.
 		to, err := netip.ParseAddrPort(out.Send[i].To)
 		if err != nil {
 			continue
 		}
-		// A lost datagram and one that cannot be sent are the same to the protocol.
-		_, _ = p.socket.WriteToUDPAddrPort(p.authenticator.sealPacket(&out.Send[i].Packet), to)
+		// The protocol handles a failed send like a lost datagram.
+		_, _ = p.socket.WriteToUDPAddrPort(p.authenticator.signPacket(&out.Send[i].Packet), to)
 	}
 	if p.OnChange != nil {
 		for _, u := range out.Changes {
--- a/watcher/records.go
+++ b/watcher/records.go
@@ -6,7 +6,7 @@
 	"github.com/crocuslb/crocuslb/timer"
 )
 
-// apply merges an update into the records.
+// applyUpdate merges an update into the records.
 func (c *Core) applyUpdate(now timer.Millis, u Update) {
 	if u.Member.ID == c.Self.ID {
 		c.refute(u)
@@ -14,7 +14,8 @@
 	}
 	r := c.records[u.Member.ID]
 	if r == nil {
-		// The death of an unknown member is no news, and telling it on would never end.
+		// The death of an unknown member is ignored; members that dropped its record would otherwise gossip it to each
+		// other forever.
 		if u.State == StateDead || len(c.probeOrder) >= maxMembers {
 			return
 		}
@@ -35,7 +36,7 @@
 	c.afterTransition(now, r, before != r.state || newer)
 }
 
-// refute contradicts a suspicion or a death of this process with a version that overrides it.
+// refute answers a suspicion or death of this process with a newer version of Self, which overrides it.
 func (c *Core) refute(u Update) {
 	if c.leaving || u.State == StateAlive || u.Member.Incarnation != c.Self.Incarnation || c.Self.newer(u.Member) {
 		return
@@ -43,13 +44,13 @@
 	c.Self.Refutations = u.Member.Refutations + 1
 }
 
-// entered keeps the lists up to date after a row took a state or a version.
+// afterTransition updates the suspect and dead lists, gossips the record and reports it, if its state or version changed.
 func (c *Core) afterTransition(now timer.Millis, r *record, changed bool) {
 	if !changed {
 		return
 	}
 	r.stateSince = now
-	same := func(w *record) bool { return w == r }
+	same := func(other *record) bool { return other == r }
 	c.suspects, c.dead = slices.DeleteFunc(c.suspects, same), slices.DeleteFunc(c.dead, same)
 	switch r.state {
 	case StateSuspect:
@@ -65,7 +66,7 @@
 	c.output.Changes = append(c.output.Changes, Update{r.member, r.state})
 }
 
-// insert adds a row at a random place of the probe order, so that it is found within one round on average.
+// insertRecord adds a member at a random position of the probe order, so that it is probed within one round on average.
 func (c *Core) insertRecord(m Member) *record {
 	r := &record{member: m, state: StateAlive, index: len(c.probeOrder)}
 	c.records[m.ID] = r
@@ -91,9 +92,9 @@
 	c.probeOrder[i].index, c.probeOrder[j].index = i, j
 }
 
-// expire declares suspects dead and forgets members that died long ago.
+// expireRecords declares suspects dead after the suspicion timeout and drops dead members after deadRetention.
 func (c *Core) expireRecords(now timer.Millis) {
-	for len(c.suspects) > 0 && now-c.suspects[0].stateSince >= c.suspicionTimeout() {
+	for len(c.suspects) > 0 && now-c.suspects[0].stateSince >= c.suspicionTimeoutOrDefault() {
 		r := c.suspects[0]
 		r.applyEvent("expired")
 		c.afterTransition(now, r, true)
@@ -106,7 +107,7 @@
 	}
 }
 
-// page answers a sync with the records that follow the cursor, as many as fit into a datagram.
+// sendPage answers a sync with as many of the records after the cursor as fit into a datagram.
 func (c *Core) sendPage(to string, request *Packet) {
 	if c.sortedIDs == nil {
 		c.sortedIDs = make([]string, 0, len(c.records))
@@ -116,7 +117,7 @@
 		slices.Sort(c.sortedIDs)
 	}
 	page := Packet{Kind: KindPage, Sequence: request.Sequence, Updates: c.refutableUpdate(request.From.ID)}
-	available := MaxDatagram - packetOverhead - MaxNameLen - (&Update{Member: c.Self}).maxEncodedSize()
+	available := MaxDatagramLen - packetOverhead - MaxNameLen - (&Update{Member: c.Self}).maxEncodedSize()
 	for i := range page.Updates {
 		available -= page.Updates[i].maxEncodedSize()
 	}
@@ -136,7 +137,7 @@
 	c.send(to, page)
 }
 
-// sync asks a random member, possibly a dead one, for a page that begins at a random place.
+// requestSync requests a page from a random member, possibly a dead one, with the identifier of a random member as cursor.
 func (c *Core) requestSync() {
 	if len(c.probeOrder) == 0 {
 		return
