--- a/appender/appender.go
+++ b/appender/appender.go
@@ -1,5 +1,5 @@
-// Package appender is the client of the platform's log: append, read, head and tail, over HTTP and JSON. It never
-// reports an append as failed when the append may have taken effect.
+// Package appender is a client for the platform's append-only log, over HTTP and JSON. It never reports an append as
+// failed when the append may have taken effect.
 package appender
 
 import (
@@ -11,17 +11,17 @@
 )
 
 const (
-	// MaxBody is the largest record body in bytes.
+	// MaxBody is the maximum size of a record body in bytes.
 	MaxBody = 1 << 20
-	// MaxID is the longest record identifier in bytes.
+	// MaxIDLen is the maximum length of a record identifier in bytes.
 	MaxIDLen = 64
-	// MaxLimit is the largest number of records that one read may ask for.
+	// MaxReadRecords is the maximum number of records that one read can request.
 	MaxReadRecords = 1000
 
 	defaultTimeout = 3 * timer.Second
-	// maxPage bounds a response of the log. Bodies travel in base64, which adds a third.
+	// maxResponseLen is the maximum size of a response in bytes. Base64 makes record bodies a third larger.
 	maxResponseLen = 16 << 20
-	// maxUnresolved bounds the memory for appends of unknown outcome; the oldest are forgotten first.
+	// maxUnresolved bounds the number of appends of unknown outcome that are tracked; the oldest are dropped first.
 	maxUnresolved = 1024
 )
 
@@ -33,18 +33,18 @@
 		Body   []byte
 	}
 
-	// Page is the result of a read. First is the offset of the first retained record, Next the offset that the next
-	// record appended to the stream will get.
+	// Page is the result of a read. First is the offset of the first retained record, Next the head of the stream, which
+	// is the offset that the next appended record will get.
 	Page struct {
 		First, Next uint64
 		Records     []Record
 	}
 
-	// floors holds what a Client knows about its streams.
-	appendState struct {
+	// streamState is what a Client knows about the streams and its unresolved appends.
+	streamState struct {
 		mu              sync.Mutex
-		heads           map[string]uint64    // per stream, the highest head seen
-		unresolved      map[appendKey]uint64 // per append of unknown outcome, the head known before its first attempt
+		heads           map[string]uint64    // highest known head by stream
+		unresolved      map[appendKey]uint64 // head before the first attempt, by append of unknown outcome
 		unresolvedOrder []appendKey          // keys of unresolved, oldest first
 	}
 
@@ -58,16 +58,16 @@
 	return hex.EncodeToString(b[:])
 }
 
-// head returns the highest known head of the stream; ok is false when none is known.
-func (f *appendState) knownHead(stream string) (next uint64, ok bool) {
+// knownHead returns the highest known head of the stream; ok is false if none is known.
+func (f *streamState) knownHead(stream string) (next uint64, ok bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	next, ok = f.heads[stream]
 	return next, ok
 }
 
-// saw records that the stream's head is at least next.
-func (f *appendState) advanceHead(stream string, next uint64) {
+// advanceHead records that the head of the stream is at least next.
+func (f *streamState) advanceHead(stream string, next uint64) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.heads == nil {
@@ -78,16 +78,17 @@
 	}
 }
 
-// floorOf returns the head known before the first attempt of an append of unknown outcome.
-func (f *appendState) searchStart(k appendKey) (offset uint64, ok bool) {
+// searchStart returns the head known before the first attempt of an append of unknown outcome; the record cannot have a
+// lower offset.
+func (f *streamState) searchStart(k appendKey) (offset uint64, ok bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	offset, ok = f.unresolved[k]
 	return offset, ok
 }
 
-// remember notes that the outcome of the append is unknown. The floor of an earlier attempt is kept.
-func (f *appendState) addUnresolved(k appendKey, searchStart uint64) {
+// addUnresolved records that the outcome of the append is unknown. The searchStart of an earlier attempt is kept.
+func (f *streamState) addUnresolved(k appendKey, searchStart uint64) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if _, ok := f.unresolved[k]; ok {
@@ -104,8 +105,8 @@
 	f.unresolvedOrder = append(f.unresolvedOrder, k)
 }
 
-// forget drops a resolved append.
-func (f *appendState) removeUnresolved(k appendKey) {
+// removeUnresolved drops an append whose outcome is known.
+func (f *streamState) removeUnresolved(k appendKey) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if _, ok := f.unresolved[k]; !ok {
--- a/appender/client.go
+++ b/appender/client.go
@@ -22,38 +22,39 @@
 const (
 	minBackoff timer.Millis = 10
 	maxBackoff timer.Millis = 500
-	// readBackAfter is when the read-back begins beside an append without an answer. A synced write takes several ms,
-	// so a response that is later than this may be lost on a silent connection.
+	// readBackDelay is the time after which an append without a response is read back while the client still waits for the
+	// response. A synced write takes several ms, so a later response may be lost on a connection that stalled.
 	readBackDelay timer.Millis = 300
-	readBackWait  timer.Millis = 200
-	// secondReadAfter is how late an answer may be before the read is sent again on a new connection.
+	// readBackWait is how long one read of a read-back waits at the head.
+	readBackWait timer.Millis = 200
+	// readHedgeDelay is the time beyond its wait after which a read without a response is sent again on a new connection.
 	readHedgeDelay timer.Millis = 300
 )
 
 type (
-	// Client talks to one log service. Set the fields before first use; a Client must not be copied afterwards. It is
-	// safe for concurrent use.
+	// Client is a client for one log service. Set the fields before first use; a Client must not be copied afterwards. It
+	// is safe for concurrent use.
 	Client struct {
 		// URL is the address of the log service, for example "http://10.0.0.1:7000".
 		URL string
-		// HTTP sends the requests; nil means a shared client that uses no proxy and follows no redirects.
+		// HTTP sends the requests; nil means a default client without proxy that follows no redirects.
 		HTTP *http.Client
-		// Clock tells when exchanges begin.
+		// Clock provides the start times of reads.
 		Clock timer.Clock
-		// Timeout bounds an append attempt, the read-back after it, and a read beyond its wait; 0 means 3 s.
+		// Timeout bounds the attempts of an append, each read-back, and a read beyond its wait; 0 means 3 s.
 		Timeout timer.Millis
 
-		appendState appendState
+		streams streamState
 	}
 
-	// reading is the result of a read, and when its exchange began.
+	// readResult is the result of a read with the start time of its request.
 	readResult struct {
 		page      Page
 		startedAt timer.Millis
 		err       error
 	}
 
-	// outcome is the result of an append attempt or of a read-back.
+	// appendResult is the result of the attempts of an append, or of a read-back.
 	appendResult struct {
 		offset uint64
 		found  bool
@@ -61,8 +62,8 @@
 	}
 )
 
-// shared is used by clients without their own http.Client. A redirected POST could be sent twice, so redirects are
-// not followed.
+// defaultHTTPClient is used by clients without an own http.Client. It follows no redirects, because a redirected POST
+// could be sent twice.
 var defaultHTTPClient = &http.Client{
 	Transport: &http.Transport{
 		DialContext:         (&net.Dialer{Timeout: time.Second}).DialContext,
@@ -72,11 +73,11 @@
 	CheckRedirect: func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse },
 }
 
-// Append appends body to the stream under the identifier and returns its offset. Attempts that surely did not take
-// effect are repeated until Timeout; when none succeeds, the error is definite. Without an answer the record is looked
-// for from the head known before the first attempt on. When it is not found, the error satisfies IsUnknown. Append may
-// then be called again with the same identifier: it looks for the record before it sends it again. A delayed first
-// attempt can then leave the record in the log twice, so folds must refuse a repeated record.
+// Append appends body to the stream under the identifier and returns its offset. Attempts that definitely did not take
+// effect are repeated until Timeout; if none succeeds, the error is definite. Without a response, the record is searched
+// from the head known before the first attempt. If it is not found, the error satisfies IsUnknown. Append can then be
+// called again with the same identifier: it searches for the record before it sends it again. A delayed first attempt can
+// then leave the record in the log twice, so consumers must reject duplicate identifiers.
 func (c *Client) Append(ctx context.Context, stream, id string, body []byte) (offset uint64, err error) {
 	switch {
 	case len(body) > MaxBody:
@@ -85,56 +86,56 @@
 		return 0, trace.BadParameter("record identifier of %d bytes is not between 1 and %d bytes long", len(id), MaxIDLen)
 	}
 	k := appendKey{stream: stream, id: id}
-	searchStart, retried := c.appendState.searchStart(k)
+	searchStart, retried := c.streams.searchStart(k)
 	if retried {
-		o := c.findRecord(ctx, k, searchStart, false)
-		if o.found {
-			return o.offset, nil
+		result := c.findRecord(ctx, k, searchStart, false)
+		if result.found {
+			return result.offset, nil
 		}
-		if o.err != nil {
-			return 0, &unknownOutcomeError{cause: o.err}
+		if result.err != nil {
+			return 0, &unknownOutcomeError{cause: result.err}
 		}
-	} else if searchStart, err = c.currentHead(ctx, stream); err != nil {
-		return 0, trace.Wrap(err, "head of stream %q is not known, nothing was sent", stream)
+	} else if searchStart, err = c.headBeforeAppend(ctx, stream); err != nil {
+		return 0, trace.Wrap(err, "cannot read the head of stream %q; the append was not sent", stream)
 	}
 	if err := ctx.Err(); err != nil && !retried {
-		return 0, trace.Wrap(err, "nothing was sent")
+		return 0, trace.Wrap(err, "the append was not sent")
 	}
-	c.appendState.addUnresolved(k, searchStart)
+	c.streams.addUnresolved(k, searchStart)
 	offset, err = c.resolve(ctx, k, searchStart, body)
 	switch {
 	case err == nil:
-		c.appendState.removeUnresolved(k)
+		c.streams.removeUnresolved(k)
 	case IsUnknown(err):
 	case retried:
-		// The earlier attempt under this identifier is still open.
+		// The outcome of the earlier call with this identifier is still unknown.
 		err = &unknownOutcomeError{cause: err}
 	default:
-		c.appendState.removeUnresolved(k)
+		c.streams.removeUnresolved(k)
 	}
 	return offset, err
 }
 
-// Head returns the offset of the first retained record and the offset that the next record will get.
+// Head returns the offset of the first retained record and the head, which is the offset that the next record will get.
 func (c *Client) Head(ctx context.Context, stream string) (first, next uint64, err error) {
 	p, err := c.Read(ctx, stream, math.MaxInt64, 1, 0)
 	return p.First, p.Next, err
 }
 
-// Read returns at most limit records from an offset on. When there are none, the log waits for one up to the given
-// time. The error satisfies IsTruncated when from lies before the first retained record.
+// Read returns at most limit records, starting at the offset from. If there are none, the log waits for one up to the time
+// wait (long polling). The error satisfies IsTruncated if from is lower than the first retained offset.
 func (c *Client) Read(ctx context.Context, stream string, from uint64, limit int, wait timer.Millis) (Page, error) {
 	r := c.hedgedRead(ctx, stream, from, limit, wait, c.timeoutOrDefault())
 	return r.page, r.err
 }
 
-// read reads once, and a second time on a new connection when the first has no answer in time: a connection can go
-// silent while new ones work.
+// hedgedRead sends a read, and a second one on a new connection if the first is not answered within readHedgeDelay: an open
+// connection can stall while new ones work.
 func (c *Client) hedgedRead(ctx context.Context, stream string, from uint64, limit int, wait, timeout timer.Millis) readResult {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	results, pending := make(chan readResult, 2), 0
-	send := func() {
+	startAttempt := func() {
 		pending++
 		startedAt := c.Clock.Now()
 		go func() {
@@ -144,7 +145,7 @@
 	}
 	hedgeTimer := time.NewTimer((wait + readHedgeDelay).Duration())
 	defer hedgeTimer.Stop()
-	send()
+	startAttempt()
 	for {
 		select {
 		case r := <-results:
@@ -154,11 +155,12 @@
 			}
 		case <-hedgeTimer.C:
 			c.httpClient().CloseIdleConnections()
-			send()
+			startAttempt()
 		}
 	}
 }
 
+// readAttempt sends one read request.
 func (c *Client) readAttempt(ctx context.Context, stream string, from uint64, limit int, wait, timeout timer.Millis) (Page, error) {
 	ctx, cancel := context.WithTimeout(ctx, (timeout + wait).Duration())
 	defer cancel()
@@ -178,35 +180,35 @@
 	if err != nil {
 		return Page{}, err
 	}
-	c.appendState.advanceHead(stream, p.Next)
+	c.streams.advanceHead(stream, p.Next)
 	return p, nil
 }
 
-// floor returns a head of the stream that was known before now.
-func (c *Client) currentHead(ctx context.Context, stream string) (uint64, error) {
-	if next, ok := c.appendState.knownHead(stream); ok {
+// headBeforeAppend returns the highest known head of the stream, and requests it from the log if none is known.
+func (c *Client) headBeforeAppend(ctx context.Context, stream string) (uint64, error) {
+	if next, ok := c.streams.knownHead(stream); ok {
 		return next, nil
 	}
 	_, next, err := c.Head(ctx, stream)
 	return next, err
 }
 
-// resolve sends the record and looks for it when there is no answer in time or a failure that is not definite. Its error
-// is either definite or satisfies IsUnknown.
+// resolve sends the record, and reads it back if there is no response in time or the failure is not definite. Its error is
+// either definite or satisfies IsUnknown.
 func (c *Client) resolve(ctx context.Context, k appendKey, searchStart uint64, body []byte) (uint64, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	var (
 		attemptResult       = make(chan appendResult, 1)
-		readBackResult      chan appendResult // nil while no read-back runs
-		attemptErr          error             // of the attempts, when they have ended
-		startedAfterFailure bool              // the read-back began after that
+		readBackResult      chan appendResult // nil if no read-back is in progress
+		attemptErr          error             // set when the attempts have failed without a definite outcome
+		startedAfterFailure bool              // the read-back started after attemptErr was set
 		readBackTimer       = time.NewTimer(readBackDelay.Duration())
 	)
 	defer readBackTimer.Stop()
 	go func() { attemptResult <- c.appendWithRetry(ctx, k, body) }()
 	startReadBack := func() {
-		// The connections that are open may be silent; the read-back needs one that works.
+		// Open connections may have stalled; the read-back needs a new one.
 		c.httpClient().CloseIdleConnections()
 		readBackResult, startedAfterFailure = make(chan appendResult, 1), attemptErr != nil
 		go func(result chan<- appendResult) { result <- c.findRecord(ctx, k, searchStart, true) }(readBackResult)
@@ -217,22 +219,22 @@
 			if readBackResult == nil && attemptErr == nil {
 				startReadBack()
 			}
-		case o := <-attemptResult:
-			if o.err == nil || isDefiniteFailure(o.err) {
-				return o.offset, o.err
+		case result := <-attemptResult:
+			if result.err == nil || isDefiniteFailure(result.err) {
+				return result.offset, result.err
 			}
-			attemptErr = o.err
+			attemptErr = result.err
 			if readBackResult == nil {
 				startReadBack()
 			}
-		case o := <-readBackResult:
-			if o.found {
-				return o.offset, nil
+		case result := <-readBackResult:
+			if result.found {
+				return result.offset, nil
 			}
 			switch readBackResult = nil; {
 			case startedAfterFailure:
-				// Not joined as causes: a refused read does not make the append definite.
-				return 0, &unknownOutcomeError{cause: trace.Errorf("%v; read-back: %v", attemptErr, o.err)}
+				// Formatted instead of wrapped: the error of a rejected read must not make the append definite.
+				return 0, &unknownOutcomeError{cause: trace.Errorf("%v; read-back: %v", attemptErr, result.err)}
 			case attemptErr != nil:
 				startReadBack()
 			}
@@ -240,7 +242,7 @@
 	}
 }
 
-// attempts sends the append and repeats it while the failure is definite and time is left.
+// appendWithRetry sends the append and repeats it until Timeout while its failure is retryable.
 func (c *Client) appendWithRetry(ctx context.Context, k appendKey, body []byte) appendResult {
 	ctx, cancel := context.WithTimeout(ctx, c.timeoutOrDefault().Duration())
 	defer cancel()
@@ -250,7 +252,7 @@
 		if err == nil {
 			var offset uint64
 			if offset, err = decodeAppendResponse(response); err == nil {
-				c.appendState.advanceHead(k.stream, offset+1)
+				c.streams.advanceHead(k.stream, offset+1)
 			}
 			return appendResult{offset: offset, err: err}
 		}
@@ -260,9 +262,9 @@
 	}
 }
 
-// find reads the stream from floor on and looks for the identifier. With poll it waits for the record until Timeout,
-// because a slow append can take effect after its response was given up; otherwise it stops at the head. Without an
-// error, the record was not there up to the head.
+// findRecord searches the stream for the identifier, starting at searchStart. With poll it waits for the record until
+// Timeout, because a slow append can take effect after the client stopped waiting for its response; otherwise it stops at
+// the head. A result that is not found and has no error means that there is no such record below the head.
 func (c *Client) findRecord(ctx context.Context, k appendKey, searchStart uint64, poll bool) appendResult {
 	ctx, cancel := context.WithTimeout(ctx, c.timeoutOrDefault().Duration())
 	defer cancel()
@@ -294,7 +296,7 @@
 	}
 }
 
-// exchange sends one request and returns the body of a successful answer.
+// doRequest sends one request and returns the body of a successful response.
 func (c *Client) doRequest(ctx context.Context, method, stream, query string, payload []byte) ([]byte, error) {
 	u, err := url.Parse(c.URL)
 	if err != nil {
@@ -302,10 +304,10 @@
 	}
 	u = u.JoinPath("v1", "streams", stream, "records")
 	u.RawQuery = query
-	var connectionWanted, connectionObtained atomic.Bool
+	var connecting, connected atomic.Bool
 	ctx = httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{
-		GetConn: func(string) { connectionWanted.Store(true) },
-		GotConn: func(httptrace.GotConnInfo) { connectionObtained.Store(true) },
+		GetConn: func(string) { connecting.Store(true) },
+		GotConn: func(httptrace.GotConnInfo) { connected.Store(true) },
 	})
 	request, err := http.NewRequestWithContext(ctx, method, u.String(), bytes.NewReader(payload))
 	if err != nil {
@@ -316,8 +318,8 @@
 	}
 	response, err := c.httpClient().Do(request)
 	if err != nil {
-		// A transport that does not report its connections leaves both unset.
-		if connectionWanted.Load() && !connectionObtained.Load() {
+		// A transport without support for httptrace sets neither flag.
+		if connecting.Load() && !connected.Load() {
 			return nil, &noConnectionError{cause: err}
 		}
 		return nil, trace.Wrap(err)
@@ -328,7 +330,7 @@
 		return nil, trace.Wrap(err)
 	}
 	if len(content) > maxResponseLen {
-		return nil, trace.LimitExceeded("answer of the log is larger than %d bytes", maxResponseLen)
+		return nil, trace.LimitExceeded("response of the log exceeds %d bytes", maxResponseLen)
 	}
 	if response.StatusCode != http.StatusOK {
 		return nil, decodeErrorResponse(response.StatusCode, content)
@@ -345,7 +347,7 @@
 
 func (c *Client) timeoutOrDefault() timer.Millis { return orDefault(c.Timeout, defaultTimeout) }
 
-// sleep waits and reports whether the context is still open.
+// sleep waits for d and reports whether it elapsed before the context ended.
 func sleep(ctx context.Context, d timer.Millis) bool {
 	t := time.NewTimer(d.Duration())
 	defer t.Stop()
--- a/appender/client_test.go
+++ b/appender/client_test.go
@@ -25,20 +25,20 @@
 const appended, notAppended, unknown = "appended", "not appended", "unknown"
 
 type (
-	// call is the result of one call of Append.
+	// appendCall is the result of one call of Append.
 	appendCall struct {
 		outcome string
 		offset  uint64
 	}
 
-	// round is a time with certain faults, in which appends begin.
+	// faultRound is a period in which faults are injected and appends start.
 	faultRound struct {
 		faults             emulator.LogSettings
 		refusals           emulator.Refusals
 		keepRefusals       bool // until the next round
-		silenceConnections bool // the connections used so far go silent
+		silenceConnections bool // the connections used so far stall
 		appends            int
-		retryUnknown       bool // appends of unknown outcome are called again
+		retryUnknown       bool // repeat earlier appends of unknown outcome
 		faultDuration      timer.Millis
 	}
 
@@ -60,7 +60,7 @@
 	return notAppended
 }
 
-// Guards against a client and a log that do not agree on the published protocol over real connections.
+// TestLoopback guards against a client and a log server that are incompatible over real connections.
 func TestLoopback(t *testing.T) {
 	l := &emulator.Log{}
 	url, err := emulator.ServeLog(t.Context(), "127.0.0.1:0", l)
@@ -91,7 +91,7 @@
 	}
 }
 
-// drawRounds draws faults and what happens under them.
+// drawRounds draws rounds with random faults and appends.
 func drawRounds(t *rapid.T) []faultRound {
 	oneIn := func(t *rapid.T, in int, label string) bool { return rapid.IntRange(1, in).Draw(t, label) == in }
 	return rapid.SliceOfN(rapid.Custom(func(t *rapid.T) faultRound {
@@ -115,7 +115,7 @@
 	}), 1, 6).Draw(t, "rounds")
 }
 
-// runRounds returns what is wrong with the verdicts and the log after the rounds, or nothing.
+// runRounds runs the rounds and describes an outcome that contradicts the records in the log, or returns the empty string.
 func runRounds(rounds []faultRound) string {
 	l := &emulator.Log{}
 	transport := &emulator.Transport{Log: l}
@@ -160,7 +160,7 @@
 	offsetsByID := map[string][]uint64{}
 	for _, r := range l.Records("claims") {
 		if offsetsByID[r.ID] = append(offsetsByID[r.ID], r.Offset); r.ID != string(r.Body) {
-			return fmt.Sprintf("record %d has another body", r.Offset)
+			return fmt.Sprintf("record %d has the body of another append", r.Offset)
 		}
 	}
 	for id, results := range calls {
@@ -169,13 +169,14 @@
 		case len(offsets) > len(results),
 			last.outcome == appended && !slices.Contains(offsets, last.offset),
 			last.outcome == notAppended && len(offsets) > 0:
-			return fmt.Sprintf("append with calls %+v is in the log at %v", results, offsets)
+			return fmt.Sprintf("append with calls %+v is in the log at offsets %v", results, offsets)
 		}
 	}
 	return ""
 }
 
-// Guards against an append with a false verdict or offset, and against one call that leaves two records.
+// TestAppendUnderFaults guards against an append with a wrong outcome or offset, and against a single call that leaves two
+// records.
 func TestAppendUnderFaults(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
 		var violation string
@@ -187,7 +188,8 @@
 	})
 }
 
-// Guards against answers of the log, or of something between, that are mistaken for a definite refusal or a success.
+// TestAppendAnswers guards against responses of the log or of a proxy that are mistaken for a definite failure or for a
+// success.
 func TestAppendAnswers(t *testing.T) {
 	const refusal = `{"error":"no","appended":false}`
 	unreachable := &http.Transport{DialContext: func(context.Context, string, string) (net.Conn, error) {
@@ -247,12 +249,13 @@
 			if got := outcomeOf(err); got != c.want {
 				t.Errorf("%s: got %s (%v), want %s", c.name, got, err, c.want)
 			}
-			time.Sleep(2 * time.Minute) // lets an open dial end
+			time.Sleep(2 * time.Minute) // lets a pending dial end
 		})
 	}
 }
 
-// Guards against an append that stays unknown although the log answers, and against a second call that repeats the first.
+// TestAppendResolves guards against an append whose outcome stays unknown although the log responds, and against a second
+// call that appends a record of the first call again.
 func TestAppendResolves(t *testing.T) {
 	type step struct {
 		faults   emulator.LogSettings
@@ -279,7 +282,7 @@
 			l := &emulator.Log{}
 			transport := &emulator.Transport{Log: l}
 			a := &appender.Client{URL: "http://log", HTTP: &http.Client{Transport: transport}, Timeout: 2 * timer.Second}
-			// Makes the head known, and uses up the rate of one append a second.
+			// Makes the head known, and uses up the rate limit of one append per second.
 			if _, err := a.Append(t.Context(), "s", "first", nil); err != nil {
 				t.Fatal(err)
 			}
@@ -303,7 +306,8 @@
 	}
 }
 
-// Guards against requests that are sent although they cannot succeed, and against "unknown" when nothing was sent.
+// TestAppendNotSent guards against requests that are sent although they cannot succeed, and against an unknown outcome when
+// nothing was sent.
 func TestAppendNotSent(t *testing.T) {
 	ended, cancel := context.WithCancel(t.Context())
 	cancel()
@@ -327,19 +331,19 @@
 	}
 }
 
-// Guards against a Gap that grows without bound or hands out records with a hole.
+// TestGap guards against a Gap that grows without bound or returns records that are not contiguous.
 func TestGap(t *testing.T) {
 	var g appender.Gap
 	for offset := uint64(10); offset < 40; offset++ {
 		g.Add(appender.Record{Offset: offset, Body: make([]byte, appender.MaxBody)})
 	}
 	if _, ok := g.Close(10); ok || !g.Open() {
-		t.Error("a gap of more than its bound kept all records")
+		t.Error("no record was dropped beyond the memory bound")
 	}
-	g.Add(appender.Record{Offset: 50}) // after a hole
+	g.Add(appender.Record{Offset: 50}) // not contiguous
 	g.Add(appender.Record{Offset: 51})
 	if _, ok := g.Close(49); ok {
-		t.Error("records with a hole were handed out")
+		t.Error("records after a missing one were returned")
 	}
 	if rest, ok := g.Close(51); !ok || len(rest) != 1 || rest[0].Offset != 51 || g.Open() {
 		t.Errorf("got %d records, %v, want 1", len(rest), ok)
--- a/appender/errors.go
+++ b/appender/errors.go
@@ -11,32 +11,34 @@
 )
 
 type (
+	// unknownOutcomeError means that an append may have taken effect or may still do so.
 	unknownOutcomeError struct{ cause error }
 
+	// truncatedError means that a read starts before the first retained record.
 	truncatedError struct {
 		stream              string
 		from, firstRetained uint64
 	}
 
-	// notSentError means that there was no connection for the request before its time ran out.
+	// noConnectionError means that no connection was established before the request failed, so that it was not sent.
 	noConnectionError struct{ cause error }
 
-	// statusError is an answer of the log other than success.
+	// statusError is a response with a status other than 200.
 	statusError struct {
 		code          int
-		notAppended   bool   // the log states that the record was not appended
+		notAppended   bool   // the response states that the record was not appended
 		firstRetained uint64 // with 410, the first retained offset
 		message       string
 	}
 )
 
-// IsUnknown reports whether err means that the append may have taken effect or may yet do so.
+// IsUnknown reports whether err means that the append may have taken effect or may still do so.
 func IsUnknown(err error) bool {
 	var u *unknownOutcomeError
 	return errors.As(err, &u)
 }
 
-// IsTruncated reports whether err means that the read began before the first retained record.
+// IsTruncated reports whether err means that the read starts before the first retained record.
 func IsTruncated(err error) bool {
 	var t *truncatedError
 	return errors.As(err, &t)
@@ -47,18 +49,18 @@
 	return "outcome of the append is unknown: " + e.cause.Error()
 }
 
-// Unwrap returns the error that left the outcome open.
+// Unwrap returns the reason why the outcome is unknown.
 func (e *unknownOutcomeError) Unwrap() error { return e.cause }
 
 // Error implements error.
-func (e *noConnectionError) Error() string { return "no connection to the log: " + e.cause.Error() }
+func (e *noConnectionError) Error() string { return "cannot connect to the log: " + e.cause.Error() }
 
 // Unwrap returns the error of the transport.
 func (e *noConnectionError) Unwrap() error { return e.cause }
 
 // Error implements error.
 func (e *truncatedError) Error() string {
-	return fmt.Sprintf("read of stream %q from offset %d begins before the first retained record %d", e.stream, e.from, e.firstRetained)
+	return fmt.Sprintf("read of stream %q at offset %d starts before the first retained offset %d", e.stream, e.from, e.firstRetained)
 }
 
 // Error implements error.
@@ -66,9 +68,9 @@
 	return "log answered with status " + strconv.Itoa(e.code) + ": " + e.message
 }
 
-// definite reports whether a failed append surely did not take effect: no connection was made, or the log refused the
-// request. Other answers, 503 among them, can come from a proxy that gave up waiting, so they count only when the log
-// states that the record was not appended.
+// isDefiniteFailure reports whether a failed append definitely did not take effect: no connection was established, or the
+// log rejected the request. Other statuses, such as 503, can come from a proxy that timed out, so they are definite only if
+// the body states that the record was not appended.
 func isDefiniteFailure(err error) bool {
 	var (
 		opErr        *net.OpError
@@ -92,7 +94,7 @@
 	return trace.IsBadParameter(err)
 }
 
-// repeatable reports whether an append that failed with err may be sent again at once.
+// isRetryable reports whether an append that failed with err can be sent again without a read-back.
 func isRetryable(err error) bool {
 	var status *statusError
 	if errors.As(err, &status) {
--- a/appender/fields.go
+++ b/appender/fields.go
@@ -5,7 +5,8 @@
 	"google.golang.org/protobuf/encoding/protowire"
 )
 
-// Field is one protobuf field of a record body. Number is set for varints, Bytes for length-delimited fields.
+// Field is one protobuf field of a record body. Tag is the field number, Number the value of a varint, and Bytes the value
+// of a length-delimited field.
 type Field struct {
 	Tag    protowire.Number
 	Type   protowire.Type
@@ -13,13 +14,13 @@
 	Bytes  []byte
 }
 
-// Fields calls visit for each protobuf field of b, in order, and stops at the first error. Varints and
-// length-delimited fields are the only types. Bytes are parts of b.
+// Fields calls visit for each protobuf field of b, in order, and stops at the first error. Wire types other than varint and
+// length-delimited are errors. Field.Bytes refers to b.
 func Fields(b []byte, visit func(f Field) error) error {
 	for pos := 0; pos < len(b); {
 		tag, wireType, n := protowire.ConsumeTag(b[pos:])
 		if n < 0 {
-			return trace.BadParameter("field tag at byte %d is malformed", pos)
+			return trace.BadParameter("malformed field tag at byte %d", pos)
 		}
 		f := Field{Tag: tag, Type: wireType}
 		var size int
@@ -29,7 +30,7 @@
 		case protowire.BytesType:
 			f.Bytes, size = protowire.ConsumeBytes(b[pos+n:])
 		default:
-			return trace.BadParameter("field %d at byte %d has the unexpected wire type %d", tag, pos, wireType)
+			return trace.BadParameter("field %d at byte %d has unsupported wire type %d", tag, pos, wireType)
 		}
 		if size < 0 {
 			return trace.BadParameter("field %d at byte %d is truncated or malformed", tag, pos)
@@ -42,23 +43,23 @@
 	return nil
 }
 
-// Uint stores a varint field.
+// Uint stores the value of a varint field in dst.
 func (f Field) Uint(dst *uint64) error {
 	if f.Type != protowire.VarintType {
-		return trace.BadParameter("field %d is not a number", f.Tag)
+		return trace.BadParameter("field %d is not a varint", f.Tag)
 	}
 	*dst = f.Number
 	return nil
 }
 
-// Text stores a length-delimited field of at most limit bytes.
+// Text stores the value of a length-delimited field of at most limit bytes in dst.
 func (f Field) Text(dst *string, limit int) error {
 	b, err := f.Message(limit)
 	*dst = string(b)
 	return err
 }
 
-// Message returns a length-delimited field of at most limit bytes.
+// Message returns the value of a length-delimited field of at most limit bytes.
 func (f Field) Message(limit int) ([]byte, error) {
 	if f.Type != protowire.BytesType {
 		return nil, trace.BadParameter("field %d is not length-delimited", f.Tag)
@@ -69,10 +70,10 @@
 	return f.Bytes, nil
 }
 
-// Unknown returns the error for a field that the format does not have.
+// Unknown returns the error for a field that the message type does not define.
 func (f Field) Unknown() error { return trace.BadParameter("field %d is unknown", f.Tag) }
 
-// AppendText appends a text field. Empty texts are left out, as Fields leaves their destination empty.
+// AppendText appends a string field to dst. It omits the empty string, which is the default of an absent field.
 func AppendText(dst []byte, tag protowire.Number, s string) []byte {
 	if s == "" {
 		return dst
@@ -80,7 +81,7 @@
 	return protowire.AppendString(protowire.AppendTag(dst, tag, protowire.BytesType), s)
 }
 
-// AppendUint appends a number field. Zeros are left out, as Fields leaves their destination zero.
+// AppendUint appends a varint field to dst. It omits zero, which is the default of an absent field.
 func AppendUint(dst []byte, tag protowire.Number, n uint64) []byte {
 	if n == 0 {
 		return dst
--- a/appender/gap.go
+++ b/appender/gap.go
@@ -1,16 +1,17 @@
 package appender
 
-// maxGapBytes bounds the memory of a Gap, bodies only. It is a quarter of the 32 MB that a process may use for control.
+// maxGapBytes bounds the memory of a Gap as counted by recordMemory. It is a quarter of the 32 MB that a process may use for
+// control state.
 const maxGapBytes = 8 << 20
 
-// Gap holds contiguous records that cannot be folded yet, because records before them are missing. When they are too
-// many, the oldest are dropped: a newer checkpoint needs only the newer ones. The zero value is empty.
+// Gap buffers contiguous records that cannot be applied yet, because records before them are missing. Beyond maxGapBytes
+// the oldest records are dropped: a later checkpoint covers them. The zero value is empty.
 type Gap struct {
 	records []Record
 	size    int
 }
 
-// Add holds the record. A record that does not follow the last one drops what is held.
+// Add buffers the record. If it does not follow the last one, the buffered records are dropped first.
 func (g *Gap) Add(r Record) {
 	if n := len(g.records); n > 0 && g.records[n-1].Offset+1 != r.Offset {
 		*g = Gap{}
@@ -26,11 +27,11 @@
 	g.records = g.records[n:]
 }
 
-// Open reports whether records are held.
+// Open reports whether records are buffered.
 func (g *Gap) Open() bool { return len(g.records) > 0 }
 
-// Close empties the gap and returns the held records from the offset on. ok is false, and the gap stays as it is, when
-// records are missing between a state at the offset and the held ones.
+// Close empties the buffer and returns its records from the offset on. If records between the offset and the first buffered
+// one are missing, ok is false and the buffer is unchanged.
 func (g *Gap) Close(offset uint64) (rest []Record, ok bool) {
 	if len(g.records) > 0 && g.records[0].Offset > offset {
 		return nil, false
@@ -43,5 +44,5 @@
 	return rest, true
 }
 
-// recordSize counts the body and what the record itself takes.
+// recordMemory returns the approximate memory of a record: body, identifier, and 64 bytes for the struct.
 func recordMemory(r Record) int { return len(r.Body) + len(r.ID) + 64 }
--- a/appender/tail.go
+++ b/appender/tail.go
@@ -10,18 +10,18 @@
 
 const (
 	defaultTailWait timer.Millis = 200
-	// defaultTailTimeout is below the freshness lease of 2 s: a later answer would confirm nothing.
+	// defaultTailTimeout is less than the freshness lease of 2 s: a later response could not renew the lease.
 	defaultTailTimeout timer.Millis = 1000
 )
 
 type (
-	// Tail follows a stream. Set the fields before Run.
+	// Tail reads a stream continuously. Set the fields before Run.
 	Tail struct {
 		Client *Client
 		Stream string
 		// From is the offset of the first record to read.
 		From uint64
-		// Limit bounds the records of one read; 0 means MaxLimit.
+		// Limit bounds the records of one read; 0 means MaxReadRecords.
 		Limit int
 		// Wait is how long one read waits at the head; 0 means 200 ms. It bounds the age of a confirmed head.
 		Wait timer.Millis
@@ -29,35 +29,35 @@
 		Timeout timer.Millis
 		// OnRecord is called for each record, in offset order.
 		OnRecord func(r Record)
-		// OnRead is called after each read, when OnRecord was called for all of its records.
+		// OnRead is called after each read, after OnRecord was called for all of its records.
 		OnRead func(p Progress)
 	}
 
 	// Progress describes one read of a Tail.
 	Progress struct {
-		// Began is when the exchange began. The state that was folded so far is known to be current as of then, if
-		// Head is set.
+		// Began is the start time of the read. If Head is set, the state from the records so far was current at that
+		// time.
 		Began timer.Millis
-		// Next is the offset from which the following read goes on.
+		// Next is the offset at which the next read starts.
 		Next uint64
 		// First is the offset of the first retained record; 0 after a failed read.
 		First uint64
-		// Head means that every record that existed when the exchange began was passed to OnRecord.
+		// Head means that every record that existed when the read started was passed to OnRecord.
 		Head bool
-		// Err is the reason why the read failed; the other fields but Began and Next are then zero.
+		// Err is the error of a failed read; the fields except Began and Next are then zero.
 		Err error
 	}
 )
 
-// Run reads until ctx ends or the next record is no longer retained; the error then satisfies IsTruncated. Failed reads
-// are reported to OnRead and repeated.
+// Run reads until ctx ends, or until the next record is no longer retained; the error then satisfies IsTruncated. Failed
+// reads are reported to OnRead and, apart from the latter, repeated.
 func (t *Tail) Run(ctx context.Context) error {
 	next, backoff, limit := t.From, minBackoff, t.Limit
 	if limit <= 0 {
 		limit = MaxReadRecords
 	}
-	// The first read does not wait, so that a new process learns at once that it has reached the head. Neither does
-	// one after a failure.
+	// The first read and reads after a failure do not wait at the head, so that OnRead learns without delay that the head
+	// is reached.
 	wait := timer.Millis(0)
 	for ctx.Err() == nil {
 		r := t.Client.hedgedRead(ctx, t.Stream, next, limit, wait, orDefault(t.Timeout, defaultTailTimeout))
@@ -65,8 +65,8 @@
 		case r.err != nil && ctx.Err() != nil:
 			return ctx.Err()
 		case r.err == nil && r.page.Next < next:
-			// A log that lost records must not confirm a state that is ahead of it.
-			r.err = trace.CompareFailed("head %d of stream %q lies before offset %d, which was read already", r.page.Next, t.Stream, next)
+			// A log that lost records must not confirm state derived from the lost records.
+			r.err = trace.CompareFailed("head %d of stream %q is lower than the next offset %d; the log has lost records", r.page.Next, t.Stream, next)
 		}
 		if r.err != nil {
 			t.report(Progress{Began: r.startedAt, Next: next, Err: r.err})
--- a/appender/tail_test.go
+++ b/appender/tail_test.go
@@ -14,7 +14,7 @@
 	"github.com/crocuslb/crocuslb/timer"
 )
 
-// follower runs a Tail in virtual time and keeps what it reports.
+// tailTest runs a Tail in virtual time and stores what it reports.
 type tailTest struct {
 	log  *emulator.Log
 	done chan error
@@ -22,7 +22,7 @@
 	mu       sync.Mutex
 	received string
 	reads    []appender.Progress
-	lastAge  timer.Millis // of the last read when it was reported
+	lastAge  timer.Millis // of the last read at the time of its report
 }
 
 func startTail(ctx context.Context, from uint64) *tailTest {
@@ -49,27 +49,27 @@
 	return f
 }
 
-// add appends records.
 func (f *tailTest) appendBodies(bodies ...string) {
 	for _, b := range bodies {
 		f.log.Append("roster", appender.NewID(), []byte(b))
 	}
 }
 
-// sleep passes time and lets the Tail come to rest.
+// advance advances the virtual time and waits until the Tail is blocked.
 func (f *tailTest) advance(d timer.Millis) {
 	time.Sleep(d.Duration())
 	synctest.Wait()
 }
 
-// seen returns what was reported so far, and the last read with its age.
+// snapshot returns what was reported so far, and the last read with its age.
 func (f *tailTest) snapshot() (bodies string, reads []appender.Progress, last appender.Progress, age timer.Millis) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.received, f.reads[:len(f.reads):len(f.reads)], f.reads[len(f.reads)-1], f.lastAge
 }
 
-// Guards against lost, repeated or late records, and against a head, the basis of freshness leases, that is not true.
+// TestTail guards against lost, repeated or late records, and against reporting the head wrongly, which would renew a
+// freshness lease for outdated state.
 func TestTail(t *testing.T) {
 	for _, c := range []struct {
 		name string
--- a/appender/wire.go
+++ b/appender/wire.go
@@ -42,54 +42,54 @@
 	}
 	b, err := json.Marshal(appendRequest{ID: id, Body: body})
 	if err != nil {
-		panic(err) // strings and bytes always encode
+		panic(err) // cannot happen for strings and bytes
 	}
 	return b
 }
 
 func decodeAppendResponse(b []byte) (uint64, error) {
-	var w appendResponse
-	if err := json.Unmarshal(b, &w); err != nil {
-		return 0, trace.Wrap(err, "answer to an append is malformed")
+	var response appendResponse
+	if err := json.Unmarshal(b, &response); err != nil {
+		return 0, trace.Wrap(err, "malformed response to an append")
 	}
-	if w.Offset == nil {
-		return 0, trace.Errorf("answer to an append has no offset")
+	if response.Offset == nil {
+		return 0, trace.Errorf("response to an append has no offset")
 	}
-	if *w.Offset == math.MaxUint64 {
-		return 0, trace.Errorf("answer to an append has offset %d, after which there is none", *w.Offset)
+	if *response.Offset == math.MaxUint64 {
+		return 0, trace.Errorf("response to an append has offset %d, the maximum, which leaves no next offset", *response.Offset)
 	}
-	return *w.Offset, nil
+	return *response.Offset, nil
 }
 
-// decodePage decodes a page and checks that its records are contiguous and follow from.
+// decodeReadResponse decodes a page and checks that its records are contiguous and start at the offset from.
 func decodeReadResponse(b []byte, from uint64) (Page, error) {
-	var w readResponse
-	if err := json.Unmarshal(b, &w); err != nil {
-		return Page{}, trace.Wrap(err, "page of the log is malformed")
+	var response readResponse
+	if err := json.Unmarshal(b, &response); err != nil {
+		return Page{}, trace.Wrap(err, "malformed response to a read")
 	}
-	if w.First == nil || w.Next == nil || *w.First > *w.Next {
-		return Page{}, trace.Errorf("page of the log lacks a valid first and next offset")
+	if response.First == nil || response.Next == nil || *response.First > *response.Next {
+		return Page{}, trace.Errorf("response to a read has no valid first and next offset")
 	}
-	p := Page{First: *w.First, Next: *w.Next}
-	for i, r := range w.Records {
+	p := Page{First: *response.First, Next: *response.Next}
+	for i, r := range response.Records {
 		switch {
 		case r.Offset != from+uint64(i) || r.Offset < p.First || r.Offset >= p.Next:
-			return Page{}, trace.Errorf("page of the log has offset %d at position %d of a read from %d", r.Offset, i, from)
+			return Page{}, trace.Errorf("response to a read has offset %d at position %d, but the read starts at offset %d", r.Offset, i, from)
 		case len(r.Body) > MaxBody:
-			return Page{}, trace.LimitExceeded("record at offset %d is larger than %d bytes", r.Offset, MaxBody)
+			return Page{}, trace.LimitExceeded("body of the record at offset %d exceeds %d bytes", r.Offset, MaxBody)
 		}
 		p.Records = append(p.Records, Record(r))
 	}
 	return p, nil
 }
 
-// decodeStatus returns the error for an answer other than success. Its body is optional.
+// decodeErrorResponse returns the error for a response with a status other than 200. Its body can be empty or not JSON.
 func decodeErrorResponse(code int, b []byte) *statusError {
 	const maxMessageLen = 200
 	e := &statusError{code: code, message: strings.ToValidUTF8(string(b[:min(len(b), maxMessageLen)]), "?")}
-	var w errorResponse
-	if json.Unmarshal(b, &w) == nil {
-		e.firstRetained, e.notAppended = w.First, w.Appended != nil && !*w.Appended
+	var response errorResponse
+	if json.Unmarshal(b, &response) == nil {
+		e.firstRetained, e.notAppended = response.First, response.Appended != nil && !*response.Appended
 	}
 	return e
 }
--- a/appender/wire_test.go
+++ b/appender/wire_test.go
@@ -6,7 +6,8 @@
 	"testing"
 )
 
-// Guards against answers of the log that panic or let a reader skip or repeat records.
+// FuzzDecodeAnswers guards against panics on malformed responses, and against responses that make a reader skip or repeat
+// records.
 func FuzzDecodeAnswers(f *testing.F) {
 	f.Add([]byte(`{"first":0,"next":4,"records":[{"offset":2,"id":"a","body":"YQ=="},{"offset":3,"id":"b","body":""}]}`), uint64(2))
 	for _, body := range []string{
@@ -35,10 +36,10 @@
 			}
 		}
 		if offset, err := decodeAppendResponse(body); err == nil && offset == 1<<64-1 {
-			t.Fatal("the offset after the last one was accepted")
+			t.Fatal("the maximum offset, which has no successor, was accepted")
 		}
 		if s := decodeErrorResponse(503, body); s.notAppended && !json.Valid(body) {
-			t.Fatal("a malformed refusal was taken for a definite one")
+			t.Fatal("a malformed error response was taken for a definite failure")
 		}
 	})
 }
