--- a/appender/client.go
+++ b/appender/client.go
@@ -44,7 +44,7 @@
 		// Timeout bounds the attempts of an append, each read-back, and a read beyond its wait; 0 means 3 s.
 		Timeout timer.Millis
 
-		streams streamState
+		streamState streamState
 	}
 
 	// readResult is the result of a read with the start time of its request.
@@ -86,7 +86,7 @@
 		return 0, trace.BadParameter("record identifier of %d bytes is not between 1 and %d bytes long", len(id), MaxIDLen)
 	}
 	k := appendKey{stream: stream, id: id}
-	searchStart, retried := c.streams.searchStart(k)
+	searchStart, retried := c.streamState.searchStart(k)
 	if retried {
 		result := c.findRecord(ctx, k, searchStart, false)
 		if result.found {
@@ -101,17 +101,17 @@
 	if err := ctx.Err(); err != nil && !retried {
 		return 0, trace.Wrap(err, "the append was not sent")
 	}
-	c.streams.addUnresolved(k, searchStart)
+	c.streamState.addUnresolved(k, searchStart)
 	offset, err = c.resolve(ctx, k, searchStart, body)
 	switch {
 	case err == nil:
-		c.streams.removeUnresolved(k)
+		c.streamState.removeUnresolved(k)
 	case IsUnknown(err):
 	case retried:
 		// The outcome of the earlier call with this identifier is still unknown.
 		err = &unknownOutcomeError{cause: err}
 	default:
-		c.streams.removeUnresolved(k)
+		c.streamState.removeUnresolved(k)
 	}
 	return offset, err
 }
@@ -180,13 +180,13 @@
 	if err != nil {
 		return Page{}, err
 	}
-	c.streams.advanceHead(stream, p.Next)
+	c.streamState.advanceHead(stream, p.Next)
 	return p, nil
 }
 
 // headBeforeAppend returns the highest known head of the stream, and requests it from the log if none is known.
 func (c *Client) headBeforeAppend(ctx context.Context, stream string) (uint64, error) {
-	if next, ok := c.streams.knownHead(stream); ok {
+	if next, ok := c.streamState.knownHead(stream); ok {
 		return next, nil
 	}
 	_, next, err := c.Head(ctx, stream)
@@ -211,7 +211,7 @@
 		// Open connections may have stalled; the read-back needs a new one.
 		c.httpClient().CloseIdleConnections()
 		readBackResult, startedAfterFailure = make(chan appendResult, 1), attemptErr != nil
-		go func(result chan<- appendResult) { result <- c.findRecord(ctx, k, searchStart, true) }(readBackResult)
+		go func(done chan<- appendResult) { done <- c.findRecord(ctx, k, searchStart, true) }(readBackResult)
 	}
 	for {
 		select {
@@ -219,22 +219,22 @@
 			if readBackResult == nil && attemptErr == nil {
 				startReadBack()
 			}
-		case result := <-attemptResult:
-			if result.err == nil || isDefiniteFailure(result.err) {
-				return result.offset, result.err
+		case outcome := <-attemptResult:
+			if outcome.err == nil || isDefiniteFailure(outcome.err) {
+				return outcome.offset, outcome.err
 			}
-			attemptErr = result.err
+			attemptErr = outcome.err
 			if readBackResult == nil {
 				startReadBack()
 			}
-		case result := <-readBackResult:
-			if result.found {
-				return result.offset, nil
+		case outcome := <-readBackResult:
+			if outcome.found {
+				return outcome.offset, nil
 			}
 			switch readBackResult = nil; {
 			case startedAfterFailure:
 				// Formatted instead of wrapped: the error of a rejected read must not make the append definite.
-				return 0, &unknownOutcomeError{cause: trace.Errorf("%v; read-back: %v", attemptErr, result.err)}
+				return 0, &unknownOutcomeError{cause: trace.Errorf("%v; read-back: %v", attemptErr, outcome.err)}
 			case attemptErr != nil:
 				startReadBack()
 			}
@@ -252,7 +252,7 @@
 		if err == nil {
 			var offset uint64
 			if offset, err = decodeAppendResponse(response); err == nil {
-				c.streams.advanceHead(k.stream, offset+1)
+				c.streamState.advanceHead(k.stream, offset+1)
 			}
 			return appendResult{offset: offset, err: err}
 		}
