--- a/appender/client.go
+++ b/appender/client.go
@@ -62,7 +62,7 @@
 	}
 )
 
-// defaultHTTPClient is used by clients without an own http.Client. It follows no redirects, because a redirected POST
+// defaultHTTPClient is used by clients whose HTTP is nil. It follows no redirects, because a redirected POST
 // could be sent twice.
 var defaultHTTPClient = &http.Client{
 	Transport: &http.Transport{
--- a/watcher/core.go
+++ b/watcher/core.go
@@ -125,7 +125,7 @@
 }
 
 // Tick starts and finishes probes and applies the timeouts that are due. After a pause of this process of more than two
-// probe intervals, it discards the probe in progress and extends the suspicions by the pause, because answers and
+// probe intervals, it discards the probe in progress and extends the suspicions by the pause, because acks and
 // refutations may still wait in the socket.
 func (c *Core) Tick(now timer.Millis) Output {
 	c.beginCall()
--- a/watcher/packet.go
+++ b/watcher/packet.go
@@ -18,7 +18,8 @@
 	KindPingRequest
 	// KindSync requests a page of the members whose identifiers follow Cursor.
 	KindSync
-	// KindPage answers a sync. Cursor is the last identifier of the page, or empty on the last page.
+	// KindPage answers a sync, or announces that its sender leaves. Cursor is the last identifier of the page, or empty on
+	// the last page.
 	KindPage
 
 	// MaxDatagramLen is the maximum size of a datagram in bytes. It avoids IP fragmentation on common networks.
