--- a/appender/client.go
+++ b/appender/client.go
@@ -20,50 +20,51 @@
 )
 
 const (
-	firstBackoff timer.Millis = 10
-	lastBackoff  timer.Millis = 500
-	// readBackAfter is when the read-back begins beside an append without an answer. A synced write takes several ms,
-	// so a response that is later than this may be lost on a silent connection.
-	readBackAfter timer.Millis = 300
-	readBackWait  timer.Millis = 200
-	// secondReadAfter is how late an answer may be before the read is sent again on a new connection.
-	secondReadAfter timer.Millis = 300
+	minBackoff timer.Millis = 10
+	maxBackoff timer.Millis = 500
+	// readBackDelay is the time after which an append without a response is read back while the client still waits for the
+	// response. A synced write takes several ms, so a later response may be lost on a connection that stalled.
+	readBackDelay timer.Millis = 300
+	// readBackWait is how long one read of a read-back waits at the head.
+	readBackWait timer.Millis = 200
+	// readHedgeDelay is the time beyond its wait after which a read without a response is sent again on a new connection.
+	readHedgeDelay timer.Millis = 300
 )
 
 type (
-	// Client talks to one log service. Set the fields before first use; a Client must not be copied afterwards. It is
-	// safe for concurrent use.
+	// Client is a client for one log service. Set the fields before first use; a Client must not be copied afterwards. It
+	// is safe for concurrent use.
 	Client struct {
 		// URL is the address of the log service, for example "http://10.0.0.1:7000".
 		URL string
-		// HTTP sends the requests; nil means a shared client that uses no proxy and follows no redirects.
+		// HTTP sends the requests; nil means a default client without proxy that follows no redirects.
 		HTTP *http.Client
-		// Clock tells when exchanges begin.
+		// Clock provides the start times of reads.
 		Clock timer.Clock
-		// Timeout bounds an append attempt, the read-back after it, and a read beyond its wait; 0 means 3 s.
+		// Timeout bounds the attempts of an append, each read-back, and a read beyond its wait; 0 means 3 s.
 		Timeout timer.Millis
 
-		floors floors
+		streamState streamState
 	}
 
-	// reading is the result of a read, and when its exchange began.
-	reading struct {
-		page  Page
-		began timer.Millis
-		err   error
+	// readResult is the result of a read with the start time of its request.
+	readResult struct {
+		page      Page
+		startedAt timer.Millis
+		err       error
 	}
 
-	// outcome is the result of an append attempt or of a read-back.
-	outcome struct {
+	// appendResult is the result of the attempts of an append, or of a read-back.
+	appendResult struct {
 		offset uint64
 		found  bool
 		err    error
 	}
 )
 
-// shared is used by clients without their own http.Client. A redirected POST could be sent twice, so redirects are
-// not followed.
-var shared = &http.Client{
+// defaultHTTPClient is used by clients whose HTTP is nil. It follows no redirects, because a redirected POST
+// could be sent twice.
+var defaultHTTPClient = &http.Client{
 	Transport: &http.Transport{
 		DialContext:         (&net.Dialer{Timeout: time.Second}).DialContext,
 		MaxIdleConnsPerHost: 8,
@@ -72,280 +73,281 @@
 	CheckRedirect: func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse },
 }
 
-// Append appends body to the stream under the identifier and returns its offset. Attempts that surely did not take
-// effect are repeated until Timeout; when none succeeds, the error is definite. Without an answer the record is looked
-// for from the head known before the first attempt on. When it is not found, the error satisfies IsUnknown. Append may
-// then be called again with the same identifier: it looks for the record before it sends it again. A delayed first
-// attempt can then leave the record in the log twice, so folds must refuse a repeated record.
+// Append appends body to the stream under the identifier and returns its offset. Attempts that definitely did not take
+// effect are repeated until Timeout; if none succeeds, the error is definite. Without a response, the record is searched
+// from the head known before the first attempt. If it is not found, the error satisfies IsUnknown. Append can then be
+// called again with the same identifier: it searches for the record before it sends it again. A delayed first attempt can
+// then leave the record in the log twice, so consumers must reject duplicate identifiers.
 func (c *Client) Append(ctx context.Context, stream, id string, body []byte) (offset uint64, err error) {
 	switch {
 	case len(body) > MaxBody:
 		return 0, trace.BadParameter("record body of %d bytes is larger than %d", len(body), MaxBody)
-	case id == "" || len(id) > MaxID:
-		return 0, trace.BadParameter("record identifier of %d bytes is not between 1 and %d bytes long", len(id), MaxID)
+	case id == "" || len(id) > MaxIDLen:
+		return 0, trace.BadParameter("record identifier of %d bytes is not between 1 and %d bytes long", len(id), MaxIDLen)
 	}
 	k := appendKey{stream: stream, id: id}
-	floor, again := c.floors.floorOf(k)
-	if again {
-		o := c.find(ctx, k, floor, false)
-		if o.found {
-			return o.offset, nil
+	searchStart, retried := c.streamState.searchStart(k)
+	if retried {
+		result := c.findRecord(ctx, k, searchStart, false)
+		if result.found {
+			return result.offset, nil
 		}
-		if o.err != nil {
-			return 0, &unknownError{cause: o.err}
+		if result.err != nil {
+			return 0, &unknownOutcomeError{cause: result.err}
 		}
-	} else if floor, err = c.floor(ctx, stream); err != nil {
-		return 0, trace.Wrap(err, "head of stream %q is not known, nothing was sent", stream)
+	} else if searchStart, err = c.headBeforeAppend(ctx, stream); err != nil {
+		return 0, trace.Wrap(err, "cannot read the head of stream %q; the append was not sent", stream)
 	}
-	if err := ctx.Err(); err != nil && !again {
-		return 0, trace.Wrap(err, "nothing was sent")
+	if err := ctx.Err(); err != nil && !retried {
+		return 0, trace.Wrap(err, "the append was not sent")
 	}
-	c.floors.remember(k, floor)
-	offset, err = c.resolve(ctx, k, floor, body)
+	c.streamState.addUnresolved(k, searchStart)
+	offset, err = c.resolve(ctx, k, searchStart, body)
 	switch {
 	case err == nil:
-		c.floors.forget(k)
+		c.streamState.removeUnresolved(k)
 	case IsUnknown(err):
-	case again:
-		// The earlier attempt under this identifier is still open.
-		err = &unknownError{cause: err}
+	case retried:
+		// The outcome of the earlier call with this identifier is still unknown.
+		err = &unknownOutcomeError{cause: err}
 	default:
-		c.floors.forget(k)
+		c.streamState.removeUnresolved(k)
 	}
 	return offset, err
 }
 
-// Head returns the offset of the first retained record and the offset that the next record will get.
+// Head returns the offset of the first retained record and the head, which is the offset that the next record will get.
 func (c *Client) Head(ctx context.Context, stream string) (first, next uint64, err error) {
 	p, err := c.Read(ctx, stream, math.MaxInt64, 1, 0)
 	return p.First, p.Next, err
 }
 
-// Read returns at most limit records from an offset on. When there are none, the log waits for one up to the given
-// time. The error satisfies IsTruncated when from lies before the first retained record.
+// Read returns at most limit records, starting at the offset from. If there are none, the log waits for one up to the time
+// wait (long polling). The error satisfies IsTruncated if from is lower than the first retained offset.
 func (c *Client) Read(ctx context.Context, stream string, from uint64, limit int, wait timer.Millis) (Page, error) {
-	r := c.read(ctx, stream, from, limit, wait, c.timeout())
+	r := c.hedgedRead(ctx, stream, from, limit, wait, c.timeoutOrDefault())
 	return r.page, r.err
 }
 
-// read reads once, and a second time on a new connection when the first has no answer in time: a connection can go
-// silent while new ones work.
-func (c *Client) read(ctx context.Context, stream string, from uint64, limit int, wait, timeout timer.Millis) reading {
+// hedgedRead sends a read, and a second one on a new connection if the first is not answered within readHedgeDelay: an open
+// connection can stall while new ones work.
+func (c *Client) hedgedRead(ctx context.Context, stream string, from uint64, limit int, wait, timeout timer.Millis) readResult {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	results, open := make(chan reading, 2), 0
-	send := func() {
-		open++
-		began := c.Clock.Now()
+	results, pending := make(chan readResult, 2), 0
+	startAttempt := func() {
+		pending++
+		startedAt := c.Clock.Now()
 		go func() {
-			p, err := c.readOnce(ctx, stream, from, limit, wait, timeout)
-			results <- reading{page: p, began: began, err: err}
+			p, err := c.readAttempt(ctx, stream, from, limit, wait, timeout)
+			results <- readResult{page: p, startedAt: startedAt, err: err}
 		}()
 	}
-	late := time.NewTimer((wait + secondReadAfter).Duration())
-	defer late.Stop()
-	send()
+	hedgeTimer := time.NewTimer((wait + readHedgeDelay).Duration())
+	defer hedgeTimer.Stop()
+	startAttempt()
 	for {
 		select {
 		case r := <-results:
-			open--
-			if r.err == nil || open == 0 || IsTruncated(r.err) {
+			pending--
+			if r.err == nil || pending == 0 || IsTruncated(r.err) {
 				return r
 			}
-		case <-late.C:
-			c.client().CloseIdleConnections()
-			send()
+		case <-hedgeTimer.C:
+			c.httpClient().CloseIdleConnections()
+			startAttempt()
 		}
 	}
 }
 
-func (c *Client) readOnce(ctx context.Context, stream string, from uint64, limit int, wait, timeout timer.Millis) (Page, error) {
+// readAttempt sends one read request.
+func (c *Client) readAttempt(ctx context.Context, stream string, from uint64, limit int, wait, timeout timer.Millis) (Page, error) {
 	ctx, cancel := context.WithTimeout(ctx, (timeout + wait).Duration())
 	defer cancel()
 	q := url.Values{}
 	q.Set("from", strconv.FormatUint(from, 10))
-	q.Set("limit", strconv.Itoa(min(max(limit, 1), MaxLimit)))
+	q.Set("limit", strconv.Itoa(min(max(limit, 1), MaxReadRecords)))
 	q.Set("waitMs", strconv.FormatInt(int64(wait), 10))
-	body, err := c.exchange(ctx, http.MethodGet, stream, q.Encode(), nil)
+	body, err := c.doRequest(ctx, http.MethodGet, stream, q.Encode(), nil)
 	var s *statusError
 	if errors.As(err, &s) && s.code == http.StatusGone {
-		return Page{First: s.first}, &truncatedError{stream: stream, from: from, first: s.first}
+		return Page{First: s.firstRetained}, &truncatedError{stream: stream, from: from, firstRetained: s.firstRetained}
 	}
 	if err != nil {
 		return Page{}, err
 	}
-	p, err := decodePage(body, from)
+	p, err := decodeReadResponse(body, from)
 	if err != nil {
 		return Page{}, err
 	}
-	c.floors.saw(stream, p.Next)
+	c.streamState.advanceHead(stream, p.Next)
 	return p, nil
 }
 
-// floor returns a head of the stream that was known before now.
-func (c *Client) floor(ctx context.Context, stream string) (uint64, error) {
-	if next, ok := c.floors.head(stream); ok {
+// headBeforeAppend returns the highest known head of the stream, and requests it from the log if none is known.
+func (c *Client) headBeforeAppend(ctx context.Context, stream string) (uint64, error) {
+	if next, ok := c.streamState.knownHead(stream); ok {
 		return next, nil
 	}
 	_, next, err := c.Head(ctx, stream)
 	return next, err
 }
 
-// resolve sends the record and looks for it when there is no answer in time or a failure that is not definite. Its error
-// is either definite or satisfies IsUnknown.
-func (c *Client) resolve(ctx context.Context, k appendKey, floor uint64, body []byte) (uint64, error) {
+// resolve sends the record, and reads it back if there is no response in time or the failure is not definite. Its error is
+// either definite or satisfies IsUnknown.
+func (c *Client) resolve(ctx context.Context, k appendKey, searchStart uint64, body []byte) (uint64, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	var (
-		sent  = make(chan outcome, 1)
-		back  chan outcome // nil while no read-back runs
-		fault error        // of the attempts, when they have ended
-		fresh bool         // the read-back began after that
-		late  = time.NewTimer(readBackAfter.Duration())
+		attemptResult       = make(chan appendResult, 1)
+		readBackResult      chan appendResult // nil if no read-back is in progress
+		attemptErr          error             // set when the attempts have failed without a definite outcome
+		startedAfterFailure bool              // the read-back started after attemptErr was set
+		readBackTimer       = time.NewTimer(readBackDelay.Duration())
 	)
-	defer late.Stop()
-	go func() { sent <- c.attempts(ctx, k, body) }()
-	look := func() {
-		// The connections that are open may be silent; the read-back needs one that works.
-		c.client().CloseIdleConnections()
-		back, fresh = make(chan outcome, 1), fault != nil
-		go func(result chan<- outcome) { result <- c.find(ctx, k, floor, true) }(back)
+	defer readBackTimer.Stop()
+	go func() { attemptResult <- c.appendWithRetry(ctx, k, body) }()
+	startReadBack := func() {
+		// Open connections may have stalled; the read-back needs a new one.
+		c.httpClient().CloseIdleConnections()
+		readBackResult, startedAfterFailure = make(chan appendResult, 1), attemptErr != nil
+		go func(done chan<- appendResult) { done <- c.findRecord(ctx, k, searchStart, true) }(readBackResult)
 	}
 	for {
 		select {
-		case <-late.C:
-			if back == nil && fault == nil {
-				look()
+		case <-readBackTimer.C:
+			if readBackResult == nil && attemptErr == nil {
+				startReadBack()
 			}
-		case o := <-sent:
-			if o.err == nil || definite(o.err) {
-				return o.offset, o.err
+		case outcome := <-attemptResult:
+			if outcome.err == nil || isDefiniteFailure(outcome.err) {
+				return outcome.offset, outcome.err
 			}
-			fault = o.err
-			if back == nil {
-				look()
+			attemptErr = outcome.err
+			if readBackResult == nil {
+				startReadBack()
 			}
-		case o := <-back:
-			if o.found {
-				return o.offset, nil
+		case outcome := <-readBackResult:
+			if outcome.found {
+				return outcome.offset, nil
 			}
-			switch back = nil; {
-			case fresh:
-				// Not joined as causes: a refused read does not make the append definite.
-				return 0, &unknownError{cause: trace.Errorf("%v; read-back: %v", fault, o.err)}
-			case fault != nil:
-				look()
+			switch readBackResult = nil; {
+			case startedAfterFailure:
+				// Formatted instead of wrapped: the error of a rejected read must not make the append definite.
+				return 0, &unknownOutcomeError{cause: trace.Errorf("%v; read-back: %v", attemptErr, outcome.err)}
+			case attemptErr != nil:
+				startReadBack()
 			}
 		}
 	}
 }
 
-// attempts sends the append and repeats it while the failure is definite and time is left.
-func (c *Client) attempts(ctx context.Context, k appendKey, body []byte) outcome {
-	ctx, cancel := context.WithTimeout(ctx, c.timeout().Duration())
+// appendWithRetry sends the append and repeats it until Timeout while its failure is retryable.
+func (c *Client) appendWithRetry(ctx context.Context, k appendKey, body []byte) appendResult {
+	ctx, cancel := context.WithTimeout(ctx, c.timeoutOrDefault().Duration())
 	defer cancel()
 	payload := encodeAppend(k.id, body)
-	for pause := firstBackoff; ; pause = min(2*pause, lastBackoff) {
-		answer, err := c.exchange(ctx, http.MethodPost, k.stream, "", payload)
+	for backoff := minBackoff; ; backoff = min(2*backoff, maxBackoff) {
+		response, err := c.doRequest(ctx, http.MethodPost, k.stream, "", payload)
 		if err == nil {
 			var offset uint64
-			if offset, err = decodeOffset(answer); err == nil {
-				c.floors.saw(k.stream, offset+1)
+			if offset, err = decodeAppendResponse(response); err == nil {
+				c.streamState.advanceHead(k.stream, offset+1)
 			}
-			return outcome{offset: offset, err: err}
+			return appendResult{offset: offset, err: err}
 		}
-		if !repeatable(err) || !sleep(ctx, pause) {
-			return outcome{err: err}
+		if !isRetryable(err) || !sleep(ctx, backoff) {
+			return appendResult{err: err}
 		}
 	}
 }
 
-// find reads the stream from floor on and looks for the identifier. With poll it waits for the record until Timeout,
-// because a slow append can take effect after its response was given up; otherwise it stops at the head. Without an
-// error, the record was not there up to the head.
-func (c *Client) find(ctx context.Context, k appendKey, floor uint64, poll bool) outcome {
-	ctx, cancel := context.WithTimeout(ctx, c.timeout().Duration())
+// findRecord searches the stream for the identifier, starting at searchStart. With poll it waits for the record until
+// Timeout, because a slow append can take effect after the client stopped waiting for its response; otherwise it stops at
+// the head. A result that is not found and has no error means that there is no such record below the head.
+func (c *Client) findRecord(ctx context.Context, k appendKey, searchStart uint64, poll bool) appendResult {
+	ctx, cancel := context.WithTimeout(ctx, c.timeoutOrDefault().Duration())
 	defer cancel()
-	from, wait, pause := floor, timer.Millis(0), firstBackoff
+	from, wait, backoff := searchStart, timer.Millis(0), minBackoff
 	for {
-		p, err := c.Read(ctx, k.stream, from, MaxLimit, wait)
+		p, err := c.Read(ctx, k.stream, from, MaxReadRecords, wait)
 		if IsTruncated(err) {
-			return outcome{err: err}
+			return appendResult{err: err}
 		}
 		if err != nil {
-			if !sleep(ctx, pause) {
-				return outcome{err: err}
+			if !sleep(ctx, backoff) {
+				return appendResult{err: err}
 			}
-			pause = min(2*pause, lastBackoff)
+			backoff = min(2*backoff, maxBackoff)
 			continue
 		}
 		for _, r := range p.Records {
 			if r.ID == k.id {
-				return outcome{offset: r.Offset, found: true}
+				return appendResult{offset: r.Offset, found: true}
 			}
 			from = r.Offset + 1
 		}
 		if from >= p.Next {
 			if !poll {
-				return outcome{}
+				return appendResult{}
 			}
 			wait = readBackWait
 		}
 	}
 }
 
-// exchange sends one request and returns the body of a successful answer.
-func (c *Client) exchange(ctx context.Context, method, stream, query string, payload []byte) ([]byte, error) {
+// doRequest sends one request and returns the body of a successful response.
+func (c *Client) doRequest(ctx context.Context, method, stream, query string, payload []byte) ([]byte, error) {
 	u, err := url.Parse(c.URL)
 	if err != nil {
 		return nil, trace.BadParameter("log address %q is malformed: %v", c.URL, err)
 	}
 	u = u.JoinPath("v1", "streams", stream, "records")
 	u.RawQuery = query
-	var tried, connected atomic.Bool
+	var connecting, connected atomic.Bool
 	ctx = httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{
-		GetConn: func(string) { tried.Store(true) },
+		GetConn: func(string) { connecting.Store(true) },
 		GotConn: func(httptrace.GotConnInfo) { connected.Store(true) },
 	})
-	q, err := http.NewRequestWithContext(ctx, method, u.String(), bytes.NewReader(payload))
+	request, err := http.NewRequestWithContext(ctx, method, u.String(), bytes.NewReader(payload))
 	if err != nil {
 		return nil, trace.BadParameter("log address %q is malformed: %v", c.URL, err)
 	}
 	if method == http.MethodPost {
-		q.Header.Set("Content-Type", "application/json")
+		request.Header.Set("Content-Type", "application/json")
 	}
-	a, err := c.client().Do(q)
+	response, err := c.httpClient().Do(request)
 	if err != nil {
-		// A transport that does not report its connections leaves both unset.
-		if tried.Load() && !connected.Load() {
-			return nil, &notSentError{cause: err}
+		// A transport without support for httptrace sets neither flag.
+		if connecting.Load() && !connected.Load() {
+			return nil, &noConnectionError{cause: err}
 		}
 		return nil, trace.Wrap(err)
 	}
-	defer func() { _ = a.Body.Close() }()
-	body, err := io.ReadAll(io.LimitReader(a.Body, maxPage+1))
+	defer func() { _ = response.Body.Close() }()
+	content, err := io.ReadAll(io.LimitReader(response.Body, maxResponseLen+1))
 	if err != nil {
 		return nil, trace.Wrap(err)
 	}
-	if len(body) > maxPage {
-		return nil, trace.LimitExceeded("answer of the log is larger than %d bytes", maxPage)
+	if len(content) > maxResponseLen {
+		return nil, trace.LimitExceeded("response of the log exceeds %d bytes", maxResponseLen)
 	}
-	if a.StatusCode != http.StatusOK {
-		return nil, decodeStatus(a.StatusCode, body)
+	if response.StatusCode != http.StatusOK {
+		return nil, decodeErrorResponse(response.StatusCode, content)
 	}
-	return body, nil
+	return content, nil
 }
 
-func (c *Client) client() *http.Client {
+func (c *Client) httpClient() *http.Client {
 	if c.HTTP != nil {
 		return c.HTTP
 	}
-	return shared
+	return defaultHTTPClient
 }
 
-func (c *Client) timeout() timer.Millis { return orDefault(c.Timeout, defaultTimeout) }
+func (c *Client) timeoutOrDefault() timer.Millis { return orDefault(c.Timeout, defaultTimeout) }
 
-// sleep waits and reports whether the context is still open.
+// sleep waits for d and reports whether it elapsed before the context ended.
 func sleep(ctx context.Context, d timer.Millis) bool {
 	t := time.NewTimer(d.Duration())
 	defer t.Stop()
--- a/appender/errors.go
+++ b/appender/errors.go
@@ -11,92 +11,94 @@
 )
 
 type (
-	unknownError struct{ cause error }
+	// unknownOutcomeError means that an append may have taken effect or may still do so.
+	unknownOutcomeError struct{ cause error }
 
+	// truncatedError means that a read starts before the first retained record.
 	truncatedError struct {
-		stream      string
-		from, first uint64
+		stream              string
+		from, firstRetained uint64
 	}
 
-	// notSentError means that there was no connection for the request before its time ran out.
-	notSentError struct{ cause error }
+	// noConnectionError means that no connection was established before the request failed, so that it was not sent.
+	noConnectionError struct{ cause error }
 
-	// statusError is an answer of the log other than success.
+	// statusError is a response with a status other than 200.
 	statusError struct {
-		code        int
-		notAppended bool   // the log states that the record was not appended
-		first       uint64 // with 410, the first retained offset
-		text        string
+		code          int
+		notAppended   bool   // the response states that the record was not appended
+		firstRetained uint64 // with 410, the first retained offset
+		message       string
 	}
 )
 
-// IsUnknown reports whether err means that the append may have taken effect or may yet do so.
+// IsUnknown reports whether err means that the append may have taken effect or may still do so.
 func IsUnknown(err error) bool {
-	var u *unknownError
+	var u *unknownOutcomeError
 	return errors.As(err, &u)
 }
 
-// IsTruncated reports whether err means that the read began before the first retained record.
+// IsTruncated reports whether err means that the read starts before the first retained record.
 func IsTruncated(err error) bool {
 	var t *truncatedError
 	return errors.As(err, &t)
 }
 
 // Error implements error.
-func (e *unknownError) Error() string {
+func (e *unknownOutcomeError) Error() string {
 	return "outcome of the append is unknown: " + e.cause.Error()
 }
 
-// Unwrap returns the error that left the outcome open.
-func (e *unknownError) Unwrap() error { return e.cause }
+// Unwrap returns the reason why the outcome is unknown.
+func (e *unknownOutcomeError) Unwrap() error { return e.cause }
 
 // Error implements error.
-func (e *notSentError) Error() string { return "no connection to the log: " + e.cause.Error() }
+func (e *noConnectionError) Error() string { return "cannot connect to the log: " + e.cause.Error() }
 
 // Unwrap returns the error of the transport.
-func (e *notSentError) Unwrap() error { return e.cause }
+func (e *noConnectionError) Unwrap() error { return e.cause }
 
 // Error implements error.
 func (e *truncatedError) Error() string {
-	return fmt.Sprintf("read of stream %q from offset %d begins before the first retained record %d", e.stream, e.from, e.first)
+	return fmt.Sprintf("read of stream %q at offset %d starts before the first retained offset %d", e.stream, e.from, e.firstRetained)
 }
 
 // Error implements error.
 func (e *statusError) Error() string {
-	return "log answered with status " + strconv.Itoa(e.code) + ": " + e.text
+	return "log answered with status " + strconv.Itoa(e.code) + ": " + e.message
 }
 
-// definite reports whether a failed append surely did not take effect: no connection was made, or the log refused the
-// request. Other answers, 503 among them, can come from a proxy that gave up waiting, so they count only when the log
-// states that the record was not appended.
-func definite(err error) bool {
+// isDefiniteFailure reports whether a failed append definitely did not take effect: no connection was established, or the
+// log rejected the request. Other statuses, such as 503, can come from a proxy that timed out, so they are definite only if
+// the body states that the record was not appended.
+func isDefiniteFailure(err error) bool {
 	var (
-		op *net.OpError
-		n  *notSentError
-		s  *statusError
+		opErr        *net.OpError
+		noConnection *noConnectionError
+		status       *statusError
 	)
 	switch {
-	case errors.As(err, &n):
+	case errors.As(err, &noConnection):
 		return true
-	case errors.As(err, &s):
-		switch s.code {
+	case errors.As(err, &status):
+		switch status.code {
 		case http.StatusBadRequest, http.StatusUnauthorized, http.StatusForbidden, http.StatusNotFound,
 			http.StatusMethodNotAllowed, http.StatusRequestEntityTooLarge, http.StatusUnsupportedMediaType,
 			http.StatusTooManyRequests:
 			return true
 		}
-		return s.notAppended
-	case errors.As(err, &op):
-		return op.Op == "dial"
+		return status.notAppended
+	case errors.As(err, &opErr):
+		return opErr.Op == "dial"
 	}
 	return trace.IsBadParameter(err)
 }
 
-// repeatable reports whether an append that failed with err may be sent again at once.
-func repeatable(err error) bool {
-	var s *statusError
-	if errors.As(err, &s) {
-		return s.code == http.StatusTooManyRequests || s.code == http.StatusServiceUnavailable && s.notAppended
+// isRetryable reports whether an append that failed with err can be sent again without a read-back.
+func isRetryable(err error) bool {
+	var status *statusError
+	if errors.As(err, &status) {
+		return status.code == http.StatusTooManyRequests || status.code == http.StatusServiceUnavailable && status.notAppended
 	}
-	return definite(err) && !trace.IsBadParameter(err)
+	return isDefiniteFailure(err) && !trace.IsBadParameter(err)
 }
--- a/appender/wire.go
+++ b/appender/wire.go
@@ -9,28 +9,28 @@
 )
 
 type (
-	appendWire struct {
+	appendRequest struct {
 		ID   string `json:"id"`
 		Body []byte `json:"body"`
 	}
 
-	offsetWire struct {
+	appendResponse struct {
 		Offset *uint64 `json:"offset"`
 	}
 
-	recordWire struct {
+	responseRecord struct {
 		Offset uint64 `json:"offset"`
 		ID     string `json:"id"`
 		Body   []byte `json:"body"`
 	}
 
-	pageWire struct {
-		First   *uint64      `json:"first"`
-		Next    *uint64      `json:"next"`
-		Records []recordWire `json:"records"`
+	readResponse struct {
+		First   *uint64          `json:"first"`
+		Next    *uint64          `json:"next"`
+		Records []responseRecord `json:"records"`
 	}
 
-	refusalWire struct {
+	errorResponse struct {
 		First    uint64 `json:"first"`
 		Appended *bool  `json:"appended"`
 	}
@@ -40,56 +40,56 @@
 	if body == nil {
 		body = []byte{}
 	}
-	b, err := json.Marshal(appendWire{ID: id, Body: body})
+	b, err := json.Marshal(appendRequest{ID: id, Body: body})
 	if err != nil {
-		panic(err) // strings and bytes always encode
+		panic(err) // cannot happen for strings and bytes
 	}
 	return b
 }
 
-func decodeOffset(b []byte) (uint64, error) {
-	var w offsetWire
-	if err := json.Unmarshal(b, &w); err != nil {
-		return 0, trace.Wrap(err, "answer to an append is malformed")
+func decodeAppendResponse(b []byte) (uint64, error) {
+	var response appendResponse
+	if err := json.Unmarshal(b, &response); err != nil {
+		return 0, trace.Wrap(err, "malformed response to an append")
 	}
-	if w.Offset == nil {
-		return 0, trace.Errorf("answer to an append has no offset")
+	if response.Offset == nil {
+		return 0, trace.Errorf("response to an append has no offset")
 	}
-	if *w.Offset == math.MaxUint64 {
-		return 0, trace.Errorf("answer to an append has offset %d, after which there is none", *w.Offset)
+	if *response.Offset == math.MaxUint64 {
+		return 0, trace.Errorf("response to an append has offset %d, the maximum, which leaves no next offset", *response.Offset)
 	}
-	return *w.Offset, nil
+	return *response.Offset, nil
 }
 
-// decodePage decodes a page and checks that its records are contiguous and follow from.
-func decodePage(b []byte, from uint64) (Page, error) {
-	var w pageWire
-	if err := json.Unmarshal(b, &w); err != nil {
-		return Page{}, trace.Wrap(err, "page of the log is malformed")
+// decodeReadResponse decodes a page and checks that its records are contiguous and start at the offset from.
+func decodeReadResponse(b []byte, from uint64) (Page, error) {
+	var response readResponse
+	if err := json.Unmarshal(b, &response); err != nil {
+		return Page{}, trace.Wrap(err, "malformed response to a read")
 	}
-	if w.First == nil || w.Next == nil || *w.First > *w.Next {
-		return Page{}, trace.Errorf("page of the log lacks a valid first and next offset")
+	if response.First == nil || response.Next == nil || *response.First > *response.Next {
+		return Page{}, trace.Errorf("response to a read has no valid first and next offset")
 	}
-	p := Page{First: *w.First, Next: *w.Next}
-	for i, r := range w.Records {
+	p := Page{First: *response.First, Next: *response.Next}
+	for i, r := range response.Records {
 		switch {
 		case r.Offset != from+uint64(i) || r.Offset < p.First || r.Offset >= p.Next:
-			return Page{}, trace.Errorf("page of the log has offset %d at position %d of a read from %d", r.Offset, i, from)
+			return Page{}, trace.Errorf("response to a read has offset %d at position %d, but the read starts at offset %d", r.Offset, i, from)
 		case len(r.Body) > MaxBody:
-			return Page{}, trace.LimitExceeded("record at offset %d is larger than %d bytes", r.Offset, MaxBody)
+			return Page{}, trace.LimitExceeded("body of the record at offset %d exceeds %d bytes", r.Offset, MaxBody)
 		}
 		p.Records = append(p.Records, Record(r))
 	}
 	return p, nil
 }
 
-// decodeStatus returns the error for an answer other than success. Its body is optional.
-func decodeStatus(code int, b []byte) *statusError {
-	const longest = 200
-	e := &statusError{code: code, text: strings.ToValidUTF8(string(b[:min(len(b), longest)]), "?")}
-	var w refusalWire
-	if json.Unmarshal(b, &w) == nil {
-		e.first, e.notAppended = w.First, w.Appended != nil && !*w.Appended
+// decodeErrorResponse returns the error for a response with a status other than 200. Its body can be empty or not JSON.
+func decodeErrorResponse(code int, b []byte) *statusError {
+	const maxMessageLen = 200
+	e := &statusError{code: code, message: strings.ToValidUTF8(string(b[:min(len(b), maxMessageLen)]), "?")}
+	var response errorResponse
+	if json.Unmarshal(b, &response) == nil {
+		e.firstRetained, e.notAppended = response.First, response.Appended != nil && !*response.Appended
 	}
 	return e
 }
