--- a/encoder/append.go
+++ b/encoder/append.go
@@ -3,9 +3,9 @@
 import "google.golang.org/protobuf/encoding/protowire"
 
 func appendMember(b []byte, n protowire.Number, m *Member) []byte {
-	b, at := begin(b, n)
+	b, at := beginNested(b, n)
 	b = appendString(b, 1, m.ID)
-	return end(appendUint(b, 2, m.Incarnation), at)
+	return endNested(appendUint(b, 2, m.Incarnation), at)
 }
 
 func appendMembers(b []byte, n protowire.Number, list []Member) []byte {
@@ -16,38 +16,38 @@
 }
 
 func appendRoster(b []byte, n protowire.Number, r *Roster) []byte {
-	b, at := begin(b, n)
+	b, at := beginNested(b, n)
 	b = appendUint(b, 1, r.Epoch)
 	for i := range r.Entries {
 		var entry int
-		b, entry = begin(b, 2)
+		b, entry = beginNested(b, 2)
 		b = appendMember(b, 1, &r.Entries[i].Member)
-		b = end(appendString(b, 2, r.Entries[i].Address), entry)
+		b = endNested(appendString(b, 2, r.Entries[i].Address), entry)
 	}
-	return end(b, at)
+	return endNested(b, at)
 }
 
-func appendTask(b []byte, n protowire.Number, k *TaskKey) []byte {
-	b, at := begin(b, n)
+func appendTaskKey(b []byte, n protowire.Number, k *TaskKey) []byte {
+	b, at := beginNested(b, n)
 	b = appendString(b, 1, k.Job)
-	return end(appendUint(b, 2, uint64(k.Index)), at)
+	return endNested(appendUint(b, 2, uint64(k.Index)), at)
 }
 
-func appendTasks(b []byte, n protowire.Number, list []TaskKey) []byte {
+func appendTaskKeys(b []byte, n protowire.Number, list []TaskKey) []byte {
 	for i := range list {
-		b = appendTask(b, n, &list[i])
+		b = appendTaskKey(b, n, &list[i])
 	}
 	return b
 }
 
-func appendStarted(b []byte, n protowire.Number, list []StartedTask) []byte {
+func appendStartedTasks(b []byte, n protowire.Number, list []StartedTask) []byte {
 	for i := range list {
 		var at int
-		b, at = begin(b, n)
-		b = appendTask(b, 1, &list[i].Task)
+		b, at = beginNested(b, n)
+		b = appendTaskKey(b, 1, &list[i].Task)
 		b = appendUint(b, 2, uint64(list[i].Status))
 		b = appendBytes(b, 3, list[i].Body)
-		b = end(appendReason(b, 4, list[i].Reason), at)
+		b = endNested(appendReason(b, 4, list[i].Reason), at)
 	}
 	return b
 }
@@ -74,7 +74,7 @@
 }
 
 func appendStart(b []byte, m *Start) []byte {
-	b = appendTask(b, 1, &m.Task)
+	b = appendTaskKey(b, 1, &m.Task)
 	b = appendUint(b, 2, m.Epoch)
 	b = appendMember(b, 3, &m.Owner)
 	b = appendString(b, 4, m.Kind)
@@ -86,7 +86,7 @@
 }
 
 func appendResult(b []byte, m *Result) []byte {
-	b = appendTask(b, 1, &m.Task)
+	b = appendTaskKey(b, 1, &m.Task)
 	b = appendUint(b, 2, uint64(m.Status))
 	b = appendBytes(b, 3, m.Body)
 	b = appendReason(b, 4, m.Reason)
@@ -95,7 +95,7 @@
 }
 
 func appendRefusal(b []byte, m *Refusal) []byte {
-	b = appendTask(b, 1, &m.Task)
+	b = appendTaskKey(b, 1, &m.Task)
 	b = appendUint(b, 2, uint64(m.Reason))
 	b = appendUint(b, 3, m.Epoch)
 	return appendUint(b, 4, uint64(m.Credits))
@@ -111,39 +111,39 @@
 	return appendBool(b, 7, m.ConfigConfirmed)
 }
 
-func appendKnown(b []byte, m *PeerCensusReply) []byte {
+func appendPeerCensusRows(b []byte, m *PeerCensusReply) []byte {
 	var at int
 	for i := range m.Jobs {
-		b, at = begin(b, 2)
+		b, at = beginNested(b, 2)
 		b = appendString(b, 1, m.Jobs[i].Key)
-		b = end(appendMillis(b, 2, m.Jobs[i].Age), at)
+		b = endNested(appendMillis(b, 2, m.Jobs[i].Age), at)
 	}
 	for i := range m.Sidecars {
-		b, at = begin(b, 3)
+		b, at = beginNested(b, 3)
 		b = appendMember(b, 1, &m.Sidecars[i].Member)
-		b = end(appendMillis(b, 2, m.Sidecars[i].Lost), at)
+		b = endNested(appendMillis(b, 2, m.Sidecars[i].Lost), at)
 	}
 	return b
 }
 
 func appendJob(b []byte, n protowire.Number, m *Job) []byte {
-	b, at := begin(b, n)
+	b, at := beginNested(b, n)
 	b = appendString(b, 1, m.Key)
 	b = appendString(b, 2, m.Team)
 	for i := range m.Tasks {
 		var task int
-		b, task = begin(b, 3)
+		b, task = beginNested(b, 3)
 		b = appendString(b, 1, m.Tasks[i].Kind)
 		b = appendBytes(b, 2, m.Tasks[i].Payload)
 		b = appendMillis(b, 3, m.Tasks[i].RunTime)
-		b = end(appendUint(b, 4, m.Tasks[i].MemoryMB), task)
+		b = endNested(appendUint(b, 4, m.Tasks[i].MemoryMB), task)
 	}
 	b = appendMillis(b, 4, m.Deadline)
-	return end(appendBool(b, 5, m.Once), at)
+	return endNested(appendBool(b, 5, m.Once), at)
 }
 
 func appendAnswer(b []byte, n protowire.Number, m *Answer) []byte {
-	b, at := begin(b, n)
+	b, at := beginNested(b, n)
 	b = appendString(b, 1, m.Key)
 	b = appendUint(b, 2, uint64(m.State))
 	b = appendUint(b, 3, uint64(m.Outcome))
@@ -151,8 +151,8 @@
 	b = appendReason(b, 5, m.Reason)
 	for i := range m.Results {
 		var result int
-		b, result = begin(b, 6)
-		b = end(appendBytes(b, 1, m.Results[i].Body), result)
+		b, result = beginNested(b, 6)
+		b = endNested(appendBytes(b, 1, m.Results[i].Body), result)
 	}
-	return end(appendMillis(b, 7, m.RetryAfter), at)
+	return endNested(appendMillis(b, 7, m.RetryAfter), at)
 }
--- a/encoder/codec_test.go
+++ b/encoder/codec_test.go
@@ -42,7 +42,7 @@
 	&Handover{Job{Key: "k", Tasks: make([]JobTask, 880)}, []StartedTask{{Status: StatusFailed, Reason: "r"}}, Answer{Key: "k"}, true},
 }
 
-// Guards against fields that are lost or mixed up between Append and Decode, and messages counted as another type.
+// TestRoundTrip guards against fields that are lost or mixed up by Append or Decode, and against wrong message types.
 func TestRoundTrip(t *testing.T) {
 	seen := map[Type]bool{0: true}
 	for _, want := range examples {
@@ -61,31 +61,32 @@
 	}
 }
 
-// Guards against values that only a few encodings lose: the fields are filled by reflection, so new ones are covered.
+// TestRoundTripProperty guards against the loss of particular values. It sets the fields by reflection, so that new
+// fields are covered.
 func TestRoundTripProperty(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		example := rapid.SampledFrom(examples).Draw(t, "example")
 		want := reflect.New(reflect.TypeOf(example).Elem())
-		fill(t, want.Elem())
+		fillRandom(t, want.Elem())
 		frame := Append(nil, want.Interface())
-		got, err := Decode(appendUint(frame, 127, 1)) // an unknown field must be skipped
+		got, err := Decode(appendUint(frame, 127, 1)) // a field of a newer version, which Decode must skip
 		if err != nil || !reflect.DeepEqual(got, want.Interface()) {
 			t.Fatalf("got %+v, %v, want %+v", got, err, want)
 		}
 	})
 }
 
-func fill(t *rapid.T, v reflect.Value) {
+func fillRandom(t *rapid.T, v reflect.Value) {
 	switch v.Kind() {
 	case reflect.Struct:
 		for i := range v.NumField() {
-			fill(t, v.Field(i))
+			fillRandom(t, v.Field(i))
 		}
 	case reflect.Slice:
 		if n := rapid.IntRange(0, 3).Draw(t, "length"); n > 0 {
 			v.Set(reflect.MakeSlice(v.Type(), n, n))
 			for i := range n {
-				fill(t, v.Index(i))
+				fillRandom(t, v.Index(i))
 			}
 		}
 	case reflect.String:
@@ -103,7 +104,7 @@
 	}
 }
 
-// Guards against unbounded input and against errors that do not say where the fault is.
+// TestDecodeRefuses guards against unbounded input and against errors that do not name the message and the field.
 func TestDecodeRefuses(t *testing.T) {
 	long := strings.Repeat("x", MaxKey+1)
 	tests := []struct {
@@ -119,12 +120,12 @@
 		{"too many tasks", Append(nil, &Cancel{make([]TaskKey, MaxTasks+1)}), "Cancel.tasks: more than 1024"},
 		{"too many jobs", Append(nil, &Witness{make([]string, MaxRows+1)}), "Witness.jobs"},
 		{"unknown status", Append(nil, &Result{Status: 7}), "Result.status: value 7"},
-		{"number too large", protowire.AppendVarint([]byte{kindGrant, 8}, 1<<32), "Grant.credits"},
+		{"number too large", protowire.AppendVarint([]byte{typeGrant, 8}, 1<<32), "Grant.credits"},
 		{"duration too long", Append(nil, &Start{RunLimit: maxMillis + 1}), "Start.runLimit"},
-		{"wrong wire type", []byte{kindGrant, 10, 1, 1}, "Grant.credits: wire type 2"},
-		{"bytes as varint", []byte{kindHello, 24, 1}, "Hello.address: wire type 0"},
-		{"truncated", []byte{kindClaimed, 10, 5, 'a'}, "Claimed: field 1 is truncated"},
-		{"bad tag", []byte{kindPing, 0}, "Ping: malformed field tag"},
+		{"wrong wire type", []byte{typeGrant, 10, 1, 1}, "Grant.credits: wire type 2"},
+		{"bytes as varint", []byte{typeHello, 24, 1}, "Hello.address: wire type 0"},
+		{"truncated", []byte{typeClaimed, 10, 5, 'a'}, "Claimed: field 1 is truncated"},
+		{"bad tag", []byte{typePing, 0}, "Ping: malformed field tag"},
 	}
 	for _, tt := range tests {
 		if _, err := Decode(tt.frame); err == nil || !strings.Contains(err.Error(), tt.want) {
@@ -137,10 +138,10 @@
 	}
 }
 
-// Guards against panics, hangs and messages that change when they are encoded again.
+// FuzzDecode guards against panics, hangs and messages that change when they are encoded again.
 func FuzzDecode(f *testing.F) {
 	for _, m := range examples {
-		// Large seeds make the fuzzer spend its time on minimizing them.
+		// The fuzzer would spend its time on minimizing large seeds.
 		if frame := Append(nil, m); len(frame) < 1000 {
 			f.Add(frame)
 		}
@@ -158,7 +159,7 @@
 	})
 }
 
-// Guards against names that drift from their constants.
+// TestNames guards against names that do not match their constants.
 func TestNames(t *testing.T) {
 	tests := []struct{ got, want string }{
 		{StatusRunning.String(), "running"}, {RefusalClaimTimeout.String(), "claimTimeout"},
--- a/encoder/decode.go
+++ b/encoder/decode.go
@@ -1,58 +1,58 @@
 package encoder
 
-// decode returns nil for an unknown message type.
-func (r *reader) decode(kind uint64) Message {
-	switch kind {
-	case kindHello:
+// decode decodes the fields of a message. It returns nil for an unknown message type.
+func (r *reader) decode(messageType uint64) Message {
+	switch messageType {
+	case typeHello:
 		return r.hello()
-	case kindHelloAck:
+	case typeHelloAck:
 		return r.helloAck()
-	case kindPing:
+	case typePing:
 		return r.ping()
-	case kindPong:
+	case typePong:
 		return r.pong()
-	case kindStart:
+	case typeStart:
 		return r.start()
-	case kindClaimed:
+	case typeClaimed:
 		m := &Claimed{}
 		for r.message = "Claimed"; r.next(); {
 			if r.number == 1 {
-				m.Job = r.job("job")
+				m.Job = r.jobKey("job")
 			}
 		}
 		return m
-	case kindResult:
+	case typeResult:
 		return r.result()
-	case kindRefusal:
+	case typeRefusal:
 		return r.refusal()
-	case kindGrant:
-		return &Grant{r.single("Grant", "credits")}
-	case kindRecall:
-		return &Recall{r.single("Recall", "credits")}
-	case kindRelease:
-		return &Release{r.single("Release", "credits")}
-	case kindDemand:
-		return &Demand{r.single("Demand", "queued")}
-	case kindCancel:
-		return &Cancel{r.taskList("Cancel")}
-	case kindCollected:
-		return &Collected{r.taskList("Collected")}
-	case kindCensus:
+	case typeGrant:
+		return &Grant{r.decodeUint32("Grant", "credits")}
+	case typeRecall:
+		return &Recall{r.decodeUint32("Recall", "credits")}
+	case typeRelease:
+		return &Release{r.decodeUint32("Release", "credits")}
+	case typeDemand:
+		return &Demand{r.decodeUint32("Demand", "queued")}
+	case typeCancel:
+		return &Cancel{r.decodeTaskKeys("Cancel")}
+	case typeCollected:
+		return &Collected{r.decodeTaskKeys("Collected")}
+	case typeCensus:
 		m := &Census{}
-		r.onlyRoster("Census", &m.Roster)
+		r.decodeRoster("Census", &m.Roster)
 		return m
-	case kindCensusReply:
+	case typeCensusReply:
 		return r.censusReply()
-	case kindLeaving:
+	case typeLeaving:
 		for r.message = "Leaving"; r.next(); {
 			continue
 		}
 		return &Leaving{}
 	}
-	return r.decodePeer(kind)
+	return r.decodePeer(messageType)
 }
 
-func (r *reader) single(message, field string) (v uint32) {
+func (r *reader) decodeUint32(message, field string) (v uint32) {
 	for r.message = message; r.next(); {
 		if r.number == 1 {
 			v = r.uint32(field)
@@ -61,19 +61,19 @@
 	return v
 }
 
-func (r *reader) taskList(message string) (list []TaskKey) {
+func (r *reader) decodeTaskKeys(message string) (list []TaskKey) {
 	for r.message = message; r.next(); {
 		if r.number != 1 {
 			continue
 		}
-		if k := grow(r, "tasks", &list, MaxTasks); k != nil {
-			r.task("tasks", k)
+		if k := appendElement(r, "tasks", &list, MaxTasks); k != nil {
+			r.taskKey("tasks", k)
 		}
 	}
 	return list
 }
 
-func (r *reader) onlyRoster(message string, roster *Roster) {
+func (r *reader) decodeRoster(message string, roster *Roster) {
 	for r.message = message; r.next(); {
 		if r.number == 1 {
 			r.roster("roster", roster)
@@ -82,7 +82,7 @@
 }
 
 func (r *reader) member(field string, m *Member) {
-	o := r.enter(field, "Member")
+	o := r.enterNested(field, "Member")
 	for r.next() {
 		switch r.number {
 		case 1:
@@ -91,26 +91,26 @@
 			m.Incarnation = r.uint64("incarnation")
 		}
 	}
-	r.leave(o)
+	r.leaveNested(o)
 }
 
 func (r *reader) roster(field string, m *Roster) {
-	o := r.enter(field, "Roster")
+	o := r.enterNested(field, "Roster")
 	for r.next() {
 		switch r.number {
 		case 1:
 			m.Epoch = r.uint64("epoch")
 		case 2:
-			if e := grow(r, "entries", &m.Entries, MaxRoster); e != nil {
+			if e := appendElement(r, "entries", &m.Entries, MaxRoster); e != nil {
 				r.rosterEntry("entries", e)
 			}
 		}
 	}
-	r.leave(o)
+	r.leaveNested(o)
 }
 
 func (r *reader) rosterEntry(field string, m *RosterEntry) {
-	o := r.enter(field, "RosterEntry")
+	o := r.enterNested(field, "RosterEntry")
 	for r.next() {
 		switch r.number {
 		case 1:
@@ -119,37 +119,37 @@
 			m.Address = r.string("address", MaxName)
 		}
 	}
-	r.leave(o)
+	r.leaveNested(o)
 }
 
-func (r *reader) task(field string, m *TaskKey) {
-	o := r.enter(field, "TaskKey")
+func (r *reader) taskKey(field string, m *TaskKey) {
+	o := r.enterNested(field, "TaskKey")
 	for r.next() {
 		switch r.number {
 		case 1:
-			m.Job = r.job("job")
+			m.Job = r.jobKey("job")
 		case 2:
 			m.Index = r.uint32("index")
 		}
 	}
-	r.leave(o)
+	r.leaveNested(o)
 }
 
 func (r *reader) startedTask(field string, m *StartedTask) {
-	o := r.enter(field, "StartedTask")
+	o := r.enterNested(field, "StartedTask")
 	for r.next() {
 		switch r.number {
 		case 1:
-			r.task("task", &m.Task)
+			r.taskKey("task", &m.Task)
 		case 2:
-			m.Status = enum[Status](r, "status", statusNames)
+			m.Status = enumValue[Status](r, "status", statusNames)
 		case 3:
 			m.Body = r.bytes("body")
 		case 4:
 			m.Reason = r.string("reason", MaxReason)
 		}
 	}
-	r.leave(o)
+	r.leaveNested(o)
 }
 
 func (r *reader) hello() *Hello {
@@ -157,7 +157,7 @@
 	for r.message = "Hello"; r.next(); {
 		switch r.number {
 		case 1:
-			m.Role = enum[Role](r, "role", roleNames)
+			m.Role = enumValue[Role](r, "role", roleNames)
 		case 2:
 			r.member("member", &m.Member)
 		case 3:
@@ -171,7 +171,7 @@
 		case 7:
 			m.MemoryMB = r.uint64("memoryMB")
 		case 8:
-			if kind := grow(r, "kinds", &m.Kinds, MaxKinds); kind != nil {
+			if kind := appendElement(r, "kinds", &m.Kinds, MaxKinds); kind != nil {
 				*kind = r.string("kinds", MaxName)
 			}
 		}
@@ -237,7 +237,7 @@
 	for r.message = "Start"; r.next(); {
 		switch r.number {
 		case 1:
-			r.task("task", &m.Task)
+			r.taskKey("task", &m.Task)
 		case 2:
 			m.Epoch = r.uint64("epoch")
 		case 3:
@@ -264,9 +264,9 @@
 	for r.message = "Result"; r.next(); {
 		switch r.number {
 		case 1:
-			r.task("task", &m.Task)
+			r.taskKey("task", &m.Task)
 		case 2:
-			m.Status = enum[Status](r, "status", statusNames)
+			m.Status = enumValue[Status](r, "status", statusNames)
 		case 3:
 			m.Body = r.bytes("body")
 		case 4:
@@ -285,9 +285,9 @@
 	for r.message = "Refusal"; r.next(); {
 		switch r.number {
 		case 1:
-			r.task("task", &m.Task)
+			r.taskKey("task", &m.Task)
 		case 2:
-			m.Reason = enum[RefusalReason](r, "reason", refusalNames)
+			m.Reason = enumValue[RefusalReason](r, "reason", refusalReasonNames)
 		case 3:
 			m.Epoch = r.uint64("epoch")
 		case 4:
@@ -304,7 +304,7 @@
 		case 1:
 			m.Epoch = r.uint64("epoch")
 		case 2:
-			if s := grow(r, "started", &m.Started, MaxRows); s != nil {
+			if s := appendElement(r, "started", &m.Started, MaxRows); s != nil {
 				r.startedTask("started", s)
 			}
 		case 3:
--- a/encoder/decode_peer.go
+++ b/encoder/decode_peer.go
@@ -1,36 +1,36 @@
 package encoder
 
-// decodePeer decodes the messages between entries. It returns nil for an unknown message type.
-func (r *reader) decodePeer(kind uint64) Message {
-	switch kind {
-	case kindPeerPing:
+// decodePeer decodes the fields of a message between entries. It returns nil for an unknown message type.
+func (r *reader) decodePeer(messageType uint64) Message {
+	switch messageType {
+	case typePeerPing:
 		m := &PeerPing{}
 		r.message = "PeerPing"
 		r.peerPing(m)
 		return m
-	case kindPeerPong:
+	case typePeerPong:
 		return r.peerPong()
-	case kindForward:
+	case typeForward:
 		return r.forward()
-	case kindForwardAnswer:
+	case typeForwardAnswer:
 		return r.forwardAnswer()
-	case kindWitness:
+	case typeWitness:
 		m := &Witness{}
 		for r.message = "Witness"; r.next(); {
 			if r.number == 1 {
-				r.jobs(&m.Jobs)
+				r.jobKeys(&m.Jobs)
 			}
 		}
 		return m
-	case kindPeerCensus:
+	case typePeerCensus:
 		m := &PeerCensus{}
-		r.onlyRoster("PeerCensus", &m.Roster)
+		r.decodeRoster("PeerCensus", &m.Roster)
 		return m
-	case kindPeerCensusReply:
+	case typePeerCensusReply:
 		return r.peerCensusReply()
-	case kindPeerConfiguration:
+	case typePeerConfiguration:
 		return r.peerConfiguration()
-	case kindHandover:
+	case typeHandover:
 		return r.handover()
 	}
 	return nil
@@ -48,7 +48,7 @@
 		case 4:
 			m.LogReachable = r.bool("logReachable")
 		case 5:
-			if domain := grow(r, "domains", &m.Domains, MaxDomains); domain != nil {
+			if domain := appendElement(r, "domains", &m.Domains, MaxDomains); domain != nil {
 				*domain = r.string("domains", MaxName)
 			}
 		case 6:
@@ -66,9 +66,9 @@
 		case 1:
 			m.Sequence = r.uint64("sequence")
 		case 2:
-			o := r.enter("state", "PeerPing")
+			o := r.enterNested("state", "PeerPing")
 			r.peerPing(&m.State)
-			r.leave(o)
+			r.leaveNested(o)
 		}
 	}
 	return m
@@ -81,11 +81,11 @@
 		case 1:
 			m.ID = r.uint64("id")
 		case 2:
-			m.Request = enum[Request](r, "request", requestNames)
+			m.Request = enumValue[Request](r, "request", requestNames)
 		case 3:
 			m.Hops = r.uint32("hops")
 		case 4:
-			r.submission("job", &m.Job)
+			r.job("job", &m.Job)
 		}
 	}
 	return m
@@ -115,11 +115,11 @@
 		case 1:
 			m.Epoch = r.uint64("epoch")
 		case 2:
-			if j := grow(r, "jobs", &m.Jobs, MaxRows); j != nil {
+			if j := appendElement(r, "jobs", &m.Jobs, MaxRows); j != nil {
 				r.knownJob(j)
 			}
 		case 3:
-			if s := grow(r, "sidecars", &m.Sidecars, MaxSidecars); s != nil {
+			if s := appendElement(r, "sidecars", &m.Sidecars, MaxSidecars); s != nil {
 				r.knownSidecar(s)
 			}
 		case 4:
@@ -130,7 +130,7 @@
 }
 
 func (r *reader) knownJob(m *KnownJob) {
-	o := r.enter("jobs", "KnownJob")
+	o := r.enterNested("jobs", "KnownJob")
 	for r.next() {
 		switch r.number {
 		case 1:
@@ -139,11 +139,11 @@
 			m.Age = r.millis("age")
 		}
 	}
-	r.leave(o)
+	r.leaveNested(o)
 }
 
 func (r *reader) knownSidecar(m *KnownSidecar) {
-	o := r.enter("sidecars", "KnownSidecar")
+	o := r.enterNested("sidecars", "KnownSidecar")
 	for r.next() {
 		switch r.number {
 		case 1:
@@ -152,7 +152,7 @@
 			m.Lost = r.millis("lost")
 		}
 	}
-	r.leave(o)
+	r.leaveNested(o)
 }
 
 func (r *reader) peerConfiguration() *PeerConfiguration {
@@ -170,9 +170,9 @@
 	for r.message = "Handover"; r.next(); {
 		switch r.number {
 		case 1:
-			r.submission("job", &m.Job)
+			r.job("job", &m.Job)
 		case 2:
-			if s := grow(r, "started", &m.Started, MaxRows); s != nil {
+			if s := appendElement(r, "started", &m.Started, MaxRows); s != nil {
 				r.startedTask("started", s)
 			}
 		case 3:
@@ -184,28 +184,28 @@
 	return m
 }
 
-func (r *reader) jobs(list *[]string) {
-	if job := grow(r, "jobs", list, MaxRows); job != nil {
+func (r *reader) jobKeys(list *[]string) {
+	if job := appendElement(r, "jobs", list, MaxRows); job != nil {
 		*job = r.string("jobs", MaxKey)
 	}
 }
 
 func (r *reader) sidecars(list *[]Member) {
-	if m := grow(r, "sidecars", list, MaxSidecars); m != nil {
+	if m := appendElement(r, "sidecars", list, MaxSidecars); m != nil {
 		r.member("sidecars", m)
 	}
 }
 
-func (r *reader) submission(field string, m *Job) {
-	o := r.enter(field, "Job")
+func (r *reader) job(field string, m *Job) {
+	o := r.enterNested(field, "Job")
 	for r.next() {
 		switch r.number {
 		case 1:
-			m.Key = r.job("key")
+			m.Key = r.jobKey("key")
 		case 2:
 			m.Team = r.string("team", MaxName)
 		case 3:
-			if t := grow(r, "tasks", &m.Tasks, MaxTasks); t != nil {
+			if t := appendElement(r, "tasks", &m.Tasks, MaxTasks); t != nil {
 				r.jobTask("tasks", t)
 			}
 		case 4:
@@ -214,11 +214,11 @@
 			m.Once = r.bool("once")
 		}
 	}
-	r.leave(o)
+	r.leaveNested(o)
 }
 
 func (r *reader) jobTask(field string, m *JobTask) {
-	o := r.enter(field, "JobTask")
+	o := r.enterNested(field, "JobTask")
 	for r.next() {
 		switch r.number {
 		case 1:
@@ -231,40 +231,40 @@
 			m.MemoryMB = r.uint64("memoryMB")
 		}
 	}
-	r.leave(o)
+	r.leaveNested(o)
 }
 
 func (r *reader) answer(field string, m *Answer) {
-	o := r.enter(field, "Answer")
+	o := r.enterNested(field, "Answer")
 	for r.next() {
 		switch r.number {
 		case 1:
-			m.Key = r.job("key")
+			m.Key = r.jobKey("key")
 		case 2:
-			m.State = enum[JobState](r, "state", jobStateNames)
+			m.State = enumValue[JobState](r, "state", jobStateNames)
 		case 3:
-			m.Outcome = enum[Outcome](r, "outcome", outcomeNames)
+			m.Outcome = enumValue[Outcome](r, "outcome", outcomeNames)
 		case 4:
-			m.Code = enum[FailureCode](r, "code", codeNames)
+			m.Code = enumValue[FailureCode](r, "code", failureCodeNames)
 		case 5:
 			m.Reason = r.string("reason", MaxReason)
 		case 6:
-			if t := grow(r, "results", &m.Results, MaxTasks); t != nil {
+			if t := appendElement(r, "results", &m.Results, MaxTasks); t != nil {
 				r.taskResult("results", t)
 			}
 		case 7:
 			m.RetryAfter = r.millis("retryAfter")
 		}
 	}
-	r.leave(o)
+	r.leaveNested(o)
 }
 
 func (r *reader) taskResult(field string, m *TaskResult) {
-	o := r.enter(field, "TaskResult")
+	o := r.enterNested(field, "TaskResult")
 	for r.next() {
 		if r.number == 1 {
 			m.Body = r.bytes("body")
 		}
 	}
-	r.leave(o)
+	r.leaveNested(o)
 }
--- a/encoder/messages.go
+++ b/encoder/messages.go
@@ -1,47 +1,49 @@
-// Package encoder defines the messages between crocuslb processes and maps them to bytes.
+// Package encoder defines the messages between crocuslb processes and their binary encoding, which follows the protobuf
+// wire format.
 package encoder
 
 import "github.com/crocuslb/crocuslb/timer"
 
 const (
-	// StatusDone means that the backend server answered the task with success.
+	// StatusDone means that the backend server completed the task successfully.
 	StatusDone Status = iota + 1
 	// StatusFailed means that the task ran and failed.
 	StatusFailed
-	// StatusUnknown means that the task was started and its outcome cannot be learnt any more.
+	// StatusUnknown means that the task was started and its outcome can no longer be determined.
 	StatusUnknown
-	// StatusNotStarted means that the backend server surely did not start the task, for example because it
-	// refused the connection. The sidecar forgets the task key, so the task may be placed again.
+	// StatusNotStarted means that the backend server definitely did not start the task, for example because it
+	// refused the connection. The sidecar removes the task key from its started-task table, so the task may be placed
+	// again.
 	StatusNotStarted
-	// StatusRunning is used in census replies only: the task was started and has not ended.
+	// StatusRunning means that the task was started and has not ended. It occurs in census replies only.
 	StatusRunning
-	// StatusKept is used in census replies only: the task ended, and the sidecar keeps its result. A repeated start of
-	// the task gets it.
+	// StatusKept means that the task ended and the sidecar still stores its result, which it returns when the start is
+	// sent again. It occurs in census replies only.
 	StatusKept
 )
 
 const (
-	// RefusalStaleEpoch means that the start carried an older epoch than the sidecar promised.
+	// RefusalStaleEpoch means that the start carried another epoch than the one that the sidecar has promised.
 	RefusalStaleEpoch RefusalReason = iota + 1
 	// RefusalNotOwner means that the sender does not own the submission in the promised roster.
 	RefusalNotOwner
-	// RefusalDuplicate means that the task key is in the started table already.
+	// RefusalDuplicate means that the task key is already in the started-task table.
 	RefusalDuplicate
 	// RefusalDomainWithdrawn means that the sidecar's failure domain is withdrawn.
 	RefusalDomainWithdrawn
-	// RefusalLeaseExpired means that the sidecar's freshness lease has run out.
+	// RefusalLeaseExpired means that the sidecar's freshness lease has expired.
 	RefusalLeaseExpired
-	// RefusalLeaving means that the sidecar or its backend server is leaving.
+	// RefusalLeaving means that the sidecar or its backend server is shutting down.
 	RefusalLeaving
 	// RefusalDeadline means that the task's deadline has passed.
 	RefusalDeadline
 	// RefusalCanceled means that the task was canceled before it started.
 	RefusalCanceled
-	// RefusalNoSlot means that no slot and no place in the short queue was free.
+	// RefusalNoSlot means that all slots were in use and the sidecar's short queue was full.
 	RefusalNoSlot
-	// RefusalNotAnnounced means that not every entry of the roster knows the sidecar yet.
+	// RefusalNotAnnounced means that the sidecar is not yet known to every entry of the roster.
 	RefusalNotAnnounced
-	// RefusalClaimTimeout means that the claim of a non-repeatable submission did not arrive in time.
+	// RefusalClaimTimeout means that the log did not confirm the claim of a non-repeatable submission in time.
 	RefusalClaimTimeout
 )
 
@@ -53,11 +55,11 @@
 )
 
 type (
-	// Status is the state of a task as a sidecar knows it.
+	// Status is the state of a task as reported by a sidecar.
 	Status uint8
 
-	// RefusalReason says why a sidecar did not start a task. Every refusal is definite: the task was not started
-	// by this start message.
+	// RefusalReason is the reason why a sidecar did not start a task. A refusal guarantees that the Start message it
+	// answers did not start the task.
 	RefusalReason uint8
 
 	// Role is the kind of a process.
@@ -66,7 +68,7 @@
 	// Message is a pointer to one of the message types of this package.
 	Message any
 
-	// Member names one incarnation of a process. A restarted process has a larger incarnation.
+	// Member identifies one incarnation of a process. A restarted process has a larger incarnation.
 	Member struct {
 		ID          string
 		Incarnation uint64
@@ -78,13 +80,13 @@
 		Address string
 	}
 
-	// Roster is the set of entries that share the ownership of submissions from an epoch on.
+	// Roster is the set of entries among which the ownership of submissions is divided, as of an epoch.
 	Roster struct {
 		Epoch   uint64
 		Entries []RosterEntry
 	}
 
-	// TaskKey names one task of a submission.
+	// TaskKey identifies one task of a submission.
 	TaskKey struct {
 		Job   string
 		Index uint32
@@ -109,8 +111,8 @@
 		Roster Roster
 	}
 
-	// Ping is the heartbeat of a sidecar. Entries answer it from their control goroutine. Epoch is that of the roster
-	// that the sidecar knows.
+	// Ping is the heartbeat of a sidecar. Entries answer it from their control goroutine. Epoch is the epoch of the
+	// roster that the sidecar knows.
 	Ping struct {
 		Sequence uint64
 		Running  uint32
@@ -118,10 +120,9 @@
 		Epoch    uint64
 	}
 
-	// Pong answers a Ping and renews the sidecar's freshness lease. Age is the time since the entry began the
-	// exchange with the log that confirmed Roster and ConfigOffset. Roster has no entries when the ping named its epoch.
-	// Confirmed is false when the entry has nothing to
-	// attest; the lease is then not renewed.
+	// Pong answers a Ping and renews the sidecar's freshness lease. Age is the time since the entry sent the log request
+	// that confirmed Roster and ConfigOffset. Roster has no entries if the Ping carried the same epoch. Confirmed is
+	// false if the entry has no confirmed state to report; the lease is then not renewed.
 	Pong struct {
 		Sequence      uint64
 		Confirmed     bool
@@ -132,7 +133,8 @@
 		LogReachable  bool
 	}
 
-	// Start asks a sidecar to start one task. It spends one credit.
+	// Start asks a sidecar to start one task. It consumes one credit. Once marks a non-repeatable submission, and Claimed
+	// says that its claim is already in the log.
 	Start struct {
 		Task     TaskKey
 		Epoch    uint64
@@ -145,7 +147,7 @@
 		Claimed  bool
 	}
 
-	// Claimed tells a sidecar that the claim of a non-repeatable submission is in the log.
+	// Claimed notifies a sidecar that the claim of a non-repeatable submission is in the log.
 	Claimed struct{ Job string }
 
 	// Result reports the end of a started task. Credits is the number of credits granted along with it.
@@ -166,29 +168,29 @@
 		Credits uint32
 	}
 
-	// Grant gives an entry credits for starts on the sending sidecar.
+	// Grant gives an entry credits to start tasks on the sending sidecar.
 	Grant struct{ Credits uint32 }
 
-	// Recall asks an entry to give back unused credits.
+	// Recall asks an entry to return unused credits.
 	Recall struct{ Credits uint32 }
 
-	// Release gives unused credits back to a sidecar.
+	// Release returns unused credits to a sidecar.
 	Release struct{ Credits uint32 }
 
 	// Demand tells a sidecar how many tasks an entry has queued.
 	Demand struct{ Queued uint32 }
 
-	// Cancel asks a sidecar not to start tasks that it has not started, and to stop running ones where possible.
+	// Cancel asks a sidecar to drop tasks that it has not started, and to stop running ones where possible.
 	Cancel struct{ Tasks []TaskKey }
 
-	// Collected tells a sidecar that the owner has the results. The sidecar keeps them while it has room, and the task
-	// keys stay in the started-task table.
+	// Collected acknowledges that the owner received the results of tasks. The sidecar may then evict these results when
+	// it needs space; the task keys stay in the started-task table.
 	Collected struct{ Tasks []TaskKey }
 
 	// Census asks a sidecar to promise the roster's epoch and to list the started tasks that the sender owns under it.
 	Census struct{ Roster Roster }
 
-	// StartedTask is one row of a CensusReply.
+	// StartedTask is an element of a CensusReply or a Handover.
 	StartedTask struct {
 		Task   TaskKey
 		Status Status
@@ -203,10 +205,10 @@
 		Last    bool
 	}
 
-	// Leaving tells entries that the sidecar starts nothing new. Its credits are void.
+	// Leaving notifies entries that the sidecar starts no more tasks. All credits for it become invalid.
 	Leaving struct{}
 
-	// PeerPing is the heartbeat between entries. Domains lists provisional withdrawals.
+	// PeerPing is the heartbeat between entries. Domains lists the failure domains that are provisionally withdrawn.
 	PeerPing struct {
 		Sequence        uint64
 		Epoch           uint64
@@ -217,7 +219,7 @@
 		ConfigConfirmed bool
 	}
 
-	// PeerPong answers a PeerPing. It carries the sender's own state, too.
+	// PeerPong answers a PeerPing and carries the sender's own state.
 	PeerPong struct {
 		Sequence uint64
 		State    PeerPing
@@ -231,7 +233,7 @@
 		MemoryMB uint64       // declared memory, a hint; 0 when unknown
 	}
 
-	// Job is a submission. Deadline and Age are durations at the time of sending.
+	// Job is a submission. Deadline is the time left at the time of sending. Once marks a job that is not repeatable.
 	Job struct {
 		Key      string
 		Team     string
@@ -240,13 +242,13 @@
 		Once     bool
 	}
 
-	// Outcome says what a failed job may have done.
+	// Outcome says whether tasks of a failed job ran.
 	Outcome uint8
 
 	// JobState is the state of a submission.
 	JobState uint8
 
-	// TaskResult is the answer of one task.
+	// TaskResult is the result of one task.
 	TaskResult struct{ Body []byte }
 
 	// Answer is the state of a submission: complete with one result per task in order, failed with a reason,
@@ -264,11 +266,11 @@
 	// FailureCode classifies failures for HTTP status codes and metrics.
 	FailureCode uint8
 
-	// Request is what an entry asks the owner of a submission.
+	// Request is the kind of a request that an entry forwards to the owner of a submission.
 	Request uint8
 
-	// Forward carries a caller's request from the entry that received it to the owner. Hops bounds forwarding
-	// while entries disagree on the roster.
+	// Forward carries a caller's request from the entry that received it to the owner. Hops counts forwards to prevent
+	// loops while entries disagree on the roster.
 	Forward struct {
 		ID      uint64
 		Request Request
@@ -276,8 +278,8 @@
 		Job     Job
 	}
 
-	// ForwardAnswer answers a Forward of the same ID. A complete answer that would not fit a frame comes in parts: Total
-	// is then the number of its results, and Answer holds those from index First on. Total is 0 for a whole answer.
+	// ForwardAnswer answers the Forward with the same ID. A complete answer that does not fit into a frame is split: Total
+	// is then the number of its results, and Answer holds those from index First on. Total is 0 for an unsplit answer.
 	ForwardAnswer struct {
 		ID     uint64
 		Answer Answer
@@ -285,20 +287,22 @@
 		Total  uint32
 	}
 
-	// Witness tells a peer about submission keys that the sender owns.
+	// Witness informs a peer of submission keys that the sender owns, so that the peer can report them in a
+	// PeerCensusReply.
 	Witness struct{ Jobs []string }
 
-	// PeerCensus asks a peer for the submission keys that it forwarded or witnessed and that the sender owns under
-	// the roster, and for the sidecars it knows.
+	// PeerCensus asks a peer for the submission keys that the sender owns under the roster and that the peer forwarded or
+	// received in a Witness, and for the sidecars that the peer knows.
 	PeerCensus struct{ Roster Roster }
 
-	// KnownJob is a submission key and the time since the sender first saw it.
+	// KnownJob is a submission key and the time since the sender first received it.
 	KnownJob struct {
 		Key string
 		Age timer.Millis
 	}
 
-	// KnownSidecar is a sidecar and the time since the sender lost it, 0 while the sender has a session to it.
+	// KnownSidecar is a sidecar and the time since the sender lost contact with it, 0 while the sender has a session to
+	// it.
 	KnownSidecar struct {
 		Member Member
 		Lost   timer.Millis
@@ -312,11 +316,11 @@
 		Last     bool
 	}
 
-	// PeerConfiguration gives a peer that cannot read the log a later configuration, as a checkpoint record.
+	// PeerConfiguration sends a newer configuration, as a checkpoint record, to a peer that cannot read the log.
 	PeerConfiguration struct{ Checkpoint []byte }
 
-	// Handover gives submissions of a leaving entry to their next owner. Started lists tasks that are done, and tasks that
-	// may have been started as running. Certain means that no other task of the job was started.
+	// Handover transfers a submission of a leaving entry to its next owner. Started lists the tasks that are done, and, with
+	// StatusRunning, those that may have been started. Certain means that no other task of the job was started.
 	Handover struct {
 		Job     Job
 		Started []StartedTask
@@ -326,11 +330,11 @@
 )
 
 const (
-	// JobRunning is a submission without an answer yet.
+	// JobRunning means that the submission has no final answer yet.
 	JobRunning JobState = iota + 1
-	// JobComplete is a submission whose tasks all succeeded.
+	// JobComplete means that all tasks of the submission succeeded.
 	JobComplete
-	// JobFailed is a submission with a failed or refused task.
+	// JobFailed means that the submission failed or was rejected.
 	JobFailed
 )
 
@@ -339,7 +343,7 @@
 	OutcomeNotRun Outcome = iota + 1
 	// OutcomeRan means that at least one task was started, and the outcome of each started task is known.
 	OutcomeRan
-	// OutcomeUnknown means that a task may have run and the evidence is lost.
+	// OutcomeUnknown means that a task may have run, and the record of whether it did is lost.
 	OutcomeUnknown
 )
 
@@ -355,21 +359,21 @@
 const (
 	// CodeTask means that a task ran and failed.
 	CodeTask FailureCode = iota + 1
-	// CodeUnknown means that evidence is lost.
+	// CodeUnknown means that the record of whether a task ran is lost.
 	CodeUnknown
 	// CodeDeadline means that the deadline passed.
 	CodeDeadline
-	// CodeCanceled means that the caller canceled.
+	// CodeCanceled means that the caller canceled the submission.
 	CodeCanceled
 	// CodeOverload means that the queue is too long for the deadline.
 	CodeOverload
-	// CodeQuota means that the team's quota is used up.
+	// CodeQuota means that the team's quota is exhausted.
 	CodeQuota
 	// CodeUnplaceable means that no worker can run a task of the job.
 	CodeUnplaceable
-	// CodeConflict means that the key is in use with other content.
+	// CodeConflict means that the key is already used by a submission with different content.
 	CodeConflict
-	// CodeUnavailable means that no owner can take the submission now.
+	// CodeUnavailable means that no owner can currently accept the submission.
 	CodeUnavailable
 	// CodeNotFound means that the owner does not know the key.
 	CodeNotFound
--- a/encoder/type.go
+++ b/encoder/type.go
@@ -1,9 +1,9 @@
 package encoder
 
-// MessageTypes is the length of an array that is indexed by Type.
+// MessageTypes is the length of an array indexed by Type.
 const MessageTypes = len(typeNames)
 
-// Type numbers the message types as on the wire. 0 is none.
+// Type is the number of a message type on the wire. 0 is not a message type.
 type Type uint8
 
 var typeNames = [...]string{
@@ -13,70 +13,70 @@
 }
 
 // String returns the type in camelCase, for example "censusReply".
-func (t Type) String() string { return name(typeNames[:], uint8(t)) }
+func (t Type) String() string { return enumName(typeNames[:], uint8(t)) }
 
-// TypeOf returns the type of m, and 0 when m is not a pointer to a message type of this package.
+// TypeOf returns the type of m, or 0 if m is not a pointer to a message type of this package.
 func TypeOf(m Message) Type {
 	switch m.(type) {
 	case *Hello:
-		return kindHello
+		return typeHello
 	case *HelloAck:
-		return kindHelloAck
+		return typeHelloAck
 	case *Ping:
-		return kindPing
+		return typePing
 	case *Pong:
-		return kindPong
+		return typePong
 	case *Start:
-		return kindStart
+		return typeStart
 	case *Claimed:
-		return kindClaimed
+		return typeClaimed
 	case *Result:
-		return kindResult
+		return typeResult
 	case *Refusal:
-		return kindRefusal
+		return typeRefusal
 	case *Grant:
-		return kindGrant
+		return typeGrant
 	case *Recall:
-		return kindRecall
+		return typeRecall
 	case *Release:
-		return kindRelease
+		return typeRelease
 	case *Demand:
-		return kindDemand
+		return typeDemand
 	case *Cancel:
-		return kindCancel
+		return typeCancel
 	case *Collected:
-		return kindCollected
+		return typeCollected
 	case *Census:
-		return kindCensus
+		return typeCensus
 	case *CensusReply:
-		return kindCensusReply
+		return typeCensusReply
 	case *Leaving:
-		return kindLeaving
+		return typeLeaving
 	}
 	return peerTypeOf(m)
 }
 
-// peerTypeOf returns the types of the messages between entries.
+// peerTypeOf returns the type of a message between entries, or 0.
 func peerTypeOf(m Message) Type {
 	switch m.(type) {
 	case *PeerPing:
-		return kindPeerPing
+		return typePeerPing
 	case *PeerPong:
-		return kindPeerPong
+		return typePeerPong
 	case *Forward:
-		return kindForward
+		return typeForward
 	case *ForwardAnswer:
-		return kindForwardAnswer
+		return typeForwardAnswer
 	case *Witness:
-		return kindWitness
+		return typeWitness
 	case *PeerCensus:
-		return kindPeerCensus
+		return typePeerCensus
 	case *PeerCensusReply:
-		return kindPeerCensusReply
+		return typePeerCensusReply
 	case *Handover:
-		return kindHandover
+		return typeHandover
 	case *PeerConfiguration:
-		return kindPeerConfiguration
+		return typePeerConfiguration
 	}
 	return 0
 }
--- a/encoder/wire.go
+++ b/encoder/wire.go
@@ -10,26 +10,27 @@
 	"github.com/crocuslb/crocuslb/timer"
 )
 
-// maxMillis bounds durations in both directions, so that timer.Millis.Duration cannot overflow.
+// maxMillis is the largest absolute value of a duration. It ensures that timer.Millis.Duration does not overflow.
 const maxMillis = math.MaxInt64 / 1_000_000
 
 type (
-	// reader walks over the fields of one message. After the first error, next returns false.
+	// reader iterates over the encoded fields of a message. After the first error, next returns false.
 	reader struct {
 		rest    []byte
 		message string
 		err     error
-		// The current field: its number and its value, by wire type.
+		// Number, wire type and value of the current field. The value is in value for varints and in raw for bytes.
 		number protowire.Number
 		typ    protowire.Type
 		value  uint64
 		raw    []byte
-		// lastJob avoids a copy of the submission key for each task of the same submission.
+		// lastJob is the last decoded submission key. Consecutive tasks of a submission share it, which saves an
+		// allocation for each task.
 		lastJob string
 	}
 
-	// outer is the position of a reader in the enclosing message.
-	outer struct {
+	// enclosing is a saved position of a reader in the enclosing message.
+	enclosing struct {
 		rest    []byte
 		message string
 	}
@@ -57,7 +58,7 @@
 	return protowire.AppendString(protowire.AppendTag(b, n, protowire.BytesType), v)
 }
 
-// appendReason truncates texts for humans instead of exceeding the limit that the receiver enforces.
+// appendReason appends a text for humans. It truncates the text to MaxReason, because the receiver rejects longer ones.
 func appendReason(b []byte, n protowire.Number, v string) []byte {
 	return appendString(b, n, v[:min(len(v), MaxReason)])
 }
@@ -69,7 +70,7 @@
 	return protowire.AppendBytes(protowire.AppendTag(b, n, protowire.BytesType), v)
 }
 
-// appendStrings keeps empty elements.
+// appendStrings appends a repeated field. Unlike appendString, it encodes empty strings.
 func appendStrings(b []byte, n protowire.Number, list []string) []byte {
 	for _, s := range list {
 		b = protowire.AppendString(protowire.AppendTag(b, n, protowire.BytesType), s)
@@ -77,14 +78,15 @@
 	return b
 }
 
-// begin opens a nested message. The result of end replaces the one-byte length that begin reserves.
-func begin(b []byte, n protowire.Number) (dst []byte, start int) {
+// beginNested appends the tag of a nested message and reserves one byte for its length, which endNested sets.
+func beginNested(b []byte, n protowire.Number) (dst []byte, start int) {
 	b = append(protowire.AppendTag(b, n, protowire.BytesType), 0)
 	return b, len(b)
 }
 
-// end closes the nested message that starts at start. It moves the content when the length takes several bytes.
-func end(b []byte, start int) []byte {
+// endNested sets the length of the nested message whose content starts at start. It moves the content if the length takes
+// several bytes.
+func endNested(b []byte, start int) []byte {
 	size := len(b) - start
 	extra := protowire.SizeVarint(uint64(size)) - 1
 	if extra > 0 {
@@ -95,7 +97,7 @@
 	return b
 }
 
-// next moves to the next field of the current message and returns false at its end.
+// next advances to the next field of the current message. It returns false at the end of the message and after an error.
 func (r *reader) next() bool {
 	if r.err != nil || len(r.rest) == 0 {
 		return false
@@ -123,7 +125,7 @@
 	return true
 }
 
-func (r *reader) fail(field, format string, args ...any) {
+func (r *reader) setError(field, format string, args ...any) {
 	if r.err == nil {
 		r.err = trace.BadParameter("%s.%s: %s", r.message, field, fmt.Sprintf(format, args...))
 	}
@@ -131,11 +133,11 @@
 
 func (r *reader) uint(field string, limit uint64) uint64 {
 	if r.typ != protowire.VarintType {
-		r.fail(field, "wire type %d, want a varint", r.typ)
+		r.setError(field, "wire type %d, want a varint", r.typ)
 		return 0
 	}
 	if r.value > limit {
-		r.fail(field, "value %d exceeds %d", r.value, limit)
+		r.setError(field, "value %d exceeds %d", r.value, limit)
 		return 0
 	}
 	return r.value
@@ -150,29 +152,29 @@
 func (r *reader) millis(field string) timer.Millis {
 	v := protowire.DecodeZigZag(r.uint64(field))
 	if v > maxMillis || v < -maxMillis {
-		r.fail(field, "duration of %d ms is out of range", v)
+		r.setError(field, "duration of %d ms is out of range", v)
 		return 0
 	}
 	return timer.Millis(v)
 }
 
-// limited returns the field's bytes, which are part of the frame.
-func (r *reader) limited(field string, limit int) []byte {
+// limitedBytes returns the field's bytes without copying them out of the frame.
+func (r *reader) limitedBytes(field string, limit int) []byte {
 	if r.typ != protowire.BytesType {
-		r.fail(field, "wire type %d, want bytes", r.typ)
+		r.setError(field, "wire type %d, want bytes", r.typ)
 		return nil
 	}
 	if len(r.raw) > limit {
-		r.fail(field, "length %d exceeds %d", len(r.raw), limit)
+		r.setError(field, "length %d exceeds %d", len(r.raw), limit)
 		return nil
 	}
 	return r.raw
 }
 
-func (r *reader) string(field string, limit int) string { return string(r.limited(field, limit)) }
+func (r *reader) string(field string, limit int) string { return string(r.limitedBytes(field, limit)) }
 
-func (r *reader) job(field string) string {
-	raw := r.limited(field, MaxKey)
+func (r *reader) jobKey(field string) string {
+	raw := r.limitedBytes(field, MaxKey)
 	if string(raw) != r.lastJob {
 		r.lastJob = string(raw)
 	}
@@ -180,40 +182,42 @@
 }
 
 func (r *reader) bytes(field string) []byte {
-	raw := r.limited(field, MaxFrame)
+	raw := r.limitedBytes(field, MaxFrame)
 	if len(raw) == 0 {
 		return nil
 	}
 	return append(make([]byte, 0, len(raw)), raw...)
 }
 
-// enter moves into the current field, which holds a nested message. The caller passes the result to leave.
-func (r *reader) enter(field, message string) outer {
-	o := outer{r.rest, r.message}
-	r.rest = r.limited(field, MaxFrame)
+// enterNested starts to read the nested message in the current field. The caller passes the result to leaveNested to
+// return to the enclosing message.
+func (r *reader) enterNested(field, message string) enclosing {
+	o := enclosing{r.rest, r.message}
+	r.rest = r.limitedBytes(field, MaxFrame)
 	r.message = message
 	return o
 }
 
-func (r *reader) leave(o outer) { r.rest, r.message = o.rest, o.message }
+func (r *reader) leaveNested(o enclosing) { r.rest, r.message = o.rest, o.message }
 
-// grow extends a repeated field by one element. The first call counts the directly following fields of the same number,
-// so that a list takes one allocation. It returns nil, and records the error, when the limit is exceeded.
-func grow[T any](r *reader, field string, list *[]T, limit int) *T {
+// appendElement appends a zero element to the list of a repeated field and returns a pointer to it. The first call counts
+// the directly following fields with the same number, so that the list needs one allocation. If the list exceeds the
+// limit, appendElement sets the error and returns nil.
+func appendElement[T any](r *reader, field string, list *[]T, limit int) *T {
 	if len(*list) >= limit {
-		r.fail(field, "more than %d elements", limit)
+		r.setError(field, "more than %d elements", limit)
 		return nil
 	}
 	if *list == nil {
-		*list = make([]T, 0, min(1+r.following(), limit))
+		*list = make([]T, 0, min(1+r.countFollowing(), limit))
 	}
 	var zero T
 	*list = append(*list, zero)
 	return &(*list)[len(*list)-1]
 }
 
-// following counts the fields after the current one up to one with another number.
-func (r *reader) following() int {
+// countFollowing returns the number of fields after the current one, up to the first with another number.
+func (r *reader) countFollowing() int {
 	count := 0
 	for rest := r.rest; len(rest) > 0; count++ {
 		n, typ, size := protowire.ConsumeTag(rest)
--- a/messenger/bench_test.go
+++ b/messenger/bench_test.go
@@ -11,31 +11,31 @@
 	"github.com/crocuslb/crocuslb/encoder"
 )
 
-func processorTime() time.Duration {
+func cpuTime() time.Duration {
 	var usage syscall.Rusage
 	_ = syscall.Getrusage(syscall.RUSAGE_SELF, &usage)
 	return time.Duration(usage.Utime.Nano() + usage.Stime.Nano())
 }
 
-// BenchmarkSend measures small messages in one direction, at full rate.
+// BenchmarkSend measures the throughput of small messages in one direction.
 func BenchmarkSend(b *testing.B) {
-	sender := benchPair(b)
+	sender := newBenchSession(b)
 	m := &encoder.Start{Task: encoder.TaskKey{Job: "0123456789abcdef"}, Kind: "k", Payload: make([]byte, 100)}
-	began := processorTime()
+	began := cpuTime()
 	for n := int64(0); b.Loop(); {
 		if n++; !sender.Send(m) {
 			time.Sleep(100 * time.Microsecond)
 			n--
 		}
 	}
-	b.ReportMetric(float64(processorTime()-began)/float64(b.N), "cpu-ns/op")
+	b.ReportMetric(float64(cpuTime()-began)/float64(b.N), "cpu-ns/op")
 }
 
-// BenchmarkRoundTrip measures the latency of small messages, alone and behind large results on the same session.
+// BenchmarkRoundTrip measures the round-trip time of small messages, alone and behind large results on the same session.
 func BenchmarkRoundTrip(b *testing.B) {
 	for _, size := range []int{0, 64 << 10, 1 << 20, 4<<20 - 100} {
 		b.Run(fmt.Sprintf("body=%d", size), func(b *testing.B) {
-			sender := benchPair(b)
+			sender := newBenchSession(b)
 			large := &encoder.Result{Body: make([]byte, size)}
 			echo := make(chan bool, 1)
 			sender.node.OnMessage = func(*Session, encoder.Message) { echo <- true }
@@ -52,7 +52,7 @@
 
 // BenchmarkBulk measures the throughput of large messages.
 func BenchmarkBulk(b *testing.B) {
-	sender := benchPair(b)
+	sender := newBenchSession(b)
 	m := &encoder.Result{Body: make([]byte, 1<<20)}
 	b.SetBytes(1 << 20)
 	for b.Loop() {
@@ -62,7 +62,7 @@
 	}
 }
 
-// BenchmarkSparse measures requests and answers that are spread over many sessions, so that batches are short.
+// BenchmarkSparse measures requests and answers that are spread over many sessions, so that batches contain few messages.
 func BenchmarkSparse(b *testing.B) {
 	const sessions, outstanding = 200, 50
 	a := newTestNode("a")
@@ -85,16 +85,16 @@
 	for range outstanding {
 		answered <- true
 	}
-	began := processorTime()
+	began := cpuTime()
 	for n := 0; b.Loop(); n++ {
 		<-answered
 		list[n%sessions].Send(m)
 	}
 	b.ReportMetric(float64(lost.Load()), "lost-sessions")
-	b.ReportMetric(float64(processorTime()-began)/float64(b.N), "cpu-ns/op")
+	b.ReportMetric(float64(cpuTime()-began)/float64(b.N), "cpu-ns/op")
 }
 
-func benchPair(b *testing.B) *Session {
+func newBenchSession(b *testing.B) *Session {
 	a, c := newTestNode("a"), newTestNode("c")
 	a.OnMessage = func(s *Session, m encoder.Message) {
 		if _, ok := m.(*encoder.Ping); ok {
@@ -102,10 +102,10 @@
 		}
 	}
 	c.Connect(b.Context(), a.listen(b.Context(), b))
-	return receive(b, c.up, "session").session
+	return receive(b, c.connected, "session").session
 }
 
-// BenchmarkIdle measures memory and processor time of idle sessions, for both ends together.
+// BenchmarkIdle measures the memory and CPU time of idle sessions, for both ends together.
 func BenchmarkIdle(b *testing.B) {
 	const sessions = 300
 	a := newTestNode("a")
@@ -127,7 +127,7 @@
 	}
 	time.Sleep(3 * time.Second)
 	after := measure()
-	used := processorTime()
+	used := cpuTime()
 	began := time.Now()
 	for b.Loop() {
 		time.Sleep(5 * time.Second)
@@ -137,5 +137,5 @@
 	b.ReportMetric(float64(after.HeapAlloc-before.HeapAlloc)/sessions, "heap-B/session")
 	b.ReportMetric(float64(after.StackInuse-before.StackInuse)/sessions, "stack-B/session")
 	b.ReportMetric(float64(after.Sys-before.Sys)/sessions, "sys-B/session")
-	b.ReportMetric(float64(processorTime()-used)/took.Seconds()/sessions/1000, "cpu-us/s/session")
+	b.ReportMetric(float64(cpuTime()-used)/took.Seconds()/sessions/1000, "cpu-us/s/session")
 }
--- a/messenger/connect.go
+++ b/messenger/connect.go
@@ -18,21 +18,22 @@
 	maxBackoff = 2 * time.Second
 )
 
-// Connect keeps a session to address open until ctx ends: it dials, and dials again from a new port after a failure or
-// silence. It returns at once. The address may be one of a load balancer; the session is with the process that answers.
+// Connect maintains a session to address until ctx ends. It returns without waiting for the session. After a failure or
+// an idle timeout it dials again from a new port. The address may be that of a load balancer; the session is with the
+// process that answers.
 func (n *Node) Connect(ctx context.Context, address string) {
-	n.running.Go(func() {
+	n.goroutines.Go(func() {
 		backoff := minBackoff
 		for ctx.Err() == nil {
-			began := time.Now()
+			startTime := time.Now()
 			err := n.dial(ctx, address)
 			if ctx.Err() != nil {
 				return
 			}
 			if err != nil {
-				n.fail(address, err)
+				n.reportFailure(address, err)
 			}
-			if err == nil && time.Since(began) > maxBackoff {
+			if err == nil && time.Since(startTime) > maxBackoff {
 				backoff = minBackoff
 			}
 			sleep(ctx, time.Duration(rand.Int64N(int64(backoff))))
@@ -41,19 +42,20 @@
 	})
 }
 
-// dial opens one session from a new socket and returns when it is down. The error is not nil when no session came up.
+// dial opens one session from a new socket and returns after the session has ended. It returns an error if the session
+// could not be opened.
 func (n *Node) dial(ctx context.Context, address string) error {
-	at, err := net.ResolveUDPAddr("udp", address)
+	udpAddress, err := net.ResolveUDPAddr("udp", address)
 	if err != nil {
 		return trace.BadParameter("address %q: %v", address, err)
 	}
-	keys, err := n.keys(at)
+	tlsConf, err := n.tlsConfig(udpAddress)
 	if err != nil {
 		return err
 	}
 	local := &net.UDPAddr{}
-	if at.IP.IsLoopback() {
-		local.IP = at.IP
+	if udpAddress.IP.IsLoopback() {
+		local.IP = udpAddress.IP
 	}
 	socket, err := net.ListenUDP("udp", local)
 	if err != nil {
@@ -64,32 +66,32 @@
 		_ = transport.Close()
 		_ = socket.Close()
 	}
-	early, cancel := context.WithTimeout(ctx, n.handshake().Duration())
+	handshakeCtx, cancel := context.WithTimeout(ctx, n.handshakeTimeout().Duration())
 	defer cancel()
-	conn, err := transport.Dial(early, at, keys, n.config(-1))
+	conn, err := transport.Dial(handshakeCtx, udpAddress, tlsConf, n.quicConfig(-1))
 	if err != nil {
 		release()
 		return trace.ConnectionProblem(err, "cannot connect to %s: %v", address, err)
 	}
-	s, err := n.introduce(early, conn, address)
+	s, err := n.openSession(handshakeCtx, conn, address)
 	if err != nil {
-		_ = conn.CloseWithError(codeInvalid, phrase(err))
+		_ = conn.CloseWithError(codeInvalid, closeReason(err))
 		release()
 		return err
 	}
-	// The reader may outlive this call by Node.Grace.
-	n.running.Go(func() {
+	// Session.run may return up to Node.Grace later than this function.
+	n.goroutines.Go(func() {
 		stop := context.AfterFunc(ctx, s.Close)
 		defer stop()
 		s.run()
 		release()
 	})
-	<-s.down
+	<-s.done
 	return nil
 }
 
-// introduce sends Hello and waits for HelloAck.
-func (n *Node) introduce(ctx context.Context, conn *quic.Conn, address string) (*Session, error) {
+// openSession opens the stream, sends Hello and waits for HelloAck.
+func (n *Node) openSession(ctx context.Context, conn *quic.Conn, address string) (*Session, error) {
 	stream, err := conn.OpenStreamSync(ctx)
 	if err != nil {
 		return nil, trace.ConnectionProblem(err, "cannot open a stream to %s: %v", address, err)
@@ -100,31 +102,32 @@
 		hello = n.Hello()
 	}
 	if !s.Send(&hello) {
-		return nil, trace.LimitExceeded("Hello is too large")
+		return nil, trace.LimitExceeded("Hello exceeds the frame or queue limit")
 	}
 	stop := context.AfterFunc(ctx, func() { _ = stream.SetReadDeadline(time.Now()) })
 	defer stop()
-	m, err := s.first(n.handshake())
+	m, err := s.readHandshake(n.handshakeTimeout())
 	if err != nil {
 		return nil, err
 	}
 	ack, ok := m.(*encoder.HelloAck)
 	if !ok {
-		return nil, trace.BadParameter("%s answered with %T, want HelloAck", address, m)
+		return nil, trace.BadParameter("%s answered Hello with %T, want HelloAck", address, m)
 	}
 	s.ack = *ack
 	s.peer = encoder.Hello{Role: encoder.RoleEntry, Member: ack.Member, Address: address}
 	return s, nil
 }
 
-// ticks returns the number of heartbeat periods in Silence, rounded up.
-func (n *Node) ticks() int {
-	period := n.heartbeat()
-	return int((n.silence() + period - 1) / period)
+// maxIdleTicks returns the number of heartbeat intervals in the idle timeout, rounded up.
+func (n *Node) maxIdleTicks() int {
+	period := n.heartbeatInterval()
+	return int((n.idleTimeout() + period - 1) / period)
 }
 
-// period returns the heartbeat period with jitter, so that the sessions of a process do not beat at the same time.
-func (n *Node) period() time.Duration {
-	p := int64(n.heartbeat() * timer.Millis(time.Millisecond))
+// jitteredHeartbeatInterval returns the heartbeat interval with random jitter of up to 1/16 in both directions, so that
+// the sessions of a process do not send heartbeats at the same time.
+func (n *Node) jitteredHeartbeatInterval() time.Duration {
+	p := int64(n.heartbeatInterval() * timer.Millis(time.Millisecond))
 	return time.Duration(p - p/16 + rand.Int64N(p/8+1))
 }
--- a/messenger/fault_test.go
+++ b/messenger/fault_test.go
@@ -16,7 +16,8 @@
 	"github.com/crocuslb/crocuslb/timer"
 )
 
-// Guards against connections that stay silent for good: the session must be replaced through a new port.
+// TestSilence guards against connections that stay unresponsive forever. They must be replaced from a new port,
+// whichever direction loses packets.
 func TestSilence(t *testing.T) {
 	tests := []struct {
 		name               string
@@ -33,12 +34,12 @@
 			a.Heartbeat, a.Silence, b.Heartbeat, b.Silence = 50, 250, 50, 250
 			r := newRelay(t, a.listen(ctx, t))
 			b.Connect(ctx, r.address())
-			old := receive(t, b.up, "session").session
+			old := receive(t, b.connected, "session").session
 			before := r.drop(tt.toServer, tt.toClient)
-			if down := receive(t, b.down, "end"); down.session != old || !strings.Contains(down.cause.Error(), "silent") {
-				t.Errorf("got end of %p by %v, want silence of %p", down.session, down.cause, old)
+			if down := receive(t, b.disconnected, "end"); down.session != old || !strings.Contains(down.cause.Error(), "idle timeout: no data") {
+				t.Errorf("got the end of session %p by %v, want an idle timeout of session %p", down.session, down.cause, old)
 			}
-			receive(t, b.up, "replacement")
+			receive(t, b.connected, "replacement")
 			if got := r.drop(false, false); got <= before {
 				t.Errorf("got %d client ports, want more than %d", got, before)
 			}
@@ -49,7 +50,7 @@
 	}
 }
 
-// Guards against the loss of a late answer when the silent connection recovers within the grace.
+// TestGrace guards against the loss of a message that arrives after the idle timeout but within the grace period.
 func TestGrace(t *testing.T) {
 	ctx, cancel := context.WithCancel(t.Context())
 	a, b := newTestNode("a"), newTestNode("b")
@@ -57,43 +58,44 @@
 	a.Grace = b.Grace
 	r := newRelay(t, a.listen(ctx, t))
 	b.Connect(ctx, r.address())
-	old, server := receive(t, b.up, "session").session, receive(t, a.up, "session").session
+	old, server := receive(t, b.connected, "session").session, receive(t, a.connected, "session").session
 	r.drop(false, true)
 	server.Send(&encoder.Claimed{Job: "late"})
-	receive(t, b.down, "end")
+	receive(t, b.disconnected, "end")
 	if old.Send(&encoder.Leaving{}) {
-		t.Error("a silent session took a message")
+		t.Error("a timed-out session accepted a message")
 	}
 	r.drop(false, false)
 	if got := receive(t, b.messages, "late message"); got.session != old {
-		t.Errorf("got %+v from %p, want it from %p", got.message, got.session, old)
+		t.Errorf("got %+v from session %p, want it from session %p", got.message, got.session, old)
 	}
-	receive(t, b.up, "replacement")
+	receive(t, b.connected, "replacement")
 	cancel()
 	a.Wait()
 	b.Wait()
 }
 
-// Guards against a client that does not find a restarted process on the same address.
+// TestRestart guards against a client that does not reconnect to a process that was restarted on the same address.
 func TestRestart(t *testing.T) {
 	first, stop := context.WithCancel(t.Context())
 	a, b := newTestNode("a"), newTestNode("b")
 	address := a.listen(first, t)
 	b.Connect(t.Context(), address)
-	receive(t, b.up, "session")
+	receive(t, b.connected, "session")
 	stop()
-	receive(t, b.down, "end")
+	receive(t, b.disconnected, "end")
 	a.Wait()
 	again := newTestNode("a2")
 	if _, err := again.Listen(t.Context(), address); err != nil {
 		t.Fatal(err)
 	}
-	if got := receive(t, b.up, "session").session.Ack().Member.ID; got != "a2" {
+	if got := receive(t, b.connected, "session").session.Ack().Member.ID; got != "a2" {
 		t.Errorf("got a session with %q, want a2", got)
 	}
 }
 
-// Guards against sessions that must not open, and against a refusal that does not reach the other end.
+// TestRefusedSessions guards against sessions that open without a valid certificate, against the decision of Accept or
+// above the limit, and against refusals whose reason does not reach the peer.
 func TestRefusedSessions(t *testing.T) {
 	secret := strings.Repeat("s", MinSecret)
 	tests := []struct {
@@ -122,26 +124,26 @@
 			if tt.name == "too many sessions" {
 				other := newTestNode("c")
 				other.Connect(t.Context(), address)
-				receive(t, other.up, "first session")
+				receive(t, other.connected, "first session")
 			}
 			b.Connect(t.Context(), address)
-			if err := receive(t, b.failed, "failure"); !strings.Contains(err.Error(), tt.dialing) {
-				// The server's verdict on the client certificate arrives after the client's handshake.
+			if err := receive(t, b.failures, "failure"); !strings.Contains(err.Error(), tt.dialing) {
+				// The server rejects the client certificate only after the client has completed its handshake.
 				t.Errorf("dialing end: got %v, want %q", err, tt.dialing)
 			}
 			if tt.accepts != "" {
-				if err := receive(t, a.failed, "failure"); !strings.Contains(err.Error(), tt.accepts) {
+				if err := receive(t, a.failures, "failure"); !strings.Contains(err.Error(), tt.accepts) {
 					t.Errorf("accepting end: got %v, want %q", err, tt.accepts)
 				}
 			}
-			if len(b.up) > 0 {
-				t.Error("a session came up")
+			if len(b.connected) > 0 {
+				t.Error("a session was opened")
 			}
 		})
 	}
 }
 
-// Guards against traffic without a secret on addresses that other machines reach.
+// TestLoopbackOnly guards against traffic without a secret on addresses that other machines can reach.
 func TestLoopbackOnly(t *testing.T) {
 	n := newTestNode("a")
 	for _, address := range []string{":0", "0.0.0.0:0", "[::]:0", "192.0.2.1:0"} {
@@ -150,7 +152,7 @@
 		}
 	}
 	n.Connect(t.Context(), "192.0.2.1:1")
-	if err := receive(t, n.failed, "failure"); !strings.Contains(err.Error(), "secret") {
+	if err := receive(t, n.failures, "failure"); !strings.Contains(err.Error(), "secret") {
 		t.Errorf("connect: got %v, want an error that asks for a secret", err)
 	}
 	if _, err := Keys("short"); err == nil {
@@ -158,9 +160,9 @@
 	}
 }
 
-// Guards against malformed input: each case must end the connection with a clear cause.
+// TestMalformedStreams guards against malformed input that does not end the connection, or ends it with an unclear cause.
 func TestMalformedStreams(t *testing.T) {
-	hello := framed(encoder.Append(nil, &encoder.Hello{Role: encoder.RoleSidecar}))
+	hello := withHeader(encoder.Append(nil, &encoder.Hello{Role: encoder.RoleSidecar}))
 	tests := []struct {
 		name  string
 		bytes []byte
@@ -169,14 +171,14 @@
 		{"oversized first frame", header(encoder.MaxFrame + 1), "out of range"},
 		{"oversized fragments", slices.Concat(hello, header(fragmentFlag|encoder.MaxFrame), make([]byte, encoder.MaxFrame), header(fragmentFlag|1)), "out of range"},
 		{"empty first frame", header(0), "out of range"},
-		{"first message is not Hello", framed(encoder.Append(nil, &encoder.Leaving{})), "want Hello"},
-		{"Hello is garbage", framed([]byte{1, 8, 99}), "Hello.role"},
+		{"first message is not Hello", withHeader(encoder.Append(nil, &encoder.Leaving{})), "want Hello"},
+		{"Hello is garbage", withHeader([]byte{1, 8, 99}), "Hello.role"},
 		{"oversized frame", slices.Concat(hello, header(encoder.MaxFrame+1)), "out of range"},
 		{"truncated frame", slices.Concat(hello, header(1000)), "within a frame"},
 		{"truncated message", slices.Concat(hello, header(fragmentFlag|1), []byte{0}), "within a frame"},
 		{"truncated header", slices.Concat(hello, []byte{0, 0}), "within a frame"},
-		{"undecodable message", slices.Concat(hello, framed([]byte{3, 16})), "Ping"},
-		{"message of a newer version, then end", slices.Concat(hello, framed([]byte{100})), "closed by the other end"},
+		{"undecodable message", slices.Concat(hello, withHeader([]byte{3, 16})), "Ping"},
+		{"message of a newer version, then end", slices.Concat(hello, withHeader([]byte{100})), "closed by the peer"},
 	}
 	a := newTestNode("a")
 	address, err := net.ResolveUDPAddr("udp", a.listen(t.Context(), t))
@@ -199,9 +201,9 @@
 			_ = stream.Close()
 			var got error
 			if len(tt.bytes) > len(hello) && string(tt.bytes[:len(hello)]) == string(hello) {
-				got = receive(t, a.down, "end").cause
+				got = receive(t, a.disconnected, "end").cause
 			} else {
-				got = receive(t, a.failed, "failure")
+				got = receive(t, a.failures, "failure")
 			}
 			if !strings.Contains(got.Error(), tt.want) {
 				t.Errorf("got %v, want %q", got, tt.want)
@@ -211,17 +213,18 @@
 	}
 }
 
-// Guards against an unbounded queue, and against refusals that are not true: exactly the accepted messages arrive.
+// TestQueueFull guards against an unbounded send queue, and against the delivery of other messages than those that Send
+// accepted.
 func TestQueueFull(t *testing.T) {
-	// windowCount is the number of the smallest messages, 7 bytes with their header, that QUIC takes into its first send
-	// window of 32 packets before a write blocks, rounded up.
+	// windowCount is an upper bound on the number of the smallest messages, 7 bytes with their header, that fit into
+	// QUIC's initial send window of 32 packets before a write blocks.
 	const windowCount = 1 << 13
 	tests := []struct {
 		name    string
 		message encoder.Message
 		limit   int
 	}{
-		{"count", &encoder.Grant{Credits: 1}, maxQueueCount + windowCount},
+		{"count", &encoder.Grant{Credits: 1}, maxQueuedMessages + windowCount},
 		{"bytes", &encoder.Result{Body: make([]byte, 1<<20)}, 64},
 	}
 	for _, tt := range tests {
@@ -230,12 +233,12 @@
 			a.Silence, b.Silence = 60*timer.Second, 60*timer.Second
 			r := newRelay(t, a.listen(t.Context(), t))
 			b.Connect(t.Context(), r.address())
-			s := receive(t, b.up, "session").session
+			s := receive(t, b.connected, "session").session
 			r.drop(true, true)
 			sent := 0
 			for s.Send(tt.message) {
 				if sent++; sent > tt.limit {
-					t.Fatalf("%d messages were queued", sent)
+					t.Fatalf("%d messages were queued, want at most %d", sent, tt.limit)
 				}
 			}
 			if s.Send(&encoder.Result{Body: make([]byte, encoder.MaxFrame)}) {
@@ -246,7 +249,7 @@
 				receive(t, a.messages, "queued message")
 			}
 			if !s.Send(&encoder.Claimed{Job: "last"}) {
-				t.Fatal("the drained queue refuses messages")
+				t.Fatal("the queue accepts no messages after it was flushed")
 			}
 			if got, ok := receive(t, a.messages, "last message").message.(*encoder.Claimed); !ok {
 				t.Errorf("got %T, want the last message", got)
@@ -255,13 +258,13 @@
 	}
 }
 
-// Guards against a long result that holds up the messages behind it.
+// TestLongResult guards against a long result that delays the messages queued after it.
 func TestLongResult(t *testing.T) {
 	a, b := newTestNode("a"), newTestNode("b")
 	a.Silence, b.Silence = 60*timer.Second, 60*timer.Second
 	r := newRelay(t, a.listen(t.Context(), t))
 	b.Connect(t.Context(), r.address())
-	s := receive(t, b.up, "session").session
+	s := receive(t, b.connected, "session").session
 	r.drop(true, true)
 	s.Send(&encoder.Result{Body: make([]byte, encoder.MaxFrame/2)})
 	s.Send(&encoder.Claimed{Job: "short"})
@@ -274,15 +277,16 @@
 	}
 }
 
-// Guards against a slow consumer that is mistaken for a silent peer, and against a pause that counts as silence.
+// TestTicks guards against a session that times out while OnMessage blocks, and against a pause of the process that is
+// taken for an idle peer.
 func TestTicks(t *testing.T) {
 	a, b := newTestNode("a"), newTestNode("b")
 	a.Heartbeat, a.Silence, b.Heartbeat = timer.Minute, 3*timer.Minute, timer.Minute
 	entered, leave := make(chan bool), make(chan bool)
 	a.OnMessage = func(*Session, encoder.Message) { entered <- true; <-leave }
 	b.Connect(t.Context(), a.listen(t.Context(), t))
-	s := receive(t, a.up, "session").session
-	receive(t, b.up, "session").session.Send(&encoder.Leaving{})
+	s := receive(t, a.connected, "session").session
+	receive(t, b.connected, "session").session.Send(&encoder.Leaving{})
 	receive(t, entered, "message")
 	for range 10 {
 		s.tick()
@@ -294,14 +298,14 @@
 	receive(t, b.messages, "message")
 	for s.Send(&encoder.Leaving{}) {
 		s.received.Store(false)
-		s.busy.Store(false)
+		s.handling.Store(false)
 		s.tick()
 	}
-	if got := receive(t, a.down, "end").cause; !errors.Is(got, errSilent) {
-		t.Errorf("got %v, want silence", got)
+	if got := receive(t, a.disconnected, "end").cause; !errors.Is(got, errIdleTimeout) {
+		t.Errorf("got %v, want %v", got, errIdleTimeout)
 	}
 }
 
 func header(size uint32) []byte { return binary.BigEndian.AppendUint32(nil, size) }
 
-func framed(frame []byte) []byte { return append(header(uint32(len(frame))), frame...) }
+func withHeader(frame []byte) []byte { return append(header(uint32(len(frame))), frame...) }
--- a/messenger/keys.go
+++ b/messenger/keys.go
@@ -21,40 +21,40 @@
 
 	protocol   = "crocuslb/1"
 	serverName = "crocuslb.invalid"
-	// developmentSecret protects nothing. It is used on loopback only.
+	// developmentSecret is publicly known and provides no security. It is used on loopback addresses only.
 	developmentSecret = "insecure development secret of crocuslb"
-	// certificateLife is the validity of a certificate on either side of its creation. Wall clocks may differ by up to
-	// half of it, because a certificate is replaced after half of its life.
-	certificateLife = 48 * time.Hour
+	// certificateValidity is the validity of a certificate before and after its creation. Clocks of processes may differ
+	// by up to half of it, because a certificate is replaced after half of its validity.
+	certificateValidity = 48 * time.Hour
 )
 
 type (
-	// issuer makes certificates that are signed with the key derived from the secret.
+	// issuer issues certificates signed with the key that is derived from the secret.
 	issuer struct {
 		authority *x509.Certificate
 		key       ed25519.PrivateKey
 
-		mu      sync.Mutex
-		current *tls.Certificate
-		made    time.Time
+		mu       sync.Mutex
+		current  *tls.Certificate
+		issuedAt time.Time
 	}
 )
 
-var developmentKeys = sync.OnceValues(func() (*tls.Config, error) { return Keys(developmentSecret) })
+var developmentTLSConfig = sync.OnceValues(func() (*tls.Config, error) { return Keys(developmentSecret) })
 
-// Keys returns the TLS configuration of a process, for both ends of its sessions. Each process signs its own short-lived
-// certificate in memory with a key that is derived from the secret, and accepts certificates signed with the same key.
-// The secret must have at least MinSecret bytes and should be random.
+// Keys returns the TLS configuration of a process for dialing and accepting sessions. Each process issues its own
+// short-lived certificate in memory, signed with a key that is derived from the secret, and accepts certificates signed
+// with the same key. The secret must have at least MinSecret bytes and should be random.
 func Keys(secret string) (*tls.Config, error) {
 	if len(secret) < MinSecret {
 		return nil, trace.BadParameter("the secret has %d bytes, at least %d are required", len(secret), MinSecret)
 	}
 	i, err := newIssuer(secret)
 	if err != nil {
-		return nil, trace.Wrap(err, "cannot derive keys")
+		return nil, trace.Wrap(err, "cannot derive the key of the certificate authority")
 	}
 	if _, err := i.certificate(); err != nil {
-		return nil, trace.Wrap(err, "cannot make a certificate")
+		return nil, trace.Wrap(err, "cannot issue a certificate")
 	}
 	pool := x509.NewCertPool()
 	pool.AddCert(i.authority)
@@ -79,7 +79,7 @@
 		return nil, err
 	}
 	key := ed25519.NewKeyFromSeed(seed)
-	// All processes make the same certificate, because nothing in it is random.
+	// The authority certificate contains nothing random, so it is the same in all processes.
 	template := &x509.Certificate{
 		SerialNumber:          big.NewInt(1),
 		Subject:               pkix.Name{CommonName: "crocuslb authority"},
@@ -97,12 +97,12 @@
 	return &issuer{authority: authority, key: key}, err
 }
 
-// certificate returns the current certificate and replaces it after half of its life.
+// certificate returns the current certificate. It issues a new one after half of the validity.
 func (i *issuer) certificate() (*tls.Certificate, error) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	now := time.Now()
-	if i.current != nil && now.Sub(i.made) < certificateLife/2 {
+	if i.current != nil && now.Sub(i.issuedAt) < certificateValidity/2 {
 		return i.current, nil
 	}
 	public, private, err := ed25519.GenerateKey(rand.Reader)
@@ -117,8 +117,8 @@
 		SerialNumber: serial,
 		Subject:      pkix.Name{CommonName: "crocuslb process"},
 		DNSNames:     []string{serverName},
-		NotBefore:    now.Add(-certificateLife),
-		NotAfter:     now.Add(certificateLife),
+		NotBefore:    now.Add(-certificateValidity),
+		NotAfter:     now.Add(certificateValidity),
 		KeyUsage:     x509.KeyUsageDigitalSignature,
 		ExtKeyUsage:  []x509.ExtKeyUsage{x509.ExtKeyUsageServerAuth, x509.ExtKeyUsageClientAuth},
 	}
@@ -126,6 +126,6 @@
 	if err != nil {
 		return nil, err
 	}
-	i.current, i.made = &tls.Certificate{Certificate: [][]byte{der}, PrivateKey: private}, now
+	i.current, i.issuedAt = &tls.Certificate{Certificate: [][]byte{der}, PrivateKey: private}, now
 	return i.current, nil
 }
--- a/messenger/node.go
+++ b/messenger/node.go
@@ -1,5 +1,5 @@
-// Package messenger carries messages between crocuslb processes over QUIC. It keeps sessions alive with heartbeats and
-// replaces silent ones.
+// Package messenger maintains message sessions between crocuslb processes over QUIC. It detects unresponsive sessions by
+// heartbeats and replaces them.
 package messenger
 
 import (
@@ -18,90 +18,94 @@
 )
 
 const (
-	defaultHeartbeat = 250
-	defaultSilence   = timer.Second
-	// defaultSessions leaves room above the 1,700 sidecars that an entry serves, each with a second session while a
-	// silent one is being replaced.
-	defaultSessions = 8192
-	// minHandshake is the shortest bound on a handshake. A busy machine takes much longer than Silence for one.
-	minHandshake = 2 * timer.Second
-	// pendingHandshakes is the number of incomplete handshakes above which a client must first prove its address.
-	pendingHandshakes = 64
-
-	codeClosed  quic.ApplicationErrorCode = 0
-	codeRefused quic.ApplicationErrorCode = 1
-	codeInvalid quic.ApplicationErrorCode = 2
-	codeSilent  quic.ApplicationErrorCode = 3
+	defaultHeartbeatInterval = 250
+	defaultIdleTimeout       = timer.Second
+	// defaultMaxSessions exceeds twice the number of sidecars that an entry must serve, 1,700. Each may have a second
+	// session while an unresponsive one is being replaced.
+	defaultMaxSessions = 8192
+	// minHandshakeTimeout is the shortest handshake timeout. On a loaded machine, a handshake takes much longer than the
+	// idle timeout.
+	minHandshakeTimeout = 2 * timer.Second
+	// maxUnverifiedHandshakes is the number of incomplete handshakes above which clients must validate their address by
+	// a QUIC Retry.
+	maxUnverifiedHandshakes = 64
+
+	codeClosed      quic.ApplicationErrorCode = 0
+	codeRefused     quic.ApplicationErrorCode = 1
+	codeInvalid     quic.ApplicationErrorCode = 2
+	codeIdleTimeout quic.ApplicationErrorCode = 3
 )
 
 type (
-	// Node is one process's end of all its sessions. Set the fields before Listen or Connect is called. The functions
-	// are called from a session's reader goroutine, in order for one session; they must not block for long. Nil
-	// functions are allowed. Two processes can have several sessions with each other, for example while a silent one is
-	// being replaced, or when one was dialed through a load balancer and another one directly.
+	// Node is the local endpoint of all sessions of a process. Set the fields before calling Listen or Connect. The
+	// callbacks may be nil. They are called from the reader goroutine of a session, in order for each session, and must
+	// not block for long. Two processes can have several sessions with each other, for example while an unresponsive one
+	// is being replaced, or if one was dialed through a load balancer and another one directly.
 	Node struct {
-		// Hello makes the message that opens each dialed session.
+		// Hello returns the first message of each dialed session.
 		Hello func() encoder.Hello
-		// Accept decides on an incoming session. An error refuses it, and the dialing end gets its text.
+		// Accept returns the answer to the Hello of an incoming session. If it returns an error, the session is refused
+		// and the text of the error is sent to the dialing end.
 		Accept    func(h *encoder.Hello) (encoder.HelloAck, error)
 		OnUp      func(s *Session)
 		OnMessage func(s *Session, m encoder.Message)
-		// OnDown is called once for each session that OnUp was called for. The cause is never nil.
+		// OnDown is called exactly once for each session for which OnUp was called. The cause is never nil.
 		OnDown func(s *Session, cause error)
-		// OnFail is called for each attempt to open a session that failed, with the address of the other end.
+		// OnFail is called when a session could not be opened or accepted, with the remote address, and when a listener
+		// fails, with its own address.
 		OnFail func(address string, err error)
-		// TLS is the result of Keys. Without it, the Node uses a publicly known secret and only talks to loopback
-		// addresses.
+		// TLS is a result of Keys. If it is nil, the node uses a publicly known secret and accepts loopback addresses
+		// only.
 		TLS         *tls.Config
-		Heartbeat   timer.Millis // period of transport heartbeats; 0 means 250
-		Silence     timer.Millis // silence after which a session is replaced; 0 means 1000
-		Grace       timer.Millis // time after silence in which late messages are still delivered, after OnDown
-		MaxSessions int          // largest number of accepted sessions, including handshakes; 0 means 8192
+		Heartbeat   timer.Millis // interval of heartbeats; 0 means 250
+		Silence     timer.Millis // time without received data after which a session ends; 0 means 1000
+		Grace       timer.Millis // time after OnDown in which a timed-out session still delivers messages
+		MaxSessions int          // maximum number of accepted sessions, including handshakes; 0 means 8192
 
-		running  sync.WaitGroup
-		accepted atomic.Int64
-		pending  atomic.Int64
-		buffers  sync.Pool // of *[]byte, write buffers
+		goroutines        sync.WaitGroup
+		acceptedConns     atomic.Int64
+		pendingHandshakes atomic.Int64
+		bufferPool        sync.Pool // of *[]byte; write buffers
 	}
 )
 
-// Listen accepts sessions on a UDP address until ctx ends. It returns the bound address once it is listening. Without
-// TLS, the address must be a loopback address.
+// Listen accepts sessions on a UDP address until ctx ends. It returns the bound address as soon as it listens. If TLS is
+// nil, the address must be a loopback address.
 func (n *Node) Listen(ctx context.Context, address string) (string, error) {
-	at, err := net.ResolveUDPAddr("udp", address)
+	udpAddress, err := net.ResolveUDPAddr("udp", address)
 	if err != nil {
 		return "", trace.BadParameter("listen address %q: %v", address, err)
 	}
-	keys, err := n.keys(at)
+	tlsConf, err := n.tlsConfig(udpAddress)
 	if err != nil {
 		return "", err
 	}
-	socket, err := net.ListenUDP("udp", at)
+	socket, err := net.ListenUDP("udp", udpAddress)
 	if err != nil {
 		return "", trace.ConnectionProblem(err, "cannot listen on %q: %v", address, err)
 	}
 	transport := &quic.Transport{
 		Conn:                socket,
-		ConnContext:         n.admit,
-		VerifySourceAddress: func(net.Addr) bool { return n.pending.Load() > pendingHandshakes },
+		ConnContext:         n.admitConn,
+		VerifySourceAddress: func(net.Addr) bool { return n.pendingHandshakes.Load() > maxUnverifiedHandshakes },
 	}
-	listener, err := transport.Listen(keys, n.config(1))
+	listener, err := transport.Listen(tlsConf, n.quicConfig(1))
 	if err != nil {
 		return "", trace.NewAggregate(err, transport.Close(), socket.Close())
 	}
 	var sessions sync.WaitGroup
-	n.running.Go(func() {
+	n.goroutines.Go(func() {
 		for {
 			conn, err := listener.Accept(ctx)
 			if err != nil {
 				if ctx.Err() == nil {
-					n.fail(address, trace.ConnectionProblem(err, "the listener ended: %v", err))
+					n.reportFailure(address, trace.ConnectionProblem(err, "cannot accept connections: %v", err))
 				}
 				break
 			}
 			sessions.Go(func() { n.serve(ctx, conn) })
 		}
-		// The sessions need the transport until they have sent what is queued.
+		// The sessions need the transport until they have flushed their queues.
 		sessions.Wait()
 		_ = transport.Close()
 		_ = socket.Close()
@@ -109,35 +113,35 @@
 	return socket.LocalAddr().String(), nil
 }
 
-// Wait blocks until all goroutines of the Node have ended. The contexts given to Listen and Connect must end first.
-func (n *Node) Wait() { n.running.Wait() }
+// Wait blocks until all goroutines of the Node have ended. They end after the contexts given to Listen and Connect.
+func (n *Node) Wait() { n.goroutines.Wait() }
 
-// admit bounds the number of connections that are open or in their handshake.
-func (n *Node) admit(ctx context.Context, _ *quic.ClientInfo) (context.Context, error) {
-	limit := int64(defaultSessions)
+// admitConn limits the number of connections that are open or in their handshake.
+func (n *Node) admitConn(ctx context.Context, _ *quic.ClientInfo) (context.Context, error) {
+	limit := int64(defaultMaxSessions)
 	if n.MaxSessions > 0 {
 		limit = int64(n.MaxSessions)
 	}
-	if n.accepted.Add(1) > limit {
-		n.accepted.Add(-1)
+	if n.acceptedConns.Add(1) > limit {
+		n.acceptedConns.Add(-1)
 		return nil, trace.LimitExceeded("more than %d sessions", limit)
 	}
-	n.pending.Add(1)
-	done := sync.OnceFunc(func() { n.pending.Add(-1) })
+	n.pendingHandshakes.Add(1)
+	done := sync.OnceFunc(func() { n.pendingHandshakes.Add(-1) })
 	context.AfterFunc(ctx, func() {
 		done()
-		n.accepted.Add(-1)
+		n.acceptedConns.Add(-1)
 	})
-	return context.WithValue(ctx, handshakeKey{}, done), nil
+	return context.WithValue(ctx, handshakeDoneKey{}, done), nil
 }
 
-// handshakeKey is the context key of the function that ends the handshake's share of Node.pending.
-type handshakeKey struct{}
+// handshakeDoneKey is the context key of the function that removes a connection from Node.pendingHandshakes.
+type handshakeDoneKey struct{}
 
-// serve runs an accepted connection to its end.
+// serve runs an accepted connection until it is closed.
 func (n *Node) serve(ctx context.Context, conn *quic.Conn) {
-	s, err := n.greet(ctx, conn)
-	if done, ok := conn.Context().Value(handshakeKey{}).(func()); ok {
+	s, err := n.acceptSession(ctx, conn)
+	if done, ok := conn.Context().Value(handshakeDoneKey{}).(func()); ok {
 		done()
 	}
 	if err != nil {
@@ -145,8 +149,8 @@
 		if trace.IsAccessDenied(err) {
 			code = codeRefused
 		}
-		_ = conn.CloseWithError(code, phrase(err))
-		n.fail(conn.RemoteAddr().String(), err)
+		_ = conn.CloseWithError(code, closeReason(err))
+		n.reportFailure(conn.RemoteAddr().String(), err)
 		return
 	}
 	stop := context.AfterFunc(ctx, s.Close)
@@ -154,50 +158,51 @@
 	s.run()
 }
 
-// greet reads Hello and answers with HelloAck.
-func (n *Node) greet(ctx context.Context, conn *quic.Conn) (*Session, error) {
-	ctx, cancel := context.WithTimeout(ctx, n.handshake().Duration())
+// acceptSession accepts the stream, reads Hello and answers with HelloAck.
+func (n *Node) acceptSession(ctx context.Context, conn *quic.Conn) (*Session, error) {
+	ctx, cancel := context.WithTimeout(ctx, n.handshakeTimeout().Duration())
 	defer cancel()
 	stream, err := conn.AcceptStream(ctx)
 	if err != nil {
-		return nil, trace.ConnectionProblem(err, "no stream: %v", err)
+		return nil, trace.ConnectionProblem(err, "cannot accept the stream: %v", err)
 	}
 	s := newSession(n, conn, stream)
-	s.patience = max(1, min(3, n.ticks()-1))
-	m, err := s.first(n.handshake())
+	s.heartbeatTicks = max(1, min(3, n.maxIdleTicks()-1))
+	m, err := s.readHandshake(n.handshakeTimeout())
 	if err != nil {
 		return nil, err
 	}
-	h, ok := m.(*encoder.Hello)
+	hello, ok := m.(*encoder.Hello)
 	if !ok {
 		return nil, trace.BadParameter("first message is %T, want Hello", m)
 	}
-	s.peer = *h
+	s.peer = *hello
 	if n.Accept != nil {
-		if s.ack, err = n.Accept(h); err != nil {
+		if s.ack, err = n.Accept(hello); err != nil {
 			return nil, trace.AccessDenied("%s", trace.UserMessage(err))
 		}
 	}
 	if !s.Send(&s.ack) {
-		return nil, trace.LimitExceeded("HelloAck is too large")
+		return nil, trace.LimitExceeded("HelloAck exceeds the frame or queue limit")
 	}
 	return s, nil
 }
 
-func (n *Node) fail(address string, err error) {
+func (n *Node) reportFailure(address string, err error) {
 	if n.OnFail != nil {
 		n.OnFail(address, err)
 	}
 }
 
-func (n *Node) config(streams int64) *quic.Config {
+func (n *Node) quicConfig(streams int64) *quic.Config {
 	return &quic.Config{
-		HandshakeIdleTimeout: n.handshake().Duration(),
-		// The heartbeat finds silence first; this bound only covers a session whose heartbeat cannot run.
-		MaxIdleTimeout:        (10*n.silence() + n.Grace).Duration(),
+		HandshakeIdleTimeout: n.handshakeTimeout().Duration(),
+		// The heartbeats detect an unresponsive peer earlier; this timeout only covers sessions whose heartbeat timer
+		// does not run.
+		MaxIdleTimeout:        (10*n.idleTimeout() + n.Grace).Duration(),
 		MaxIncomingStreams:    streams,
 		MaxIncomingUniStreams: -1,
-		// Room for one message of encoder.MaxFrame in flight.
+		// One message of encoder.MaxFrame bytes can be in flight.
 		InitialStreamReceiveWindow:     256 << 10,
 		MaxStreamReceiveWindow:         encoder.MaxFrame + encoder.MaxFrame/2,
 		InitialConnectionReceiveWindow: 512 << 10,
@@ -205,31 +210,31 @@
 	}
 }
 
-func (n *Node) heartbeat() timer.Millis {
+func (n *Node) heartbeatInterval() timer.Millis {
 	if n.Heartbeat > 0 {
 		return n.Heartbeat
 	}
-	return defaultHeartbeat
+	return defaultHeartbeatInterval
 }
 
-func (n *Node) silence() timer.Millis {
+func (n *Node) idleTimeout() timer.Millis {
 	if n.Silence > 0 {
 		return n.Silence
 	}
-	return defaultSilence
+	return defaultIdleTimeout
 }
 
-func (n *Node) handshake() timer.Millis { return max(minHandshake, n.silence()) }
+func (n *Node) handshakeTimeout() timer.Millis { return max(minHandshakeTimeout, n.idleTimeout()) }
 
-// keys returns the TLS configuration for traffic with an address.
-func (n *Node) keys(at *net.UDPAddr) (*tls.Config, error) {
+// tlsConfig returns the TLS configuration for sessions with an address.
+func (n *Node) tlsConfig(address *net.UDPAddr) (*tls.Config, error) {
 	if n.TLS != nil {
 		return n.TLS, nil
 	}
-	if !at.IP.IsLoopback() {
-		return nil, trace.BadParameter("address %v is not a loopback address; other addresses require a secret", at)
+	if !address.IP.IsLoopback() {
+		return nil, trace.BadParameter("address %v is not a loopback address; other addresses require a secret", address)
 	}
-	return developmentKeys()
+	return developmentTLSConfig()
 }
 
 // sleep waits for d or until ctx ends.
--- a/messenger/node_test.go
+++ b/messenger/node_test.go
@@ -9,8 +9,8 @@
 	"github.com/crocuslb/crocuslb/encoder"
 )
 
-// testLimit only ends a test that hangs; no verdict depends on it.
-const testLimit = time.Minute
+// testTimeout ends a test that hangs. No assertion depends on it.
+const testTimeout = time.Minute
 
 type event struct {
 	session *Session
@@ -18,11 +18,11 @@
 	cause   error
 }
 
-// testNode collects what a Node reports.
+// testNode records the callbacks of a Node.
 type testNode struct {
 	*Node
-	up, down, messages chan event
-	failed             chan error
+	connected, disconnected, messages chan event
+	failures                          chan error
 }
 
 func newTestNode(id string) testNode {
@@ -31,12 +31,12 @@
 	tn.Accept = func(*encoder.Hello) (encoder.HelloAck, error) {
 		return encoder.HelloAck{Member: encoder.Member{ID: id}}, nil
 	}
-	tn.OnUp = func(s *Session) { tn.up <- event{session: s} }
-	tn.OnDown = func(s *Session, cause error) { tn.down <- event{session: s, cause: cause} }
+	tn.OnUp = func(s *Session) { tn.connected <- event{session: s} }
+	tn.OnDown = func(s *Session, cause error) { tn.disconnected <- event{session: s, cause: cause} }
 	tn.OnMessage = func(s *Session, m encoder.Message) { tn.messages <- event{session: s, message: m} }
 	tn.OnFail = func(_ string, err error) {
 		select {
-		case tn.failed <- err:
+		case tn.failures <- err:
 		default:
 		}
 	}
@@ -57,18 +57,18 @@
 	select {
 	case v := <-c:
 		return v
-	case <-time.After(testLimit):
-		t.Fatalf("got no %s within %v", what, testLimit)
+	case <-time.After(testTimeout):
+		t.Fatalf("got no %s within %v", what, testTimeout)
 		panic("unreachable")
 	}
 }
 
-// Guards against a broken handshake, lost or reordered messages, and a close that drops what is queued.
+// TestSession guards against a broken handshake, lost or reordered messages, and a Close that drops queued messages.
 func TestSession(t *testing.T) {
 	ctx, cancel := context.WithCancel(t.Context())
 	a, b := newTestNode("a"), newTestNode("b")
 	b.Connect(ctx, a.listen(ctx, t))
-	sa, sb := receive(t, a.up, "session").session, receive(t, b.up, "session").session
+	sa, sb := receive(t, a.connected, "session").session, receive(t, b.connected, "session").session
 	if got := sa.Peer().Member.ID; got != "b" {
 		t.Errorf("got peer %q, want b", got)
 	}
@@ -91,14 +91,14 @@
 		}
 	}
 	if got := receive(t, b.messages, "large message").message.(*encoder.Result); len(got.Body) != encoder.MaxFrame-100 {
-		t.Errorf("got %d bytes", len(got.Body))
+		t.Errorf("got %d bytes, want %d", len(got.Body), encoder.MaxFrame-100)
 	}
-	receive(t, a.down, "end")
-	receive(t, b.down, "end")
+	receive(t, a.disconnected, "end")
+	receive(t, b.disconnected, "end")
 	if sb.Send(&encoder.Leaving{}) {
-		t.Error("a closed session took a message")
+		t.Error("a closed session accepted a message")
 	}
-	receive(t, b.up, "second session")
+	receive(t, b.connected, "second session")
 	cancel()
 	a.Wait()
 	b.Wait()
--- a/messenger/reader.go
+++ b/messenger/reader.go
@@ -13,54 +13,56 @@
 )
 
 const (
-	// headerSize is the size of the length before each frame.
+	// headerSize is the size of the header before each frame. The header of a message is its length.
 	headerSize = 4
-	// Headers above this value are frames of the transport, without content.
-	headerHeartbeat uint32 = 0xffffff01
-	headerAnswer    uint32 = 0xffffff02
-	// A header with fragmentFlag begins a fragment of a long message, one with lastFlag the last fragment.
-	fragmentFlag uint32 = 0x80000000
-	lastFlag     uint32 = 0x40000000
+	// headerHeartbeat and headerHeartbeatAck are control frames without content. They are larger than any frame length.
+	headerHeartbeat    uint32 = 0xffffff01
+	headerHeartbeatAck uint32 = 0xffffff02
+	// fragmentFlag marks the header of a fragment of a long message. The last fragment also has lastFragmentFlag.
+	fragmentFlag     uint32 = 0x80000000
+	lastFragmentFlag uint32 = 0x40000000
 
-	readBuffer = 4 << 10
-	// maxPhrase is the longest reason in bytes that is sent when a connection is closed.
-	maxPhrase = 500
+	readBufferSize = 4 << 10
+	// maxCloseReason is the length in bytes to which the reason sent in a QUIC CONNECTION_CLOSE frame is truncated.
+	maxCloseReason = 500
 )
 
 var (
-	errFrame  = errors.New("invalid frame")
-	errEnd    = errors.New("end of stream")
-	errSilent = errors.New("the other end is silent")
+	errInvalidFrame = errors.New("invalid frame")
+	errEndOfStream  = errors.New("end of stream")
+	errIdleTimeout  = errors.New("idle timeout: no data received from the peer")
 )
 
-// frameReader splits a stream into frames. After a read deadline, next continues where it stopped.
+// frameReader splits a stream into frames. next can be called again after a read deadline and then continues with the
+// partly received frame.
 type frameReader struct {
-	source   func(p []byte) (int, error) // reads from the stream
-	received *atomic.Bool
-	buffer   []byte // bytes read and not yet returned are buffer[start:]
-	start    int
-	last     int    // size of the last frame
-	long     []byte // fragments of the long message that is arriving
+	read          func(p []byte) (int, error) // reads from the stream
+	received      *atomic.Bool
+	buffer        []byte // buffer[start:] holds the bytes that were read and not yet returned
+	start         int
+	lastFrameSize int    // size of the last returned frame
+	fragments     []byte // received part of a fragmented message
 }
 
-// next returns the next frame, which is valid until the next call, or the header of a transport frame or a
-// fragment. It returns errEnd at the end of the stream, and errFrame for a header that is out of range.
+// next returns the next message, which is valid until the next call. For a control frame it returns the header instead,
+// and for a fragment other than the last fragmentFlag. The error is errEndOfStream at the end of the stream, and
+// errInvalidFrame if a length is out of range or the stream ends within a message.
 func (r *frameReader) next() (frame []byte, control uint32, err error) {
 	if err := r.fill(headerSize); err != nil {
 		return nil, 0, err
 	}
 	header := binary.BigEndian.Uint32(r.buffer[r.start:])
-	if header == headerHeartbeat || header == headerAnswer {
+	if header == headerHeartbeat || header == headerHeartbeatAck {
 		r.start += headerSize
-		r.last = 0
+		r.lastFrameSize = 0
 		return nil, header, nil
 	}
 	length := header
 	if header&fragmentFlag != 0 {
-		length &^= fragmentFlag | lastFlag
+		length &^= fragmentFlag | lastFragmentFlag
 	}
-	if length == 0 || length > encoder.MaxFrame || header&fragmentFlag != 0 && len(r.long)+int(length) > encoder.MaxFrame {
-		return nil, 0, trace.Wrap(errFrame, "length %d is out of range", length)
+	if length == 0 || length > encoder.MaxFrame || header&fragmentFlag != 0 && len(r.fragments)+int(length) > encoder.MaxFrame {
+		return nil, 0, trace.Wrap(errInvalidFrame, "frame length %d is out of range", length)
 	}
 	size := headerSize + int(length)
 	if err := r.fill(size); err != nil {
@@ -68,25 +70,25 @@
 	}
 	frame = r.buffer[r.start+headerSize : r.start+size]
 	r.start += size
-	r.last = size
+	r.lastFrameSize = size
 	if header&fragmentFlag == 0 {
 		return frame, 0, nil
 	}
-	r.long = append(r.long, frame...)
-	if header&lastFlag == 0 {
+	r.fragments = append(r.fragments, frame...)
+	if header&lastFragmentFlag == 0 {
 		return nil, fragmentFlag, nil
 	}
-	frame, r.long = r.long, nil
+	frame, r.fragments = r.fragments, nil
 	return frame, 0, nil
 }
 
-// fill reads until at least size bytes are buffered. The buffer grows with the bytes that arrive, not with the length
-// that the other end claims, and shrinks when it is empty after
-// a small frame.
+// fill reads until at least size bytes are buffered. The buffer grows with the received data, not with the length in the
+// header, so that a peer cannot cause large allocations by a false length. It shrinks when it is empty after a small
+// frame.
 func (r *frameReader) fill(size int) error {
 	for len(r.buffer)-r.start < size {
-		if r.start == len(r.buffer) && (r.buffer == nil || cap(r.buffer) > readBuffer && r.last < readBuffer) {
-			r.buffer = make([]byte, 0, readBuffer)
+		if r.start == len(r.buffer) && (r.buffer == nil || cap(r.buffer) > readBufferSize && r.lastFrameSize < readBufferSize) {
+			r.buffer = make([]byte, 0, readBufferSize)
 			r.start = 0
 		}
 		if r.start > 0 && len(r.buffer) == cap(r.buffer) || r.start == len(r.buffer) {
@@ -96,17 +98,17 @@
 		if len(r.buffer) == cap(r.buffer) {
 			r.buffer = append(make([]byte, 0, 2*cap(r.buffer)), r.buffer...)
 		}
-		n, err := r.source(r.buffer[len(r.buffer):cap(r.buffer)])
+		n, err := r.read(r.buffer[len(r.buffer):cap(r.buffer)])
 		r.buffer = r.buffer[:len(r.buffer)+n]
 		if n > 0 {
 			r.received.Store(true)
 			continue
 		}
 		if errors.Is(err, io.EOF) {
-			if r.start < len(r.buffer) || len(r.long) > 0 {
-				return trace.Wrap(errFrame, "the stream ends within a frame")
+			if r.start < len(r.buffer) || len(r.fragments) > 0 {
+				return trace.Wrap(errInvalidFrame, "the stream ended within a frame")
 			}
-			return errEnd
+			return errEndOfStream
 		}
 		if err != nil {
 			return err
@@ -115,17 +117,17 @@
 	return nil
 }
 
-// describe returns the text of err, or the one that the other end gave for closing the connection.
-func describe(err error) string {
-	var refused *quic.ApplicationError
-	if errors.As(err, &refused) && refused.ErrorMessage != "" {
-		return "closed by the other end: " + refused.ErrorMessage
+// errorText returns the text of err, or the reason that the peer gave if err says that the peer closed the connection.
+func errorText(err error) string {
+	var appErr *quic.ApplicationError
+	if errors.As(err, &appErr) && appErr.ErrorMessage != "" {
+		return "connection closed by the peer: " + appErr.ErrorMessage
 	}
 	return err.Error()
 }
 
-// phrase returns the text of err for the other end, bounded so that it fits into one packet.
-func phrase(err error) string {
+// closeReason returns the text of err to send to the peer, truncated so that it fits into one packet.
+func closeReason(err error) string {
 	text := trace.UserMessage(err)
-	return text[:min(len(text), maxPhrase)]
+	return text[:min(len(text), maxCloseReason)]
 }
--- a/messenger/reader_test.go
+++ b/messenger/reader_test.go
@@ -16,8 +16,8 @@
 // A fixed seed makes runs repeatable; -rapid.seed tries others.
 var _ = flag.Set("rapid.seed", "1")
 
-// Guards against frames that are lost, mixed up or cut when reads return any number of bytes, stop at deadlines, and
-// fragments of a long message lie between other frames.
+// TestFrameReader guards against frames that are lost, mixed up or truncated when reads return any number of bytes or
+// reach deadlines, and when fragments of a long message lie between other frames.
 func TestFrameReader(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var stream []byte
@@ -27,19 +27,19 @@
 		sizes := rapid.SliceOfN(rapid.OneOf(rapid.IntRange(1, 300), rapid.IntRange(1, 20_000)), 0, 20).Draw(t, "sizes")
 		for i, size := range sizes {
 			want = append(want, bytes.Repeat([]byte{byte(i)}, size))
-			stream = slices.Concat(stream, framed(want[i]), header(headerAnswer))
+			stream = slices.Concat(stream, withHeader(want[i]), header(headerHeartbeatAck))
 			if n := min(size, len(rest)-1); n > 0 {
 				stream = slices.Concat(stream, header(fragmentFlag|uint32(n)), rest[:n])
 				rest = rest[n:]
 			}
 		}
 		want = append(want, long)
-		stream = slices.Concat(stream, header(fragmentFlag|lastFlag|uint32(len(rest))), rest)
+		stream = slices.Concat(stream, header(fragmentFlag|lastFragmentFlag|uint32(len(rest))), rest)
 		cut := rapid.IntRange(0, len(stream)).Draw(t, "cut")
 		chunks := rapid.SliceOfN(rapid.IntRange(0, 5000), 1, 20).Draw(t, "chunks")
 		reads := 0
 		source := bytes.NewReader(stream[:cut])
-		r := frameReader{received: &atomic.Bool{}, source: func(p []byte) (int, error) {
+		r := frameReader{received: &atomic.Bool{}, read: func(p []byte) (int, error) {
 			reads++
 			if n := chunks[reads%len(chunks)]; n > 0 {
 				return source.Read(p[:min(n, len(p))])
@@ -56,15 +56,15 @@
 			frame, control, err := r.next()
 			switch {
 			case errors.Is(err, os.ErrDeadlineExceeded):
-			case errors.Is(err, errEnd) && (cut == len(stream)) != (got == len(want)):
+			case errors.Is(err, errEndOfStream) && (cut == len(stream)) != (got == len(want)):
 				t.Fatalf("end after %d of %d frames and %d of %d bytes", got, len(want), cut, len(stream))
-			case errors.Is(err, errEnd), errors.Is(err, errFrame) && cut < len(stream):
+			case errors.Is(err, errEndOfStream), errors.Is(err, errInvalidFrame) && cut < len(stream):
 				return
 			case err != nil:
 				t.Fatal(err)
 			case control == 0:
 				if got == len(want) || !bytes.Equal(frame, want[got]) {
-					t.Fatalf("frame %d is wrong", got)
+					t.Fatalf("frame %d has the wrong content", got)
 				}
 				got++
 			}
--- a/messenger/relay_test.go
+++ b/messenger/relay_test.go
@@ -7,20 +7,20 @@
 	"testing"
 )
 
-// relay forwards UDP packets to a server and can drop those of the flows that exist.
+// relay forwards UDP packets between clients and a server, and can drop the packets of existing flows.
 type relay struct {
-	t      testing.TB
-	server *net.UDPAddr
-	front  *net.UDPConn
+	t        testing.TB
+	server   *net.UDPAddr
+	listener *net.UDPConn
 
 	mu    sync.Mutex
 	flows map[string]*flow
 }
 
-// flow is the traffic from one client port.
+// flow is the traffic of one client port.
 type flow struct {
-	back               *net.UDPConn
-	toServer, toClient bool // packets in this direction are dropped
+	upstream                   *net.UDPConn
+	dropToServer, dropToClient bool // drop the packets of this direction
 }
 
 func newRelay(t testing.TB, server string) *relay {
@@ -33,29 +33,30 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	r := &relay{t: t, server: at, front: front, flows: map[string]*flow{}}
+	r := &relay{t: t, server: at, listener: front, flows: map[string]*flow{}}
 	t.Cleanup(r.close)
 	go r.forward()
 	return r
 }
 
-func (r *relay) address() string { return r.front.LocalAddr().String() }
+func (r *relay) address() string { return r.listener.LocalAddr().String() }
 
 func (r *relay) close() {
-	_ = r.front.Close()
+	_ = r.listener.Close()
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, f := range r.flows {
-		_ = f.back.Close()
+		_ = f.upstream.Close()
 	}
 }
 
-// drop sets the directions that are dropped for the flows that exist. Later flows are not affected.
+// drop sets the directions in which packets of the existing flows are dropped, and returns the number of these flows.
+// Later flows are not affected.
 func (r *relay) drop(toServer, toClient bool) (flows int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, f := range r.flows {
-		f.toServer, f.toClient = toServer, toClient
+		f.dropToServer, f.dropToClient = toServer, toClient
 	}
 	return len(r.flows)
 }
@@ -63,7 +64,7 @@
 func (r *relay) forward() {
 	buffer := make([]byte, 1<<16)
 	for {
-		n, client, err := r.front.ReadFromUDP(buffer)
+		n, client, err := r.listener.ReadFromUDP(buffer)
 		if err != nil {
 			return
 		}
@@ -76,14 +77,14 @@
 				r.t.Error(err)
 				return
 			}
-			f = &flow{back: back}
+			f = &flow{upstream: back}
 			r.flows[client.String()] = f
 			go r.reply(f, client)
 		}
-		dropped := f.toServer
+		dropped := f.dropToServer
 		r.mu.Unlock()
 		if !dropped {
-			_, _ = f.back.Write(buffer[:n])
+			_, _ = f.upstream.Write(buffer[:n])
 		}
 	}
 }
@@ -91,19 +92,19 @@
 func (r *relay) reply(f *flow, client *net.UDPAddr) {
 	buffer := make([]byte, 1<<16)
 	for {
-		n, err := f.back.Read(buffer)
+		n, err := f.upstream.Read(buffer)
 		if err != nil {
-			// A refused packet is an error of one read; the server may start later.
+			// ICMP "port unreachable" fails a single read; the server may start later.
 			if errors.Is(err, net.ErrClosed) {
 				return
 			}
 			continue
 		}
 		r.mu.Lock()
-		dropped := f.toClient
+		dropped := f.dropToClient
 		r.mu.Unlock()
 		if !dropped {
-			_, _ = r.front.WriteToUDP(buffer[:n], client)
+			_, _ = r.listener.WriteToUDP(buffer[:n], client)
 		}
 	}
 }
--- a/messenger/session.go
+++ b/messenger/session.go
@@ -17,26 +17,26 @@
 )
 
 const (
-	// maxQueueBytes bounds the encoded messages that wait for the writer. It holds two of the largest messages. The
-	// batch that is being written comes on top.
-	maxQueueBytes = 2*encoder.MaxFrame + 1<<10
-	// maxQueueCount bounds the number of messages that wait for the writer or are being written.
-	maxQueueCount = 1 << 16
-	// bulkSize is the encoded size above which results are sent in fragments of this size. On a busy machine, a round
-	// trip behind 1 MiB took 3 ms instead of 9, behind 4 MiB 3 ms instead of 24; the throughput of 1 MiB results fell
-	// from 210 to 110 MB/s.
-	bulkSize = 32 << 10
-	// keepBuffer is the largest write buffer that an idle session keeps.
-	keepBuffer = 4 << 10
-	// maxShared is the largest write buffer that sessions hand on to each other. Growing new ones took 18% of the bytes
-	// that a loaded entry and its sidecars allocated.
-	maxShared = 256 << 10
-	// flushLimit bounds the time in which Close flushes queued messages and waits for the other end.
-	flushLimit = 500 * time.Millisecond
+	// maxQueuedBytes bounds the encoded messages in a session's send queue. Two messages of the largest size fit. The
+	// batch that is being written does not count.
+	maxQueuedBytes = 2*encoder.MaxFrame + 1<<10
+	// maxQueuedMessages bounds the number of messages that are queued or being written.
+	maxQueuedMessages = 1 << 16
+	// fragmentSize is the encoded size above which results are split, and the size of their fragments. On a loaded
+	// machine, fragmentation reduced the time of a round trip behind a 1 MiB result from 9 to 3 ms, and behind a 4 MiB
+	// result from 24 to 3 ms. It reduced the throughput of 1 MiB results from 210 to 110 MB/s.
+	fragmentSize = 32 << 10
+	// maxIdleBufferSize is the capacity of the largest write buffer that an idle session retains.
+	maxIdleBufferSize = 4 << 10
+	// maxPooledBufferSize is the capacity of the largest write buffer that is returned to Node.bufferPool. Without the
+	// pool, growing write buffers took 18% of the bytes that a loaded entry and its sidecars allocated.
+	maxPooledBufferSize = 256 << 10
+	// closeTimeout bounds the time that a closing session spends on flushing queued messages and waiting for the peer.
+	closeTimeout = 500 * time.Millisecond
 )
 
 type (
-	// Session is an open, authenticated connection to another process. Its methods may be called from any goroutine.
+	// Session is an open, authenticated connection to another process. Its methods may be called concurrently.
 	Session struct {
 		node   *Node
 		conn   *quic.Conn
@@ -44,70 +44,70 @@
 		reader frameReader
 		peer   encoder.Hello
 		ack    encoder.HelloAck
-		down   chan struct{} // closed after OnDown
+		done   chan struct{} // closed after OnDown returned
 
-		received atomic.Bool // bytes arrived since the last tick
-		busy     atomic.Bool // the reader is in OnMessage
-		missed   int         // ticks in a row without bytes; used by tick only
-		patience int         // missed ticks after which this end sends a heartbeat
+		received       atomic.Bool // data was received since the last tick
+		handling       atomic.Bool // OnMessage is running
+		idleTicks      int         // consecutive ticks without received data; used by tick only
+		heartbeatTicks int         // value of idleTicks at which this end sends a heartbeat
 
-		mu      sync.Mutex
-		queue   []byte   // encoded frames that wait for the writer
-		bulk    [][]byte // rests of long messages that wait for the writer
-		waiting int      // bytes in bulk
-		count   int      // messages in queue and in the batch that is being written
-		spare   []byte   // the buffer that the writer used last
-		writing bool     // a flush goroutine is running
-		closed  bool     // Send refuses
-		over    bool     // Close was called
-		cause   error
-		beat    *time.Timer
+		mu             sync.Mutex
+		queue          []byte   // encoded frames to write
+		longMessages   [][]byte // unsent parts of the messages that are sent in fragments
+		longBytes      int      // total size of longMessages
+		queuedMessages int      // number of messages in queue and in the batch that is being written
+		spareBuffer    []byte   // buffer of the last written batch, for reuse
+		flushing       bool     // the flush goroutine is running
+		closed         bool     // Send returns false
+		closeCalled    bool     // Close was called
+		cause          error
+		heartbeatTimer *time.Timer
 	}
 )
 
 func newSession(n *Node, conn *quic.Conn, stream *quic.Stream) *Session {
-	s := &Session{node: n, conn: conn, stream: stream, down: make(chan struct{})}
-	// The dialing end sends heartbeats first, so that an idle session carries those of one end only. At least half of
-	// the silence is left for the answer. The accepting end sets a longer patience.
-	s.patience = max(1, min(2, n.ticks()/2))
-	s.reader.source = stream.Read
+	s := &Session{node: n, conn: conn, stream: stream, done: make(chan struct{})}
+	// The dialing end sends heartbeats earlier than the accepting end, which sets a larger heartbeatTicks, so that only
+	// one end of an idle session sends them. At least half of the idle timeout remains for the acknowledgement.
+	s.heartbeatTicks = max(1, min(2, n.maxIdleTicks()/2))
+	s.reader.read = stream.Read
 	s.reader.received = &s.received
 	return s
 }
 
-// Peer returns the Hello of the other end. For a dialed session only role, member and address are set; the address is
-// the one that was dialed.
+// Peer returns the Hello of the peer. For a dialed session only role, member and address are set; the address is the
+// dialed one.
 func (s *Session) Peer() encoder.Hello { return s.peer }
 
-// Ack returns the HelloAck that the accepting end sent.
+// Ack returns the HelloAck of the accepting end.
 func (s *Session) Ack() encoder.HelloAck { return s.ack }
 
 // Done returns a channel that is closed after OnDown returned.
-func (s *Session) Done() <-chan struct{} { return s.down }
+func (s *Session) Done() <-chan struct{} { return s.done }
 
-// Send queues m for the other end. It never blocks. It returns false when the session is closed, its queue is full or m
-// is longer than encoder.MaxFrame; the message is then lost for sure. True does not mean that the message arrives.
+// Send queues m for the peer without blocking. It returns false if the session is closed, its queue is full or m is
+// longer than encoder.MaxFrame; the message is then never sent. True does not guarantee delivery.
 //
-// Messages arrive in the order of Send, except that a Result or a ForwardAnswer longer than 32 KiB is sent in fragments
-// between other messages, and arrives after messages that were queued later.
+// Messages are delivered in the order of the calls, with one exception: a Result or ForwardAnswer longer than 32 KiB is
+// sent in fragments interleaved with other messages, and may be delivered after messages that were queued later.
 func (s *Session) Send(m encoder.Message) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.closed || s.count >= maxQueueCount || len(s.queue)+s.waiting >= maxQueueBytes {
+	if s.closed || s.queuedMessages >= maxQueuedMessages || len(s.queue)+s.longBytes >= maxQueuedBytes {
 		return false
 	}
 	start := len(s.queue)
-	if start > keepBuffer/2 && cap(s.queue) <= keepBuffer {
-		s.queue = s.node.takeBuffer(s.queue)
+	if start > maxIdleBufferSize/2 && cap(s.queue) <= maxIdleBufferSize {
+		s.queue = s.node.moveToPooledBuffer(s.queue)
 	}
 	grown := encoder.Append(append(s.queue, 0, 0, 0, 0), m)
 	size := len(grown) - start - headerSize
-	if size > encoder.MaxFrame || len(grown)+s.waiting > maxQueueBytes {
+	if size > encoder.MaxFrame || len(grown)+s.longBytes > maxQueuedBytes {
 		return false
 	}
-	if size > bulkSize && overtaken(m) {
-		s.bulk = append(s.bulk, slices.Clone(grown[start+headerSize:]))
-		s.waiting += size
+	if size > fragmentSize && isReorderable(m) {
+		s.longMessages = append(s.longMessages, slices.Clone(grown[start+headerSize:]))
+		s.longBytes += size
 		s.enqueue(grown[:start])
 		return true
 	}
@@ -116,9 +116,9 @@
 	return true
 }
 
-// overtaken reports whether later messages may overtake m. Receivers match results by key, and no later message depends
-// on their arrival.
-func overtaken(m encoder.Message) bool {
+// isReorderable reports whether m may be delivered after messages that were queued later. This is safe for results,
+// because receivers match them by key and no later message depends on them.
+func isReorderable(m encoder.Message) bool {
 	switch m.(type) {
 	case *encoder.Result, *encoder.ForwardAnswer:
 		return true
@@ -126,40 +126,40 @@
 	return false
 }
 
-// control queues a frame of the transport. The caller does not hold the mutex.
-func (s *Session) control(header uint32) {
+// enqueueControl queues a control frame. The caller must not hold the mutex.
+func (s *Session) enqueueControl(header uint32) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	// A full queue delays only the heartbeat, and the bytes in it serve as one.
-	if !s.closed && len(s.queue) < maxQueueBytes {
+	// If the queue is full, the frame is not needed: the queued data shows the peer that this end is alive.
+	if !s.closed && len(s.queue) < maxQueuedBytes {
 		s.enqueue(binary.BigEndian.AppendUint32(s.queue, header))
 	}
 }
 
 func (s *Session) enqueue(queue []byte) {
 	s.queue = queue
-	s.count++
-	if !s.writing {
-		s.writing = true
+	s.queuedMessages++
+	if !s.flushing {
+		s.flushing = true
 		go s.flush()
 	}
 }
 
-// flush writes what is queued until nothing is left. While one batch is written, the next one collects, so that a busy
-// session needs few packets and system calls. An idle session has no writer goroutine.
+// flush writes batches until the queue is empty. Messages that are queued during a write form the next batch, so that a
+// busy session needs few packets and system calls. An idle session has no flush goroutine.
 func (s *Session) flush() {
 	for {
 		s.mu.Lock()
-		batch, taken := s.queue, s.count
-		s.queue, s.spare = s.spare[:0], nil
-		batch = s.fragment(batch)
+		batch, batchMessages := s.queue, s.queuedMessages
+		s.queue, s.spareBuffer = s.spareBuffer[:0], nil
+		batch = s.appendFragment(batch)
 		if len(batch) == 0 {
-			s.writing, s.count = false, 0
+			s.flushing, s.queuedMessages = false, 0
 			if s.closed {
 				_ = s.stream.Close()
 			}
-			s.spare = s.node.keep(batch)
-			s.queue = s.node.keep(s.queue)
+			s.spareBuffer = s.node.recycleBuffer(batch)
+			s.queue = s.node.recycleBuffer(s.queue)
 			s.mu.Unlock()
 			return
 		}
@@ -167,71 +167,73 @@
 		_, err := s.stream.Write(batch)
 		s.mu.Lock()
 		if err != nil {
-			s.writing, s.closed, s.queue, s.bulk = false, true, nil, nil
-			s.setCause(trace.ConnectionProblem(err, "%v", describe(err)))
+			s.flushing, s.closed, s.queue, s.longMessages = false, true, nil, nil
+			s.setCause(trace.ConnectionProblem(err, "%v", errorText(err)))
 			s.mu.Unlock()
 			return
 		}
-		s.spare = batch[:0]
-		s.count -= taken
+		s.spareBuffer = batch[:0]
+		s.queuedMessages -= batchMessages
 		s.mu.Unlock()
 	}
 }
 
-// fragment appends the next fragment of a long message to a batch. The caller holds the mutex.
-func (s *Session) fragment(batch []byte) []byte {
-	if len(s.bulk) == 0 {
+// appendFragment appends the next fragment of the first long message to batch, if there is one. The caller must hold
+// the mutex.
+func (s *Session) appendFragment(batch []byte) []byte {
+	if len(s.longMessages) == 0 {
 		return batch
 	}
-	n := min(len(s.bulk[0]), bulkSize)
+	n := min(len(s.longMessages[0]), fragmentSize)
 	header := fragmentFlag | uint32(n)
-	if n == len(s.bulk[0]) {
-		header |= lastFlag
+	if n == len(s.longMessages[0]) {
+		header |= lastFragmentFlag
 	}
-	batch = append(binary.BigEndian.AppendUint32(batch, header), s.bulk[0][:n]...)
-	s.waiting -= n
-	if s.bulk[0] = s.bulk[0][n:]; len(s.bulk[0]) == 0 {
-		s.bulk = s.bulk[1:]
+	batch = append(binary.BigEndian.AppendUint32(batch, header), s.longMessages[0][:n]...)
+	s.longBytes -= n
+	if s.longMessages[0] = s.longMessages[0][n:]; len(s.longMessages[0]) == 0 {
+		s.longMessages = s.longMessages[1:]
 	}
 	return batch
 }
 
-// takeBuffer moves what is queued into a large buffer that a session gave back, if there is one.
-func (n *Node) takeBuffer(queue []byte) []byte {
-	if b, ok := n.buffers.Get().(*[]byte); ok {
+// moveToPooledBuffer moves the contents of queue into a larger buffer from the pool, if the pool has one.
+func (n *Node) moveToPooledBuffer(queue []byte) []byte {
+	if b, ok := n.bufferPool.Get().(*[]byte); ok {
 		return append(*b, queue...)
 	}
 	return queue
 }
 
-// keep returns the buffer that an idle session keeps. Larger ones go to the other sessions of the node.
-func (n *Node) keep(b []byte) []byte {
+// recycleBuffer returns b, emptied, if it is small enough for an idle session to retain. Otherwise it returns nil and
+// puts b into the pool, or drops it when it is too large for that.
+func (n *Node) recycleBuffer(b []byte) []byte {
 	b = b[:0]
-	if cap(b) <= keepBuffer {
+	if cap(b) <= maxIdleBufferSize {
 		return b
 	}
-	if cap(b) <= maxShared {
-		shared := b // a new variable, so that b itself is not allocated in each call
-		n.buffers.Put(&shared)
+	if cap(b) <= maxPooledBufferSize {
+		shared := b // copied so that b does not escape to the heap in each call
+		n.bufferPool.Put(&shared)
 	}
 	return nil
 }
 
-// Close ends the session and returns at once. Send refuses from then on. Queued messages are flushed, and messages of
-// the other end are delivered, until the other end has closed its side as well, at most for half a second. Connect dials
-// again. Close also ends the grace of a silent session.
+// Close starts to close the session and returns without waiting. Later calls of Send return false. Queued messages are
+// flushed and received messages are delivered until the peer has closed its side too, for at most 500 ms. A Connect
+// whose session this is dials again. Close also ends the grace period of a session that timed out.
 func (s *Session) Close() {
-	s.finish(trace.ConnectionProblem(nil, "closed by this end"))
+	s.closeWrite(trace.ConnectionProblem(nil, "session closed locally"))
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.over = true
-	if errors.Is(s.cause, errSilent) {
+	s.closeCalled = true
+	if errors.Is(s.cause, errIdleTimeout) {
 		_ = s.stream.SetReadDeadline(time.Now())
 	}
 }
 
-// finish closes the write side after the queue, and the connection after flushLimit.
-func (s *Session) finish(cause error) {
+// closeWrite closes the write side of the stream once the queue is flushed, and limits further reads to closeTimeout.
+func (s *Session) closeWrite(cause error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.closed {
@@ -239,27 +241,27 @@
 	}
 	s.closed = true
 	s.setCause(cause)
-	if !s.writing {
+	if !s.flushing {
 		_ = s.stream.Close()
 	}
-	_ = s.stream.SetReadDeadline(time.Now().Add(flushLimit))
+	_ = s.stream.SetReadDeadline(time.Now().Add(closeTimeout))
 }
 
-// setCause keeps the first cause. The caller holds the mutex.
+// setCause records the cause of the session's end unless one is already set. The caller must hold the mutex.
 func (s *Session) setCause(cause error) {
 	if s.cause == nil {
 		s.cause = cause
 	}
 }
 
-// first reads the first message of the handshake.
-func (s *Session) first(limit timer.Millis) (encoder.Message, error) {
+// readHandshake reads the first message that the peer sends.
+func (s *Session) readHandshake(limit timer.Millis) (encoder.Message, error) {
 	if err := s.stream.SetReadDeadline(time.Now().Add(limit.Duration())); err != nil {
 		return nil, trace.ConnectionProblem(err, "handshake: %v", err)
 	}
 	frame, _, err := s.reader.next()
 	if err != nil {
-		return nil, trace.ConnectionProblem(err, "handshake: %v", describe(err))
+		return nil, trace.ConnectionProblem(err, "handshake: %v", errorText(err))
 	}
 	m, err := encoder.Decode(frame)
 	if err != nil {
@@ -268,14 +270,14 @@
 	return m, s.stream.SetReadDeadline(time.Time{})
 }
 
-// run reads until the session ends, and reports it up and down.
+// run reads until the session ends, and calls OnUp and OnDown.
 func (s *Session) run() {
 	n := s.node
 	if n.OnUp != nil {
 		n.OnUp(s)
 	}
 	s.mu.Lock()
-	s.beat = time.AfterFunc(n.period(), s.tick)
+	s.heartbeatTimer = time.AfterFunc(n.jitteredHeartbeatInterval(), s.tick)
 	s.mu.Unlock()
 
 	code, cause := s.read()
@@ -283,46 +285,46 @@
 	s.closed = true
 	s.setCause(cause)
 	cause = s.cause
-	s.beat.Stop()
+	s.heartbeatTimer.Stop()
 	s.mu.Unlock()
 
-	late := code == codeSilent && n.Grace > 0
-	if !late {
-		_ = s.conn.CloseWithError(code, phrase(cause))
+	inGracePeriod := code == codeIdleTimeout && n.Grace > 0
+	if !inGracePeriod {
+		_ = s.conn.CloseWithError(code, closeReason(cause))
 	}
 	if n.OnDown != nil {
 		n.OnDown(s, cause)
 	}
-	close(s.down)
-	if late {
+	close(s.done)
+	if inGracePeriod {
 		s.mu.Lock()
-		if !s.over {
+		if !s.closeCalled {
 			_ = s.stream.SetReadDeadline(time.Now().Add(n.Grace.Duration()))
 		}
 		s.mu.Unlock()
 		_, _ = s.read()
-		_ = s.conn.CloseWithError(codeSilent, phrase(cause))
+		_ = s.conn.CloseWithError(codeIdleTimeout, closeReason(cause))
 	}
 }
 
-// read delivers messages until the stream ends. At the end of the stream it closes this end's side, after what is
-// queued, and waits until the other end closes the connection.
+// read delivers messages until the stream ends. When the peer has closed its side, read closes this side after flushing
+// the queue, and waits until the peer closes the connection.
 func (s *Session) read() (quic.ApplicationErrorCode, error) {
 	for {
 		frame, control, err := s.reader.next()
 		switch {
 		case err == nil:
-		case errors.Is(err, errFrame):
+		case errors.Is(err, errInvalidFrame):
 			return codeInvalid, err
-		case errors.Is(err, errEnd):
-			return s.ended()
+		case errors.Is(err, errEndOfStream):
+			return s.handleEndOfStream()
 		case errors.Is(err, os.ErrDeadlineExceeded):
-			return s.expired()
+			return s.handleReadDeadline()
 		default:
-			return codeClosed, trace.ConnectionProblem(err, "%v", describe(err))
+			return codeClosed, trace.ConnectionProblem(err, "%v", errorText(err))
 		}
 		if control == headerHeartbeat {
-			s.control(headerAnswer)
+			s.enqueueControl(headerHeartbeatAck)
 		}
 		if control != 0 {
 			continue
@@ -330,30 +332,30 @@
 		m, err := encoder.Decode(frame)
 		if err != nil {
 			if trace.IsNotImplemented(err) {
-				continue // a message of a newer version
+				continue // message type of a newer version
 			}
 			return codeInvalid, err
 		}
 		if s.node.OnMessage != nil {
-			s.busy.Store(true)
+			s.handling.Store(true)
 			s.node.OnMessage(s, m)
-			s.busy.Store(false)
+			s.handling.Store(false)
 		}
 	}
 }
 
-// ended handles the end of the other side's stream. Whoever sees the other side's end after closing its own closes the
-// connection; the other one waits for that, so that its last messages arrive.
-func (s *Session) ended() (quic.ApplicationErrorCode, error) {
+// handleEndOfStream handles the end of the peer's side of the stream. The end that closed its own side first then closes
+// the connection. The other end waits for that, so that its last messages are delivered.
+func (s *Session) handleEndOfStream() (quic.ApplicationErrorCode, error) {
 	s.mu.Lock()
-	first := s.closed
+	closedLocally := s.closed
 	s.mu.Unlock()
-	if first {
+	if closedLocally {
 		return codeClosed, nil
 	}
-	cause := trace.ConnectionProblem(nil, "closed by the other end")
-	s.finish(cause)
-	t := time.NewTimer(flushLimit)
+	cause := trace.ConnectionProblem(nil, "session closed by the peer")
+	s.closeWrite(cause)
+	t := time.NewTimer(closeTimeout)
 	defer t.Stop()
 	select {
 	case <-s.conn.Context().Done():
@@ -362,36 +364,36 @@
 	return codeClosed, cause
 }
 
-// expired handles the read deadline, which tick and finish set.
-func (s *Session) expired() (quic.ApplicationErrorCode, error) {
+// handleReadDeadline returns the close code and the cause after a read deadline, which tick or closeWrite set.
+func (s *Session) handleReadDeadline() (quic.ApplicationErrorCode, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if errors.Is(s.cause, errSilent) {
-		return codeSilent, s.cause
+	if errors.Is(s.cause, errIdleTimeout) {
+		return codeIdleTimeout, s.cause
 	}
 	return codeClosed, s.cause
 }
 
-// tick runs once in a heartbeat period. It counts periods instead of reading the clock, so that a pause of this process
-// does not count as silence of the other one.
+// tick runs once per heartbeat interval. It counts intervals instead of reading the clock, so that a pause of this
+// process is not taken for an idle peer.
 func (s *Session) tick() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.closed {
 		return
 	}
-	s.beat.Reset(s.node.period())
-	if s.received.Swap(false) || s.busy.Load() {
-		s.missed = 0
+	s.heartbeatTimer.Reset(s.node.jitteredHeartbeatInterval())
+	if s.received.Swap(false) || s.handling.Load() {
+		s.idleTicks = 0
 		return
 	}
-	s.missed++
+	s.idleTicks++
 	switch {
-	case s.missed > s.node.ticks():
+	case s.idleTicks > s.node.maxIdleTicks():
 		s.closed = true
-		s.setCause(errSilent)
+		s.setCause(errIdleTimeout)
 		_ = s.stream.SetReadDeadline(time.Now())
-	case s.missed == s.patience && len(s.queue) < maxQueueBytes:
+	case s.idleTicks == s.heartbeatTicks && len(s.queue) < maxQueuedBytes:
 		s.enqueue(binary.BigEndian.AppendUint32(s.queue, headerHeartbeat))
 	}
 }
