--- a/messenger/bench_test.go
+++ b/messenger/bench_test.go
@@ -127,15 +127,15 @@
 	}
 	time.Sleep(3 * time.Second)
 	after := measure()
-	used := cpuTime()
+	cpuBefore := cpuTime()
 	began := time.Now()
 	for b.Loop() {
 		time.Sleep(5 * time.Second)
 	}
-	took := time.Since(began)
+	elapsed := time.Since(began)
 	b.ReportMetric(float64(lost.Load()), "lost-sessions")
 	b.ReportMetric(float64(after.HeapAlloc-before.HeapAlloc)/sessions, "heap-B/session")
 	b.ReportMetric(float64(after.StackInuse-before.StackInuse)/sessions, "stack-B/session")
 	b.ReportMetric(float64(after.Sys-before.Sys)/sessions, "sys-B/session")
-	b.ReportMetric(float64(cpuTime()-used)/took.Seconds()/sessions/1000, "cpu-us/s/session")
+	b.ReportMetric(float64(cpuTime()-cpuBefore)/elapsed.Seconds()/sessions/1000, "cpu-us/s/session")
 }
--- a/messenger/connect.go
+++ b/messenger/connect.go
@@ -49,7 +49,7 @@
 	if err != nil {
 		return trace.BadParameter("address %q: %v", address, err)
 	}
-	tlsConf, err := n.tlsConfig(udpAddress)
+	tlsConfig, err := n.tlsConfig(udpAddress)
 	if err != nil {
 		return err
 	}
@@ -68,7 +68,7 @@
 	}
 	handshakeCtx, cancel := context.WithTimeout(ctx, n.handshakeTimeout().Duration())
 	defer cancel()
-	conn, err := transport.Dial(handshakeCtx, udpAddress, tlsConf, n.quicConfig(-1))
+	conn, err := transport.Dial(handshakeCtx, udpAddress, tlsConfig, n.quicConfig(-1))
 	if err != nil {
 		release()
 		return trace.ConnectionProblem(err, "cannot connect to %s: %v", address, err)
@@ -121,8 +121,8 @@
 
 // maxIdleTicks returns the number of heartbeat intervals in the idle timeout, rounded up.
 func (n *Node) maxIdleTicks() int {
-	period := n.heartbeatInterval()
-	return int((n.idleTimeout() + period - 1) / period)
+	interval := n.heartbeatInterval()
+	return int((n.idleTimeout() + interval - 1) / interval)
 }
 
 // jitteredHeartbeatInterval returns the heartbeat interval with random jitter of up to 1/16 in both directions, so that
--- a/messenger/fault_test.go
+++ b/messenger/fault_test.go
@@ -85,8 +85,8 @@
 	stop()
 	receive(t, b.disconnected, "end")
 	a.Wait()
-	again := newTestNode("a2")
-	if _, err := again.Listen(t.Context(), address); err != nil {
+	restarted := newTestNode("a2")
+	if _, err := restarted.Listen(t.Context(), address); err != nil {
 		t.Fatal(err)
 	}
 	if got := receive(t, b.connected, "session").session.Ack().Member.ID; got != "a2" {
@@ -282,19 +282,19 @@
 func TestTicks(t *testing.T) {
 	a, b := newTestNode("a"), newTestNode("b")
 	a.Heartbeat, a.Silence, b.Heartbeat = timer.Minute, 3*timer.Minute, timer.Minute
-	entered, leave := make(chan bool), make(chan bool)
-	a.OnMessage = func(*Session, encoder.Message) { entered <- true; <-leave }
+	handlerEntered, handlerRelease := make(chan bool), make(chan bool)
+	a.OnMessage = func(*Session, encoder.Message) { handlerEntered <- true; <-handlerRelease }
 	b.Connect(t.Context(), a.listen(t.Context(), t))
 	s := receive(t, a.connected, "session").session
 	receive(t, b.connected, "session").session.Send(&encoder.Leaving{})
-	receive(t, entered, "message")
+	receive(t, handlerEntered, "message")
 	for range 10 {
 		s.tick()
 	}
 	if !s.Send(&encoder.Leaving{}) {
 		t.Error("the session with a slow consumer was closed")
 	}
-	leave <- true
+	handlerRelease <- true
 	receive(t, b.messages, "message")
 	for s.Send(&encoder.Leaving{}) {
 		s.received.Store(false)
--- a/messenger/node.go
+++ b/messenger/node.go
@@ -76,7 +76,7 @@
 	if err != nil {
 		return "", trace.BadParameter("listen address %q: %v", address, err)
 	}
-	tlsConf, err := n.tlsConfig(udpAddress)
+	tlsConfig, err := n.tlsConfig(udpAddress)
 	if err != nil {
 		return "", err
 	}
@@ -89,7 +89,7 @@
 		ConnContext:         n.admitConn,
 		VerifySourceAddress: func(net.Addr) bool { return n.pendingHandshakes.Load() > maxUnverifiedHandshakes },
 	}
-	listener, err := transport.Listen(tlsConf, n.quicConfig(1))
+	listener, err := transport.Listen(tlsConfig, n.quicConfig(1))
 	if err != nil {
 		return "", trace.NewAggregate(err, transport.Close(), socket.Close())
 	}
--- a/messenger/node_test.go
+++ b/messenger/node_test.go
@@ -68,23 +68,23 @@
 	ctx, cancel := context.WithCancel(t.Context())
 	a, b := newTestNode("a"), newTestNode("b")
 	b.Connect(ctx, a.listen(ctx, t))
-	sa, sb := receive(t, a.connected, "session").session, receive(t, b.connected, "session").session
-	if got := sa.Peer().Member.ID; got != "b" {
+	serverSession, clientSession := receive(t, a.connected, "session").session, receive(t, b.connected, "session").session
+	if got := serverSession.Peer().Member.ID; got != "b" {
 		t.Errorf("got peer %q, want b", got)
 	}
-	if got := sb.Ack().Member.ID; got != "a" {
+	if got := clientSession.Ack().Member.ID; got != "a" {
 		t.Errorf("got acknowledgement of %q, want a", got)
 	}
 	const count = 20_000
 	for i := range count {
-		if !sb.Send(&encoder.Demand{Queued: uint32(i)}) {
+		if !clientSession.Send(&encoder.Demand{Queued: uint32(i)}) {
 			t.Fatalf("message %d was refused", i)
 		}
 	}
-	if !sa.Send(&encoder.Result{Body: make([]byte, encoder.MaxFrame-100)}) {
+	if !serverSession.Send(&encoder.Result{Body: make([]byte, encoder.MaxFrame-100)}) {
 		t.Error("a large message was refused")
 	}
-	sb.Close()
+	clientSession.Close()
 	for i := range count {
 		if got := receive(t, a.messages, "message").message.(*encoder.Demand).Queued; got != uint32(i) {
 			t.Fatalf("got message %d, want %d", got, i)
@@ -95,7 +95,7 @@
 	}
 	receive(t, a.disconnected, "end")
 	receive(t, b.disconnected, "end")
-	if sb.Send(&encoder.Leaving{}) {
+	if clientSession.Send(&encoder.Leaving{}) {
 		t.Error("a closed session accepted a message")
 	}
 	receive(t, b.connected, "second session")
--- a/messenger/reader_test.go
+++ b/messenger/reader_test.go
@@ -22,8 +22,8 @@
 	rapid.Check(t, func(t *rapid.T) {
 		var stream []byte
 		var want [][]byte
-		long := bytes.Repeat([]byte{7}, rapid.IntRange(1, 200_000).Draw(t, "long"))
-		rest := long
+		longMessage := bytes.Repeat([]byte{7}, rapid.IntRange(1, 200_000).Draw(t, "long"))
+		rest := longMessage
 		sizes := rapid.SliceOfN(rapid.OneOf(rapid.IntRange(1, 300), rapid.IntRange(1, 20_000)), 0, 20).Draw(t, "sizes")
 		for i, size := range sizes {
 			want = append(want, bytes.Repeat([]byte{byte(i)}, size))
@@ -33,15 +33,15 @@
 				rest = rest[n:]
 			}
 		}
-		want = append(want, long)
+		want = append(want, longMessage)
 		stream = slices.Concat(stream, header(fragmentFlag|lastFragmentFlag|uint32(len(rest))), rest)
-		cut := rapid.IntRange(0, len(stream)).Draw(t, "cut")
-		chunks := rapid.SliceOfN(rapid.IntRange(0, 5000), 1, 20).Draw(t, "chunks")
+		truncateAt := rapid.IntRange(0, len(stream)).Draw(t, "cut")
+		readSizes := rapid.SliceOfN(rapid.IntRange(0, 5000), 1, 20).Draw(t, "chunks")
 		reads := 0
-		source := bytes.NewReader(stream[:cut])
+		source := bytes.NewReader(stream[:truncateAt])
 		r := frameReader{received: &atomic.Bool{}, read: func(p []byte) (int, error) {
 			reads++
-			if n := chunks[reads%len(chunks)]; n > 0 {
+			if n := readSizes[reads%len(readSizes)]; n > 0 {
 				return source.Read(p[:min(n, len(p))])
 			}
 			if source.Len() == 0 {
@@ -56,9 +56,9 @@
 			frame, control, err := r.next()
 			switch {
 			case errors.Is(err, os.ErrDeadlineExceeded):
-			case errors.Is(err, errEndOfStream) && (cut == len(stream)) != (got == len(want)):
-				t.Fatalf("end after %d of %d frames and %d of %d bytes", got, len(want), cut, len(stream))
-			case errors.Is(err, errEndOfStream), errors.Is(err, errInvalidFrame) && cut < len(stream):
+			case errors.Is(err, errEndOfStream) && (truncateAt == len(stream)) != (got == len(want)):
+				t.Fatalf("end after %d of %d frames and %d of %d bytes", got, len(want), truncateAt, len(stream))
+			case errors.Is(err, errEndOfStream), errors.Is(err, errInvalidFrame) && truncateAt < len(stream):
 				return
 			case err != nil:
 				t.Fatal(err)
--- a/messenger/relay_test.go
+++ b/messenger/relay_test.go
@@ -25,15 +25,15 @@
 
 func newRelay(t testing.TB, server string) *relay {
 	t.Helper()
-	at, err := net.ResolveUDPAddr("udp", server)
+	serverAddress, err := net.ResolveUDPAddr("udp", server)
 	if err != nil {
 		t.Fatal(err)
 	}
-	front, err := net.ListenUDP("udp", &net.UDPAddr{IP: at.IP})
+	listener, err := net.ListenUDP("udp", &net.UDPAddr{IP: serverAddress.IP})
 	if err != nil {
 		t.Fatal(err)
 	}
-	r := &relay{t: t, server: at, listener: front, flows: map[string]*flow{}}
+	r := &relay{t: t, server: serverAddress, listener: listener, flows: map[string]*flow{}}
 	t.Cleanup(r.close)
 	go r.forward()
 	return r
@@ -71,13 +71,13 @@
 		r.mu.Lock()
 		f := r.flows[client.String()]
 		if f == nil {
-			back, err := net.DialUDP("udp", nil, r.server)
+			upstream, err := net.DialUDP("udp", nil, r.server)
 			if err != nil {
 				r.mu.Unlock()
 				r.t.Error(err)
 				return
 			}
-			f = &flow{upstream: back}
+			f = &flow{upstream: upstream}
 			r.flows[client.String()] = f
 			go r.reply(f, client)
 		}
--- a/messenger/session.go
+++ b/messenger/session.go
@@ -100,19 +100,19 @@
 	if start > maxIdleBufferSize/2 && cap(s.queue) <= maxIdleBufferSize {
 		s.queue = s.node.moveToPooledBuffer(s.queue)
 	}
-	grown := encoder.Append(append(s.queue, 0, 0, 0, 0), m)
-	size := len(grown) - start - headerSize
-	if size > encoder.MaxFrame || len(grown)+s.longBytes > maxQueuedBytes {
+	encoded := encoder.Append(append(s.queue, 0, 0, 0, 0), m)
+	size := len(encoded) - start - headerSize
+	if size > encoder.MaxFrame || len(encoded)+s.longBytes > maxQueuedBytes {
 		return false
 	}
 	if size > fragmentSize && isReorderable(m) {
-		s.longMessages = append(s.longMessages, slices.Clone(grown[start+headerSize:]))
+		s.longMessages = append(s.longMessages, slices.Clone(encoded[start+headerSize:]))
 		s.longBytes += size
-		s.enqueue(grown[:start])
+		s.enqueue(encoded[:start])
 		return true
 	}
-	binary.BigEndian.PutUint32(grown[start:], uint32(size))
-	s.enqueue(grown)
+	binary.BigEndian.PutUint32(encoded[start:], uint32(size))
+	s.enqueue(encoded)
 	return true
 }
 
