--- a/encoder/messages.go
+++ b/encoder/messages.go
@@ -1,5 +1,5 @@
-// Package encoder defines the messages between crocuslb processes and their binary encoding, which follows the protobuf
-// wire format.
+// Package encoder defines the messages between crocuslb processes and their binary encoding: a message type number
+// followed by fields in the protobuf wire format.
 package encoder
 
 import "github.com/crocuslb/crocuslb/timer"
@@ -15,10 +15,11 @@
 	// refused the connection. The sidecar removes the task key from its started-task table, so the task may be placed
 	// again.
 	StatusNotStarted
-	// StatusRunning means that the task was started and has not ended. It occurs in census replies only.
+	// StatusRunning means that the task was started and has not ended, or, in a Handover, that it may have been
+	// started. It occurs in CensusReply and Handover only.
 	StatusRunning
 	// StatusKept means that the task ended and the sidecar still stores its result, which it returns when the start is
-	// sent again. It occurs in census replies only.
+	// sent again. It occurs in CensusReply only.
 	StatusKept
 )
 
