--- a/messenger/node_test.go
+++ b/messenger/node_test.go
@@ -9,8 +9,8 @@
 	"github.com/crocuslb/crocuslb/encoder"
 )
 
-// testLimit only ends a test that hangs; no verdict depends on it.
-const testLimit = time.Minute
+// testTimeout ends a test that hangs. No assertion depends on it.
+const testTimeout = time.Minute
 
 type event struct {
 	session *Session
@@ -18,11 +18,11 @@
 	cause   error
 }
 
-// testNode collects what a Node reports.
+// testNode records the callbacks of a Node.
 type testNode struct {
 	*Node
-	up, down, messages chan event
-	failed             chan error
+	connected, disconnected, messages chan event
+	failures                          chan error
 }
 
 func newTestNode(id string) testNode {
@@ -31,12 +31,12 @@
 	tn.Accept = func(*encoder.Hello) (encoder.HelloAck, error) {
 		return encoder.HelloAck{Member: encoder.Member{ID: id}}, nil
 	}
-	tn.OnUp = func(s *Session) { tn.up <- event{session: s} }
-	tn.OnDown = func(s *Session, cause error) { tn.down <- event{session: s, cause: cause} }
+	tn.OnUp = func(s *Session) { tn.connected <- event{session: s} }
+	tn.OnDown = func(s *Session, cause error) { tn.disconnected <- event{session: s, cause: cause} }
 	tn.OnMessage = func(s *Session, m encoder.Message) { tn.messages <- event{session: s, message: m} }
 	tn.OnFail = func(_ string, err error) {
 		select {
-		case tn.failed <- err:
+		case tn.failures <- err:
 		default:
 		}
 	}
@@ -57,48 +57,48 @@
 	select {
 	case v := <-c:
 		return v
-	case <-time.After(testLimit):
-		t.Fatalf("got no %s within %v", what, testLimit)
+	case <-time.After(testTimeout):
+		t.Fatalf("got no %s within %v", what, testTimeout)
 		panic("unreachable")
 	}
 }
 
-// Guards against a broken handshake, lost or reordered messages, and a close that drops what is queued.
+// TestSession guards against a broken handshake, lost or reordered messages, and a Close that drops queued messages.
 func TestSession(t *testing.T) {
 	ctx, cancel := context.WithCancel(t.Context())
 	a, b := newTestNode("a"), newTestNode("b")
 	b.Connect(ctx, a.listen(ctx, t))
-	sa, sb := receive(t, a.up, "session").session, receive(t, b.up, "session").session
-	if got := sa.Peer().Member.ID; got != "b" {
+	serverSession, clientSession := receive(t, a.connected, "session").session, receive(t, b.connected, "session").session
+	if got := serverSession.Peer().Member.ID; got != "b" {
 		t.Errorf("got peer %q, want b", got)
 	}
-	if got := sb.Ack().Member.ID; got != "a" {
+	if got := clientSession.Ack().Member.ID; got != "a" {
 		t.Errorf("got acknowledgement of %q, want a", got)
 	}
 	const count = 20_000
 	for i := range count {
-		if !sb.Send(&encoder.Demand{Queued: uint32(i)}) {
+		if !clientSession.Send(&encoder.Demand{Queued: uint32(i)}) {
 			t.Fatalf("message %d was refused", i)
 		}
 	}
-	if !sa.Send(&encoder.Result{Body: make([]byte, encoder.MaxFrame-100)}) {
+	if !serverSession.Send(&encoder.Result{Body: make([]byte, encoder.MaxFrame-100)}) {
 		t.Error("a large message was refused")
 	}
-	sb.Close()
+	clientSession.Close()
 	for i := range count {
 		if got := receive(t, a.messages, "message").message.(*encoder.Demand).Queued; got != uint32(i) {
 			t.Fatalf("got message %d, want %d", got, i)
 		}
 	}
 	if got := receive(t, b.messages, "large message").message.(*encoder.Result); len(got.Body) != encoder.MaxFrame-100 {
-		t.Errorf("got %d bytes", len(got.Body))
+		t.Errorf("got %d bytes, want %d", len(got.Body), encoder.MaxFrame-100)
 	}
-	receive(t, a.down, "end")
-	receive(t, b.down, "end")
-	if sb.Send(&encoder.Leaving{}) {
-		t.Error("a closed session took a message")
+	receive(t, a.disconnected, "end")
+	receive(t, b.disconnected, "end")
+	if clientSession.Send(&encoder.Leaving{}) {
+		t.Error("a closed session accepted a message")
 	}
-	receive(t, b.up, "second session")
+	receive(t, b.connected, "second session")
 	cancel()
 	a.Wait()
 	b.Wait()
