--- a/auditor/auditor.go
+++ b/auditor/auditor.go
@@ -55,7 +55,7 @@
 		granted       bool
 	}
 
-	// logLine holds the fields of a log logLine that the audit uses.
+	// logLine holds the fields of a log line that the audit uses.
 	logLine struct {
 		Message    string `json:"message"`
 		Job        string `json:"job"`
--- a/comparer/comparer_test.go
+++ b/comparer/comparer_test.go
@@ -19,10 +19,10 @@
 // TestCompare guards against regressions that are not reported.
 func TestCompare(t *testing.T) {
 	cases := []struct {
-		name    string
-		printed string
-		best    string
-		want    []string
+		name        string
+		scoreOutput string
+		best        string
+		want        []string
 	}{
 		{"as good", scoreOutput, "some-site quiet-1 0.963\nsome-site trouble-1 0.700", nil},
 		{"within the noise", scoreOutput, "some-site trouble-1 0.715", nil},
@@ -32,7 +32,7 @@
 		{"unknown site", scoreOutput, "other quiet-1 0.9", []string{"some-site: there are no best scores to compare with"}},
 	}
 	for _, c := range cases {
-		s, err := ReadScores(strings.NewReader(c.printed))
+		s, err := ReadScores(strings.NewReader(c.scoreOutput))
 		if err != nil {
 			t.Fatalf("%s: %v", c.name, err)
 		}
--- a/loader/report.go
+++ b/loader/report.go
@@ -45,18 +45,18 @@
 func (s Set) Text() string {
 	var b bytes.Buffer
 	w := tabwriter.NewWriter(&b, 0, 4, 2, ' ', 0)
-	for _, st := range s.Settings {
-		value := "default " + st.Default
+	for _, setting := range s.Settings {
+		value := "default " + setting.Default
 		switch {
-		case st.Required && st.Default == "":
+		case setting.Required && setting.Default == "":
 			value = "required"
-		case st.Default == "":
+		case setting.Default == "":
 			value = "no default"
 		}
-		if st.Min != 0 || st.Max != 0 {
-			value += ", " + formatNumber(st.Min) + ".." + formatNumber(st.Max)
+		if setting.Min != 0 || setting.Max != 0 {
+			value += ", " + formatNumber(setting.Min) + ".." + formatNumber(setting.Max)
 		}
-		_, _ = fmt.Fprintf(w, "  -%s\t%s\t%s\t%s\t%s\n", st.Name, st.Unit, value, st.Variable(), st.Meaning)
+		_, _ = fmt.Fprintf(w, "  -%s\t%s\t%s\t%s\t%s\n", setting.Name, setting.Unit, value, setting.Variable(), setting.Meaning)
 	}
 	_ = w.Flush()
 	return b.String()
@@ -65,10 +65,10 @@
 // JSON returns the settings as a JSON array.
 func (s Set) JSON() ([]byte, error) {
 	rows := make([]settingJSON, 0, len(s.Settings))
-	for _, st := range s.Settings {
+	for _, setting := range s.Settings {
 		rows = append(rows, settingJSON{
-			Name: st.Name, Variable: st.Variable(), Unit: st.Unit.String(), Default: st.Default, Meaning: st.Meaning,
-			Min: st.Min, Max: st.Max, Required: st.Required, Secret: st.Secret,
+			Name: setting.Name, Variable: setting.Variable(), Unit: setting.Unit.String(), Default: setting.Default, Meaning: setting.Meaning,
+			Min: setting.Min, Max: setting.Max, Required: setting.Required, Secret: setting.Secret,
 		})
 	}
 	return json.MarshalIndent(rows, "", "  ")
@@ -106,12 +106,12 @@
 
 func (s Set) valuesJSON(l LoadResult) []valueJSON {
 	rows := make([]valueJSON, 0, len(s.Settings))
-	for _, st := range s.Settings {
-		value := l.Values.Text(st.Name)
-		if st.Secret && value != "" {
+	for _, setting := range s.Settings {
+		value := l.Values.Text(setting.Name)
+		if setting.Secret && value != "" {
 			value = redacted
 		}
-		rows = append(rows, valueJSON{Name: st.Name, Value: value, Unit: st.Unit.String(), Source: l.Values.Source(st.Name)})
+		rows = append(rows, valueJSON{Name: setting.Name, Value: value, Unit: setting.Unit.String(), Source: l.Values.Source(setting.Name)})
 	}
 	return rows
 }
--- a/loader/set.go
+++ b/loader/set.go
@@ -51,16 +51,16 @@
 func (f Finding) String() string { return f.Place + ": " + f.Reason }
 
 // String implements flag.Value.
-func (g *recordedFlag) String() string { return strings.Join(g.values, " ") }
+func (f *recordedFlag) String() string { return strings.Join(f.values, " ") }
 
 // Set implements flag.Value.
-func (g *recordedFlag) Set(text string) error {
-	g.values = append(g.values, text)
+func (f *recordedFlag) Set(text string) error {
+	f.values = append(f.values, text)
 	return nil
 }
 
 // IsBoolFlag tells the flag package whether the flag may be given without a value.
-func (g *recordedFlag) IsBoolFlag() bool { return g.isBool }
+func (f *recordedFlag) IsBoolFlag() bool { return f.isBool }
 
 // Load parses args and environ (NAME=value pairs). Flags override variables, and variables override defaults. It reports
 // all findings, not only the first.
--- a/reporter/metrics.go
+++ b/reporter/metrics.go
@@ -18,28 +18,28 @@
 }
 
 // CountCall records an HTTP request with its status and duration.
-func (m *Metrics) CountCall(call string, status int, took timer.Millis) {
+func (m *Metrics) CountCall(call string, status int, duration timer.Millis) {
 	s := m.init()
 	s.GetOrCreateCounter(fmt.Sprintf(`crocuslb_http_requests_total{call=%q,status="%d"}`, call, status)).Inc()
-	s.GetOrCreateHistogram(fmt.Sprintf(`crocuslb_http_request_duration_seconds{call=%q}`, call)).Update(took.Duration().Seconds())
+	s.GetOrCreateHistogram(fmt.Sprintf(`crocuslb_http_request_duration_seconds{call=%q}`, call)).Update(duration.Duration().Seconds())
 }
 
 // CountJob records an answered job with the number of its tasks and the sizes of its payloads and results.
-func (m *Metrics) CountJob(state string, tasks, payloadBytes, resultBytes int, took timer.Millis) {
+func (m *Metrics) CountJob(state string, tasks, payloadBytes, resultBytes int, duration timer.Millis) {
 	s := m.init()
 	s.GetOrCreateCounter(fmt.Sprintf(`crocuslb_jobs_total{state=%q}`, state)).Inc()
 	s.GetOrCreateCounter(`crocuslb_job_tasks_total`).Add(tasks)
 	s.GetOrCreateCounter(`crocuslb_job_payload_bytes_total`).Add(payloadBytes)
 	s.GetOrCreateCounter(`crocuslb_job_result_bytes_total`).Add(resultBytes)
-	s.GetOrCreateHistogram(fmt.Sprintf(`crocuslb_job_response_seconds{state=%q}`, state)).Update(took.Duration().Seconds())
+	s.GetOrCreateHistogram(fmt.Sprintf(`crocuslb_job_response_seconds{state=%q}`, state)).Update(duration.Duration().Seconds())
 }
 
 // Count increments a counter. The name may include labels.
 func (m *Metrics) Count(name string) { m.init().GetOrCreateCounter(name).Inc() }
 
 // Observe adds a duration to a histogram. The name must end in _seconds and may include labels.
-func (m *Metrics) Observe(name string, took timer.Millis) {
-	m.init().GetOrCreateHistogram(name).Update(took.Duration().Seconds())
+func (m *Metrics) Observe(name string, duration timer.Millis) {
+	m.init().GetOrCreateHistogram(name).Update(duration.Duration().Seconds())
 }
 
 // Gauge registers a gauge whose value is read at each Write. The name must have the unit as its suffix and may include
@@ -55,8 +55,8 @@
 // Burn registers gauges for the burn rates and remaining error budgets of r.
 func (m *Metrics) Burn(r *Reporter, c timer.Clock) {
 	for i, row := range r.Report(c.Now()).Rows {
-		read := func(pick func(ObjectiveStatus) float64) func() float64 {
-			return func() float64 { return pick(r.Report(c.Now()).Rows[i]) }
+		read := func(selectValue func(ObjectiveStatus) float64) func() float64 {
+			return func() float64 { return selectValue(r.Report(c.Now()).Rows[i]) }
 		}
 		m.Gauge(fmt.Sprintf(`crocuslb_burn_ratio{objective=%q,window="short"}`, row.Name), read(func(w ObjectiveStatus) float64 { return w.BurnShort }))
 		m.Gauge(fmt.Sprintf(`crocuslb_burn_ratio{objective=%q,window="long"}`, row.Name), read(func(w ObjectiveStatus) float64 { return w.BurnLong }))
--- a/reporter/reporter.go
+++ b/reporter/reporter.go
@@ -113,12 +113,12 @@
 }
 
 // ObserveWithdrawal records a withdrawal of a failure domain and the time until it applied everywhere.
-func (r *Reporter) ObserveWithdrawal(now timer.Millis, domain string, took timer.Millis) {
+func (r *Reporter) ObserveWithdrawal(now timer.Millis, domain string, duration timer.Millis) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	o := r.Objectives.withDefaults()
 	var t tally
-	t[withdrawalObjective] = newEventCount(took > o.WithdrawalLimit)
+	t[withdrawalObjective] = newEventCount(duration > o.WithdrawalLimit)
 	r.advance(now, o)
 	r.newestBucket().all.add(t)
 	r.attribute(domain, "", t)
--- a/reporter/reporter_test.go
+++ b/reporter/reporter_test.go
@@ -61,8 +61,8 @@
 	}
 }
 
-// TestCulprits guards the order and shares of the failure domains and workers that used most of the error budget.
-func TestCulprits(t *testing.T) {
+// TestContributors guards the order and shares of the failure domains and workers that used most of the error budget.
+func TestContributors(t *testing.T) {
 	var r Reporter
 	observeN(&r, 0, 3, Observation{Domain: "a", Worker: "w1", Failed: true})
 	observeN(&r, 0, 1, Observation{Domain: "b", Worker: "w2", Failed: true})
