--- a/emulator/backend.go
+++ b/emulator/backend.go
@@ -1,4 +1,5 @@
 // Package emulator provides test doubles of the systems around crocuslb: the platform's log and the backend server.
+// They implement the published protocols and can inject faults.
 package emulator
 
 import (
@@ -29,28 +30,28 @@
 )
 
 type (
-	// Backend is a backend server. Set the fields before it serves; the methods may be called at any time. The zero
-	// value has 8 slots. It runs a task by waiting.
+	// Backend emulates a backend server. It runs a task by waiting. Set the fields before serving; the methods may be
+	// called at any time. The zero value has 8 slots.
 	Backend struct {
-		Slots       int     // tasks that may run concurrently; others get 503
-		FailureRate float64 // share of tasks that fail, chosen by the task key, so that it is the same in each run
-		SlowDown    float64 // factor on run times; 0 means 1
-		// OnStart is called for each start before the task runs, when it is not nil.
+		Slots          int     // maximum number of concurrent tasks; further ones get status 503
+		FailureRate    float64 // fraction of tasks that fail, selected by a hash of the key to be the same in each run
+		DurationFactor float64 // multiplier of run times; 0 means 1
+		// OnStart, if not nil, is called for each start before the task runs.
 		OnStart func(task string)
-		// Sleep replaces the wait for the run time when it is not nil.
+		// Sleep, if not nil, replaces the wait for the run time.
 		Sleep func(ctx context.Context, d time.Duration)
 
-		mu        sync.Mutex
-		starts    map[string]int
-		running   int
-		peak      int
-		leaving   bool
-		truncated bool
-		slow      float64
-		thaw      chan struct{} // open while frozen
+		mu             sync.Mutex
+		starts         map[string]int
+		running        int
+		peak           int
+		draining       bool
+		truncated      bool
+		durationFactor float64
+		resumed        chan struct{} // not nil while unresponsive; closed when the server responds again
 	}
 
-	// payloadWire is the JSON payload of a task. Other payloads run for no time and are echoed.
+	// payloadWire is the JSON payload of a task. Any other payload has no run time and is echoed.
 	payloadWire struct {
 		RunMs int64  `json:"runMs"`
 		Echo  string `json:"echo"`
@@ -58,95 +59,95 @@
 	}
 )
 
-// Serve serves b on a loopback address until ctx ends. It returns the base URL once it is listening.
+// Serve serves b on a loopback address until ctx is canceled. It returns the base URL once it is listening.
 func (b *Backend) Serve(ctx context.Context, address string) (string, error) {
 	l, err := (&net.ListenConfig{}).Listen(ctx, "tcp", address)
 	if err != nil {
 		return "", trace.Wrap(err)
 	}
 	if a, ok := l.Addr().(*net.TCPAddr); !ok || !a.IP.IsLoopback() {
-		_ = l.Close() // the error below says more
+		_ = l.Close() // the error below is more specific
 		return "", trace.BadParameter("address %s is not a loopback address", address)
 	}
 	s := &http.Server{Handler: b, ReadHeaderTimeout: headerTimeout}
 	go func() {
 		<-ctx.Done()
-		_ = s.Close() // cuts off requests, as a killed server does
+		_ = s.Close() // aborts open requests, as a killed server does
 	}()
-	go func() { _ = s.Serve(l) }() // ends with ctx
+	go func() { _ = s.Serve(l) }() // returns when the server is closed
 	return "http://" + l.Addr().String(), nil
 }
 
-// ServeHTTP answers POST /run/{kind}, GET /health and GET /starts. The last returns a JSON object from task keys to the
-// number of times that each was started.
+// ServeHTTP handles POST /run/{kind}, GET /health and GET /starts. The last returns a JSON object that maps task keys
+// to the number of times each task was started.
 func (b *Backend) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	if !b.waitThawed(r.Context()) {
+	if !b.waitResponsive(r.Context()) {
 		return
 	}
 	switch {
 	case r.Method == http.MethodPost && strings.HasPrefix(r.URL.Path, runPrefix):
 		b.run(w, r)
 	case r.Method == http.MethodGet && r.URL.Path == "/health":
-		if b.isLeaving() {
+		if b.isDraining() {
 			http.Error(w, "leaving", http.StatusServiceUnavailable)
 		}
 	case r.Method == http.MethodGet && r.URL.Path == "/starts":
 		w.Header().Set(contentTypeKey, jsonMediaType)
-		_ = json.NewEncoder(w).Encode(b.Starts()) // the client is gone when this fails
+		_ = json.NewEncoder(w).Encode(b.Starts()) // fails only if the client has disconnected
 	default:
 		http.NotFound(w, r)
 	}
 }
 
-// Starts returns how often each task key was started.
+// Starts returns the number of starts by task key.
 func (b *Backend) Starts() map[string]int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return maps.Clone(b.starts)
 }
 
-// Peak returns the largest number of tasks that ran concurrently.
-func (b *Backend) Peak() int {
+// PeakRunning returns the highest number of concurrent tasks so far.
+func (b *Backend) PeakRunning() int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.peak
 }
 
-// SetLeaving makes health checks fail. Tasks are still run.
-func (b *Backend) SetLeaving(leaving bool) {
+// SetLeaving makes health checks fail. Tasks are still accepted.
+func (b *Backend) SetLeaving(draining bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.leaving = leaving
+	b.draining = draining
 }
 
-// SetTruncated makes answers end after half of their declared length.
+// SetTruncated makes responses end before their declared length.
 func (b *Backend) SetTruncated(truncated bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.truncated = truncated
 }
 
-// SetSlowDown replaces the factor on run times of tasks that start later.
-func (b *Backend) SetSlowDown(factor float64) {
+// SetDurationFactor changes the multiplier of the run times of tasks that start later.
+func (b *Backend) SetDurationFactor(factor float64) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.slow = factor
+	b.durationFactor = factor
 }
 
-// SetFrozen makes the server stop answering, or go on. Requests wait meanwhile.
-func (b *Backend) SetFrozen(frozen bool) {
+// SetFrozen blocks all requests until it is called with false.
+func (b *Backend) SetFrozen(unresponsive bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	switch {
-	case frozen && b.thaw == nil:
-		b.thaw = make(chan struct{})
-	case !frozen && b.thaw != nil:
-		close(b.thaw)
-		b.thaw = nil
+	case unresponsive && b.resumed == nil:
+		b.resumed = make(chan struct{})
+	case !unresponsive && b.resumed != nil:
+		close(b.resumed)
+		b.resumed = nil
 	}
 }
 
-// run runs one task. The start is counted before anything can fail.
+// run runs one task. The start is counted before anything that may fail.
 func (b *Backend) run(w http.ResponseWriter, r *http.Request) {
 	payload, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxPayload))
 	if err != nil {
@@ -154,7 +155,7 @@
 		return
 	}
 	task := r.Header.Get(taskHeader)
-	factor, err := b.begin(task)
+	factor, err := b.startTask(task)
 	if err != nil {
 		w.Header().Set(startedHeader, "false")
 		http.Error(w, err.Error(), http.StatusServiceUnavailable)
@@ -168,19 +169,19 @@
 		p = payloadWire{Echo: string(payload)}
 	}
 	b.sleep(r.Context(), time.Duration(float64(p.RunMs)*factor*float64(time.Millisecond)))
-	b.end()
-	if !b.waitThawed(r.Context()) {
+	b.endTask()
+	if !b.waitResponsive(r.Context()) {
 		return
 	}
-	if p.Fail || b.fails(task) {
+	if p.Fail || b.shouldFail(task) {
 		http.Error(w, "the task failed", http.StatusInternalServerError)
 		return
 	}
-	b.answer(w, []byte(p.Echo))
+	b.writeResponse(w, []byte(p.Echo))
 }
 
-// begin takes a slot and returns the factor on the run time.
-func (b *Backend) begin(task string) (float64, error) {
+// startTask acquires a slot and returns the multiplier of the run time.
+func (b *Backend) startTask(task string) (float64, error) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	slots := b.Slots
@@ -196,7 +197,7 @@
 	b.starts[task]++
 	b.running++
 	b.peak = max(b.peak, b.running)
-	for _, f := range []float64{b.slow, b.SlowDown} {
+	for _, f := range []float64{b.durationFactor, b.DurationFactor} {
 		if f != 0 {
 			return f, nil
 		}
@@ -204,25 +205,25 @@
 	return 1, nil
 }
 
-func (b *Backend) end() {
+func (b *Backend) endTask() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.running--
 }
 
-func (b *Backend) isLeaving() bool {
+func (b *Backend) isDraining() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.leaving
+	return b.draining
 }
 
-// answer writes body, or half of it when answers are truncated.
-func (b *Backend) answer(w http.ResponseWriter, body []byte) {
+// writeResponse writes body, or half of it if responses are truncated.
+func (b *Backend) writeResponse(w http.ResponseWriter, body []byte) {
 	b.mu.Lock()
 	truncated := b.truncated
 	b.mu.Unlock()
 	if !truncated {
-		_, _ = w.Write(body) // the client is gone when this fails
+		_, _ = w.Write(body) // fails only if the client has disconnected
 		return
 	}
 	w.Header().Set("Content-Length", "1000000")
@@ -230,26 +231,26 @@
 	panic(http.ErrAbortHandler) // closes the connection
 }
 
-// fails says whether a task belongs to the share that fails.
-func (b *Backend) fails(task string) bool {
+// shouldFail reports whether the task is in the fraction that fails.
+func (b *Backend) shouldFail(task string) bool {
 	if b.FailureRate == 0 {
 		return false
 	}
 	h := fnv.New32a()
-	_, _ = h.Write([]byte(task)) // never fails
+	_, _ = h.Write([]byte(task)) // Write on a hash never returns an error
 	return float64(h.Sum32()%10000) < b.FailureRate*10000
 }
 
-// waitThawed waits while the server is frozen. It returns false when the client gave up.
-func (b *Backend) waitThawed(ctx context.Context) bool {
+// waitResponsive blocks while the server is unresponsive. It returns false if the client cancels the request.
+func (b *Backend) waitResponsive(ctx context.Context) bool {
 	b.mu.Lock()
-	thaw := b.thaw
+	resumed := b.resumed
 	b.mu.Unlock()
-	if thaw == nil {
+	if resumed == nil {
 		return true
 	}
 	select {
-	case <-thaw:
+	case <-resumed:
 		return true
 	case <-ctx.Done():
 		return false
--- a/emulator/log.go
+++ b/emulator/log.go
@@ -1,5 +1,3 @@
-// Package emulator holds test doubles of the systems around crocuslb. They speak the published protocols and can be
-// told to fail.
 package emulator
 
 import (
@@ -10,10 +8,10 @@
 )
 
 const (
-	defaultRate      = 500     // "several hundred appends a second" is what the platform states
+	defaultRate      = 500     // the platform specifies "several hundred appends a second"
 	defaultRetention = 100_000 // records per stream
 	maxStreams       = 64
-	maxConnections   = 4096 // later connections cannot be made silent
+	maxConnections   = 4096 // connections beyond this number cannot be stalled
 	maxStreamBytes   = 64 << 20
 	maxRecordBody    = 1 << 20
 	maxRecordID      = 64
@@ -22,52 +20,53 @@
 )
 
 type (
-	// Log is a test double of the platform's log, in memory. It is an http.Handler for the streams and for /control.
-	// The zero value is an empty log without faults. It appends a record as often as it is asked to: identifiers are
-	// stored, not compared.
+	// Log is an in-memory test double of the platform's log. It is an http.Handler for the streams and for /control.
+	// The zero value is an empty log without faults. It does not deduplicate: record identifiers are stored, not
+	// compared, so a repeated append stores the record again.
 	Log struct {
-		// Clock drives the rate limit.
+		// Clock is the time source of the rate limit.
 		Clock timer.Clock
 
-		mu       sync.Mutex
-		settings LogSettings
-		streams  map[string]*logStream
-		tokens   float64
-		filled   timer.Millis // when tokens was computed, 0 for never
-		changed  chan struct{}
-		counts   LogCounts
-		routes   *http.ServeMux
-		seen     map[string]bool // remote addresses of connections; true when the connection is silent
+		mu          sync.Mutex
+		settings    LogSettings
+		streams     map[string]*logStream
+		tokens      float64
+		refilledAt  timer.Millis // time of the last update of tokens; 0 before the first one
+		changes     chan struct{}
+		counts      LogCounts
+		routes      *http.ServeMux
+		connections map[string]bool // remote addresses of connections; true if stalled by SilenceConnections
 	}
 
-	// LogSettings are the faults and limits of a Log. They may be set at run time.
+	// LogSettings are the faults and limits of a Log. They may be changed at run time.
 	LogSettings struct {
-		// AppendDelay passes before an append takes effect. A caller that gives up does not stop its append.
+		// AppendDelay is the delay before an append takes effect. An append takes effect even if its client cancels the
+		// request.
 		AppendDelay timer.Millis
-		// ReadDelay passes before a read is answered.
+		// ReadDelay is the delay before a read is processed.
 		ReadDelay timer.Millis
-		// Outage refuses every request with 503; nothing is appended.
+		// Outage rejects every request with status 503; nothing is appended.
 		Outage bool
-		// Silent leaves every request without an answer; nothing is appended.
+		// Silent leaves every request without a response; nothing is appended.
 		Silent bool
-		// LoseNext is the number of appends that take effect and whose answer is then lost.
+		// LoseNext is the number of following appends that take effect but whose response is dropped.
 		LoseNext int
-		// LoseSilently keeps the connection of a lost answer open. Otherwise it is closed.
+		// LoseSilently keeps the connection of a dropped response open instead of closing it.
 		LoseSilently bool
-		// Retention is the number of records kept per stream; 0 means 100,000.
+		// Retention is the number of records retained per stream; 0 means 100,000.
 		Retention int
-		// AppendsPerSecond limits the rate of appends over all streams; 0 means 500, a negative number no limit.
+		// AppendsPerSecond limits the append rate across all streams; 0 means 500, a negative value means no limit.
 		AppendsPerSecond int
 	}
 
-	// LogCounts count requests since the start.
+	// LogCounts are the request counts since the log was created.
 	LogCounts struct {
 		Appended, Refused, Lost, Reads uint64
-		// Hanging is the number of requests that are left without an answer at present.
+		// Hanging is the number of requests currently held without a response.
 		Hanging uint64
 	}
 
-	// LogRecord is a stored record.
+	// LogRecord is a record of a stream.
 	LogRecord struct {
 		Offset uint64
 		ID     string
@@ -81,19 +80,19 @@
 	}
 )
 
-// ServeHTTP serves the interface of the platform's log and /control.
+// ServeHTTP serves the API of the platform's log and /control.
 func (l *Log) ServeHTTP(w http.ResponseWriter, q *http.Request) {
 	l.mu.Lock()
 	if l.routes == nil {
 		l.routes = l.mux()
 	}
 	routes := l.routes
-	silent := l.seen[q.RemoteAddr]
-	if !silent && len(l.seen) < maxConnections {
-		if l.seen == nil {
-			l.seen = map[string]bool{}
+	silent := l.connections[q.RemoteAddr]
+	if !silent && len(l.connections) < maxConnections {
+		if l.connections == nil {
+			l.connections = map[string]bool{}
 		}
-		l.seen[q.RemoteAddr] = false
+		l.connections[q.RemoteAddr] = false
 	}
 	l.mu.Unlock()
 	if silent && q.URL.Path != controlPath {
@@ -102,42 +101,42 @@
 	routes.ServeHTTP(w, q)
 }
 
-// SilenceConnections makes every connection that was used so far silent for good: its requests get no answer and have no
-// effect. New connections work.
+// SilenceConnections permanently stalls every connection used so far: its requests get no response and have no effect.
+// New connections work.
 func (l *Log) SilenceConnections() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	for a := range l.seen {
-		l.seen[a] = true
+	for a := range l.connections {
+		l.connections[a] = true
 	}
 }
 
-// Settings returns the present settings.
+// Settings returns the current settings.
 func (l *Log) Settings() LogSettings {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.settings
 }
 
-// Change changes the settings atomically. It also wakes waiting reads, so an outage reaches them at once.
-func (l *Log) Change(change func(s *LogSettings)) {
+// Change changes the settings atomically. It also notifies waiting reads, so that an outage affects them at once.
+func (l *Log) Change(update func(s *LogSettings)) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	change(&l.settings)
+	update(&l.settings)
 	for _, s := range l.streams {
 		s.trim(l.settings.Retention)
 	}
-	l.wake()
+	l.notifyReaders()
 }
 
-// Counts returns the counts since the start.
+// Counts returns the request counts since the log was created.
 func (l *Log) Counts() LogCounts {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.counts
 }
 
-// Records returns the retained records of a stream. Their bodies are shared with the log.
+// Records returns the retained records of a stream. The record bodies are not copied.
 func (l *Log) Records(stream string) []LogRecord {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -147,16 +146,16 @@
 	return nil
 }
 
-// Append stores a record whatever the faults are, for tests. ok is false when there are too many streams. The body is
-// kept, not copied.
+// Append stores a record regardless of the configured faults, for use in tests. ok is false if there are too many
+// streams. The body is retained, not copied.
 func (l *Log) Append(stream, id string, body []byte) (offset uint64, ok bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.add(stream, id, body)
+	return l.appendLocked(stream, id, body)
 }
 
-// add stores a record; ok is false when there are too many streams.
-func (l *Log) add(stream, id string, body []byte) (offset uint64, ok bool) {
+// appendLocked stores a record; ok is false if there are too many streams. The caller holds the lock.
+func (l *Log) appendLocked(stream, id string, body []byte) (offset uint64, ok bool) {
 	s, ok := l.streams[stream]
 	if !ok {
 		if len(l.streams) >= maxStreams {
@@ -173,12 +172,13 @@
 	s.bytes += len(body)
 	s.trim(l.settings.Retention)
 	l.counts.Appended++
-	l.wake()
+	l.notifyReaders()
 	return offset, true
 }
 
-// admit takes one append from the rate limit.
-func (l *Log) admit() bool {
+// takeToken takes one token from the token bucket of the append rate limit and reports whether there was one. The
+// bucket holds a tenth of a second's appends.
+func (l *Log) takeToken() bool {
 	rate := l.settings.AppendsPerSecond
 	if rate < 0 {
 		return true
@@ -186,14 +186,14 @@
 	if rate == 0 {
 		rate = defaultRate
 	}
-	capacity := max(1, float64(rate)/10)
+	burst := max(1, float64(rate)/10)
 	now := l.Clock.Now()
-	if l.filled == 0 {
-		l.tokens = capacity
+	if l.refilledAt == 0 {
+		l.tokens = burst
 	} else {
-		l.tokens = min(capacity, l.tokens+float64(now-l.filled)*float64(rate)/float64(timer.Second))
+		l.tokens = min(burst, l.tokens+float64(now-l.refilledAt)*float64(rate)/float64(timer.Second))
 	}
-	l.filled = now
+	l.refilledAt = now
 	if l.tokens < 1 {
 		return false
 	}
@@ -201,25 +201,25 @@
 	return true
 }
 
-// wake ends the wait of all reads; they look at the state again.
-func (l *Log) wake() {
-	if l.changed != nil {
-		close(l.changed)
-		l.changed = nil
+// notifyReaders wakes all waiting reads, which then check the state again.
+func (l *Log) notifyReaders() {
+	if l.changes != nil {
+		close(l.changes)
+		l.changes = nil
 	}
 }
 
-// wait returns a channel that is closed at the next change.
-func (l *Log) wait() <-chan struct{} {
-	if l.changed == nil {
-		l.changed = make(chan struct{})
+// nextChange returns a channel that is closed at the next change.
+func (l *Log) nextChange() <-chan struct{} {
+	if l.changes == nil {
+		l.changes = make(chan struct{})
 	}
-	return l.changed
+	return l.changes
 }
 
 func (s *logStream) next() uint64 { return s.first + uint64(len(s.records)) }
 
-// trim drops the oldest records beyond the retention, and beyond the memory bound.
+// trim removes the oldest records beyond the retention limit and the memory limit.
 func (s *logStream) trim(retention int) {
 	if retention <= 0 {
 		retention = defaultRetention
@@ -227,14 +227,14 @@
 	n := 0
 	for n < len(s.records) && (len(s.records)-n > retention || s.bytes > maxStreamBytes) {
 		s.bytes -= len(s.records[n].Body)
-		s.records[n] = LogRecord{} // frees the body before the list is copied at its next growth
+		s.records[n] = LogRecord{} // releases the body now rather than when the slice is next reallocated
 		n++
 	}
 	s.records = s.records[n:]
 	s.first += uint64(n)
 }
 
-// page returns the records from an offset on, within the bounds of a page.
+// page returns the records from an offset on, up to the size limits of a page.
 func (s *logStream) page(from uint64, limit int) []LogRecord {
 	if from < s.first || from >= s.next() {
 		return nil
--- a/emulator/log_control.go
+++ b/emulator/log_control.go
@@ -8,7 +8,7 @@
 )
 
 type (
-	// controlWire holds the settings that a control request changes; absent ones stay.
+	// controlWire holds the settings that a control request changes; omitted ones are unchanged.
 	controlWire struct {
 		AppendDelayMs    *int64 `json:"appendDelayMs,omitempty"`
 		ReadDelayMs      *int64 `json:"readDelayMs,omitempty"`
@@ -18,7 +18,7 @@
 		LoseSilently     *bool  `json:"loseSilently,omitempty"`
 		Retention        *int   `json:"retention,omitempty"`
 		AppendsPerSecond *int   `json:"appendsPerSecond,omitempty"`
-		// SilenceConnections is an action; a status does not have it.
+		// SilenceConnections is an action, so it is not part of the status.
 		SilenceConnections bool `json:"silenceConnections,omitempty"`
 	}
 
@@ -37,7 +37,7 @@
 	}
 )
 
-// handleStatus answers with the settings, the heads and the counts. It works during an outage, too.
+// handleStatus responds with the settings, stream offsets and counts. It works during an outage.
 func (l *Log) handleStatus(w http.ResponseWriter, _ *http.Request) {
 	l.mu.Lock()
 	s, c := l.settings, l.counts
@@ -53,33 +53,33 @@
 		status.Streams[name] = streamWire{First: s.first, Next: s.next()}
 	}
 	l.mu.Unlock()
-	answer(w, http.StatusOK, status)
+	writeJSON(w, http.StatusOK, status)
 }
 
-// handleControl changes the settings that the request names and answers with the status.
+// handleControl changes the settings in the request and responds with the status.
 func (l *Log) handleControl(w http.ResponseWriter, q *http.Request) {
 	var c controlWire
 	d := json.NewDecoder(http.MaxBytesReader(w, q.Body, maxControlRequest))
 	d.DisallowUnknownFields()
 	if err := d.Decode(&c); err != nil {
-		answer(w, http.StatusBadRequest, logErrorWire{Error: "control request is malformed: " + err.Error()})
+		writeJSON(w, http.StatusBadRequest, logErrorWire{Error: "control request is malformed: " + err.Error()})
 		return
 	}
 	for _, n := range []*int64{c.AppendDelayMs, c.ReadDelayMs} {
 		if n != nil && (*n < 0 || timer.Millis(*n) > 10*timer.Minute) {
-			answer(w, http.StatusBadRequest, logErrorWire{Error: "delay is not between 0 and 600000"})
+			writeJSON(w, http.StatusBadRequest, logErrorWire{Error: "delay is not between 0 and 600000"})
 			return
 		}
 	}
 	l.Change(func(s *LogSettings) {
-		set(&s.AppendDelay, (*timer.Millis)(c.AppendDelayMs))
-		set(&s.ReadDelay, (*timer.Millis)(c.ReadDelayMs))
-		set(&s.Outage, c.Outage)
-		set(&s.Silent, c.Silent)
-		set(&s.LoseNext, c.LoseNext)
-		set(&s.LoseSilently, c.LoseSilently)
-		set(&s.Retention, c.Retention)
-		set(&s.AppendsPerSecond, c.AppendsPerSecond)
+		setIfPresent(&s.AppendDelay, (*timer.Millis)(c.AppendDelayMs))
+		setIfPresent(&s.ReadDelay, (*timer.Millis)(c.ReadDelayMs))
+		setIfPresent(&s.Outage, c.Outage)
+		setIfPresent(&s.Silent, c.Silent)
+		setIfPresent(&s.LoseNext, c.LoseNext)
+		setIfPresent(&s.LoseSilently, c.LoseSilently)
+		setIfPresent(&s.Retention, c.Retention)
+		setIfPresent(&s.AppendsPerSecond, c.AppendsPerSecond)
 	})
 	if c.SilenceConnections {
 		l.SilenceConnections()
@@ -87,8 +87,8 @@
 	l.handleStatus(w, q)
 }
 
-// set copies a value that is present.
-func set[T any](dst *T, src *T) {
+// setIfPresent sets *dst if src is not nil.
+func setIfPresent[T any](dst *T, src *T) {
 	if src != nil {
 		*dst = *src
 	}
--- a/emulator/log_http.go
+++ b/emulator/log_http.go
@@ -63,21 +63,21 @@
 func (l *Log) handleAppend(w http.ResponseWriter, q *http.Request) {
 	stream := q.PathValue("stream")
 	if !streamName.MatchString(stream) {
-		l.refuse(w, http.StatusBadRequest, "stream name is malformed")
+		l.refuseAppend(w, http.StatusBadRequest, "stream name is malformed")
 		return
 	}
 	b, err := io.ReadAll(http.MaxBytesReader(w, q.Body, maxAppendRequest))
 	if err != nil {
-		l.refuse(w, http.StatusRequestEntityTooLarge, "request is too large or incomplete")
+		l.refuseAppend(w, http.StatusRequestEntityTooLarge, "request body is too large or incomplete")
 		return
 	}
 	var r logAppendWire
 	if err := json.Unmarshal(b, &r); err != nil {
-		l.refuse(w, http.StatusBadRequest, "request is not the expected JSON")
+		l.refuseAppend(w, http.StatusBadRequest, "request body is not valid JSON or has unexpected types")
 		return
 	}
 	if r.ID == "" || len(r.ID) > maxRecordID || len(r.Body) > maxRecordBody {
-		l.refuse(w, http.StatusBadRequest, "record identifier is missing or too long, or body is too large")
+		l.refuseAppend(w, http.StatusBadRequest, "record identifier is missing or too long, or body is too large")
 		return
 	}
 	s := l.Settings()
@@ -85,19 +85,19 @@
 		l.hang(q)
 	}
 	if s.Outage {
-		l.refuse(w, http.StatusServiceUnavailable, "log is not available")
+		l.refuseAppend(w, http.StatusServiceUnavailable, "the log is unavailable")
 		return
 	}
 	l.mu.Lock()
-	admitted := l.admit()
+	admitted := l.takeToken()
 	l.mu.Unlock()
 	if !admitted {
 		w.Header().Set("Retry-After", "1")
-		l.refuse(w, http.StatusServiceUnavailable, "append rate is over the limit")
+		l.refuseAppend(w, http.StatusServiceUnavailable, "append rate is over the limit")
 		return
 	}
 	if s.AppendDelay > 0 {
-		// Not ended by the caller's context: a slow append takes effect even when its caller has given up.
+		// Not canceled with the request: a slow append takes effect even if its client has given up.
 		time.Sleep(s.AppendDelay.Duration())
 	}
 	l.mu.Lock()
@@ -107,48 +107,48 @@
 		if silent {
 			l.hang(q)
 		}
-		l.refuse(w, http.StatusServiceUnavailable, "log is not available")
+		l.refuseAppend(w, http.StatusServiceUnavailable, "the log is unavailable")
 		return
 	}
-	offset, ok := l.add(stream, r.ID, r.Body)
-	lose, silently := ok && l.settings.LoseNext > 0, l.settings.LoseSilently
-	if lose {
+	offset, ok := l.appendLocked(stream, r.ID, r.Body)
+	drop, silently := ok && l.settings.LoseNext > 0, l.settings.LoseSilently
+	if drop {
 		l.settings.LoseNext--
 		l.counts.Lost++
 	}
 	l.mu.Unlock()
 	switch {
 	case !ok:
-		l.refuse(w, http.StatusBadRequest, "there are too many streams")
-	case lose && silently:
+		l.refuseAppend(w, http.StatusBadRequest, "too many streams")
+	case drop && silently:
 		l.hang(q)
-	case lose:
-		panic(http.ErrAbortHandler) // closes the connection without an answer
+	case drop:
+		panic(http.ErrAbortHandler) // closes the connection without a response
 	default:
-		answer(w, http.StatusOK, logOffsetWire{Offset: offset})
+		writeJSON(w, http.StatusOK, logOffsetWire{Offset: offset})
 	}
 }
 
 func (l *Log) handleRead(w http.ResponseWriter, q *http.Request) {
 	stream := q.PathValue("stream")
 	v := q.URL.Query()
-	from, errFrom := number(v.Get("from"), 0)
-	limit, errLimit := number(v.Get("limit"), maxPageRecords)
-	wait, errWait := number(v.Get("waitMs"), 0)
+	from, errFrom := parseQueryNumber(v.Get("from"), 0)
+	limit, errLimit := parseQueryNumber(v.Get("limit"), maxPageRecords)
+	wait, errWait := parseQueryNumber(v.Get("waitMs"), 0)
 	if !streamName.MatchString(stream) || errFrom != nil || errLimit != nil || errWait != nil || limit == 0 {
-		answer(w, http.StatusBadRequest, logErrorWire{Error: "stream name, from, limit or waitMs is malformed"})
+		writeJSON(w, http.StatusBadRequest, logErrorWire{Error: "stream name, from, limit or waitMs is malformed"})
 		return
 	}
 	l.mu.Lock()
 	l.counts.Reads++
 	delay := l.settings.ReadDelay
 	l.mu.Unlock()
-	if !pause(q.Context(), delay) {
+	if !sleep(q.Context(), delay) {
 		return
 	}
 	expired := time.NewTimer(min(timer.Millis(min(wait, uint64(maxReadWait))), maxReadWait).Duration())
 	defer expired.Stop()
-	for last := wait == 0; ; {
+	for final := wait == 0; ; {
 		l.mu.Lock()
 		s := l.settings
 		page := logPageWire{Records: []logRecordWire{}}
@@ -158,60 +158,60 @@
 				page.Records = append(page.Records, logRecordWire(r))
 			}
 		}
-		changed := l.wait()
+		changed := l.nextChange()
 		l.mu.Unlock()
 		switch {
 		case s.Silent:
 			l.hang(q)
 		case s.Outage:
-			answer(w, http.StatusServiceUnavailable, logErrorWire{Error: "log is not available"})
+			writeJSON(w, http.StatusServiceUnavailable, logErrorWire{Error: "the log is unavailable"})
 			return
 		case from < page.First:
-			answer(w, http.StatusGone, logErrorWire{Error: "record is no longer retained", First: &page.First, Next: &page.Next})
+			writeJSON(w, http.StatusGone, logErrorWire{Error: "record is no longer retained", First: &page.First, Next: &page.Next})
 			return
-		case last || len(page.Records) > 0:
-			answer(w, http.StatusOK, page)
+		case final || len(page.Records) > 0:
+			writeJSON(w, http.StatusOK, page)
 			return
 		}
 		select {
 		case <-changed:
 		case <-expired.C:
-			last = true
+			final = true
 		case <-q.Context().Done():
 			return
 		}
 	}
 }
 
-// refuse answers an append that took no effect.
-func (l *Log) refuse(w http.ResponseWriter, code int, text string) {
+// refuseAppend rejects an append that had no effect.
+func (l *Log) refuseAppend(w http.ResponseWriter, code int, text string) {
 	l.mu.Lock()
 	l.counts.Refused++
 	l.mu.Unlock()
 	appended := false
-	answer(w, code, logErrorWire{Error: text, Appended: &appended})
+	writeJSON(w, code, logErrorWire{Error: text, Appended: &appended})
 }
 
-func answer(w http.ResponseWriter, code int, body any) {
+func writeJSON(w http.ResponseWriter, code int, body any) {
 	b, err := json.Marshal(body)
 	if err != nil {
-		panic(err) // the wire structs always encode
+		panic(err) // the wire structs can always be encoded
 	}
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(code)
 	_, _ = w.Write(b)
 }
 
-// number parses a decimal query parameter.
-func number(s string, missing uint64) (uint64, error) {
+// parseQueryNumber parses a decimal query parameter; an empty one has the default value.
+func parseQueryNumber(s string, defaultValue uint64) (uint64, error) {
 	if s == "" {
-		return missing, nil
+		return defaultValue, nil
 	}
 	return strconv.ParseUint(s, 10, 64)
 }
 
-// pause waits and reports whether the caller is still there.
-func pause(ctx context.Context, d timer.Millis) bool {
+// sleep waits for d and reports whether it elapsed before ctx was canceled.
+func sleep(ctx context.Context, d timer.Millis) bool {
 	if d <= 0 {
 		return true
 	}
@@ -225,9 +225,9 @@
 	}
 }
 
-// hang keeps the connection open without an answer until the caller gives up.
+// hang holds the request without a response until the client closes the connection.
 func (l *Log) hang(q *http.Request) {
-	// The server notices a closed connection only when the body was read.
+	// net/http detects a closed connection only after the request body has been read.
 	_, _ = io.Copy(io.Discard, io.LimitReader(q.Body, maxAppendRequest))
 	l.mu.Lock()
 	l.counts.Hanging++
--- a/emulator/log_serve.go
+++ b/emulator/log_serve.go
@@ -10,8 +10,8 @@
 	"github.com/gravitational/trace"
 )
 
-// ServeLog serves l on a loopback address, such as "127.0.0.1:0", until ctx ends. It returns the URL of the service
-// once it is listening. Other addresses are refused, because the log has no access control.
+// ServeLog serves l on a loopback address, such as "127.0.0.1:0", until ctx is canceled. It returns the base URL once
+// it is listening. Other addresses are rejected, because the log has no access control.
 func ServeLog(ctx context.Context, address string, l *Log) (string, error) {
 	host, _, err := net.SplitHostPort(address)
 	if err != nil {
--- a/emulator/log_test.go
+++ b/emulator/log_test.go
@@ -16,7 +16,7 @@
 	"github.com/crocuslb/crocuslb/timer"
 )
 
-// send serves one request; a connection closed without an answer is status 0.
+// send serves one request. The code is 0 if the connection was closed without a response.
 func send(l *Log, method, target, body string) (code int, answer string) {
 	a, err := (&Transport{Log: l}).RoundTrip(httptest.NewRequest(method, target, strings.NewReader(body)))
 	if err != nil {
@@ -27,14 +27,14 @@
 	return a.StatusCode, string(b)
 }
 
-// Guards against a double that differs from the published protocol or takes unbounded requests.
+// TestLogRequests guards against an emulator that differs from the published protocol or accepts unbounded requests.
 func TestLogRequests(t *testing.T) {
 	const records = "/v1/streams/roster/records"
 	large := base64.StdEncoding.EncodeToString(make([]byte, maxRecordBody))
 	for _, c := range []struct {
 		method, target, body string
 		code                 int
-		want                 string // part of the answer
+		want                 string // part of the response
 	}{
 		{"POST", records, `{"id":"a","body":"YQ=="}`, 200, `{"offset":3}`},
 		{"POST", records, `{"id":"a"}`, 200, `{"offset":3}`},
@@ -74,7 +74,8 @@
 	}
 }
 
-// Guards against switches that do not do what tests rely on: what is refused is not appended, what is lost is.
+// TestLogFaults guards against faults that do not behave as tests expect: a rejected append must not be stored, and one
+// whose response is dropped must be.
 func TestLogFaults(t *testing.T) {
 	const records = "/v1/streams/s/records"
 	for _, c := range []struct {
@@ -82,7 +83,7 @@
 		settings LogSettings
 		codes    []int
 		appended uint64
-		took     timer.Millis
+		elapsed  timer.Millis
 	}{
 		{"no fault", LogSettings{}, []int{200, 200}, 2, 0},
 		{"outage", LogSettings{Outage: true}, []int{503, 503}, 0, 0},
@@ -93,7 +94,7 @@
 		{"no rate", LogSettings{AppendsPerSecond: -1}, []int{200, 200, 200, 200}, 4, 0},
 	} {
 		synctest.Test(t, func(t *testing.T) {
-			l, began := &Log{settings: c.settings}, time.Now()
+			l, start := &Log{settings: c.settings}, time.Now()
 			for i, want := range c.codes {
 				if got, _ := send(l, "POST", records, `{"id":"a","body":""}`); got != want {
 					t.Errorf("%s, append %d: got %d, want %d", c.name, i, got, want)
@@ -102,21 +103,22 @@
 			if got := l.Counts().Appended; got != c.appended || len(l.Records("s")) != int(got) {
 				t.Errorf("%s: got %d appended, want %d", c.name, got, c.appended)
 			}
-			if got := timer.FromDuration(time.Since(began)); got != c.took {
-				t.Errorf("%s: took %s, want %s", c.name, got, c.took)
+			if got := timer.FromDuration(time.Since(start)); got != c.elapsed {
+				t.Errorf("%s: took %s, want %s", c.name, got, c.elapsed)
 			}
 		})
 	}
 }
 
-// Guards against waiting reads that miss a record or an outage, and against an outage that a slow append slips through.
+// TestLogWaits guards against waiting reads that miss a record or an outage, and against a slow append that takes
+// effect during an outage.
 func TestLogWaits(t *testing.T) {
 	for _, c := range []struct {
 		name, method, target, body string
-		meanwhile                  func(l *Log)
+		during                     func(l *Log)
 		code                       int
 		want                       string
-		took                       timer.Millis
+		elapsed                    timer.Millis
 	}{
 		{"nothing", "GET", "/v1/streams/s/records?waitMs=700", "", func(*Log) {}, 200, `"records":[]`, 700},
 		{"record", "GET", "/v1/streams/s/records?waitMs=700", "", func(l *Log) { l.Append("s", "a", nil) }, 200, `"id":"a"`, 400},
@@ -126,14 +128,14 @@
 		{"longest wait", "GET", "/v1/streams/s/records?waitMs=18446744073709551615", "", func(*Log) {}, 200, "", maxReadWait},
 	} {
 		synctest.Test(t, func(t *testing.T) {
-			l, began := &Log{settings: LogSettings{AppendDelay: 500}}, time.Now()
+			l, start := &Log{settings: LogSettings{AppendDelay: 500}}, time.Now()
 			go func() {
 				time.Sleep(400 * time.Millisecond)
-				c.meanwhile(l)
+				c.during(l)
 			}()
 			code, got := send(l, c.method, c.target, c.body)
-			if took := timer.FromDuration(time.Since(began)); code != c.code || !strings.Contains(got, c.want) || took != c.took {
-				t.Errorf("%s: got %d %s after %s, want %d %s after %s", c.name, code, got, took, c.code, c.want, c.took)
+			if elapsed := timer.FromDuration(time.Since(start)); code != c.code || !strings.Contains(got, c.want) || elapsed != c.elapsed {
+				t.Errorf("%s: got %d %s after %s, want %d %s after %s", c.name, code, got, elapsed, c.code, c.want, c.elapsed)
 			}
 			if _, got := send(l, "GET", "/control", ""); strings.Contains(got, `"appended":1`) != strings.HasPrefix(c.name, "record") {
 				t.Errorf("%s: got %s", c.name, got)
@@ -142,7 +144,8 @@
 	}
 }
 
-// Guards against silent connections that answer, new ones that do not, and a log that listens beyond loopback.
+// TestServeLog guards against stalled connections that respond, new connections that do not, and a log that listens on
+// addresses other than loopback.
 func TestServeLog(t *testing.T) {
 	l := &Log{}
 	for _, address := range []string{"0.0.0.0:0", "localhost:0", "127.0.0.1", "192.0.2.1:0"} {
@@ -183,7 +186,7 @@
 	}
 }
 
-// Guards against requests that make the double panic or store what it refuses.
+// FuzzLog guards against requests that make the emulator panic or store a record that it rejects.
 func FuzzLog(f *testing.F) {
 	f.Add("from=1&limit=2", []byte(`{"id":"a","body":"YQ=="}`))
 	f.Add("waitMs=0", []byte(`{"outage":true,"retention":-1,"appendsPerSecond":-1}`))
--- a/emulator/log_transport.go
+++ b/emulator/log_transport.go
@@ -12,11 +12,11 @@
 )
 
 type (
-	// Transport carries requests to a Log in the same process, without a network, so that tests can run in virtual time.
-	// It is an http.RoundTripper. Set the fields before the first request.
+	// Transport is an http.RoundTripper that sends requests to a Log in the same process without a network, so that
+	// tests can run in virtual time. Set the fields before the first request.
 	Transport struct {
 		Log *Log
-		// Name distinguishes the connections of several transports to one Log.
+		// Name distinguishes the connections of several transports to the same Log.
 		Name string
 
 		mu         sync.Mutex
@@ -24,18 +24,19 @@
 		connection int
 	}
 
-	// Refusals say which requests find no connection. They fail like a refused TCP connection and have no effect.
+	// Refusals selects the requests whose connections are refused. They fail like a refused TCP connection and have no
+	// effect.
 	Refusals struct{ Reads, Appends bool }
 
-	// answerBuffer is an http.ResponseWriter that keeps the answer.
-	answerBuffer struct {
+	// responseBuffer is an http.ResponseWriter that buffers the response.
+	responseBuffer struct {
 		code   int
 		header http.Header
 		body   bytes.Buffer
 	}
 )
 
-// Refuse changes which requests find no connection.
+// Refuse changes which requests are refused.
 func (t *Transport) Refuse(r Refusals) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -49,7 +50,7 @@
 	t.connection++
 }
 
-// RoundTrip serves the request. A request whose context ends goes on at the log, as over a network.
+// RoundTrip serves the request. As over a network, the log goes on processing a request after its context is canceled.
 func (t *Transport) RoundTrip(q *http.Request) (*http.Response, error) {
 	t.mu.Lock()
 	refused, address := t.refusals.Reads, fmt.Sprintf("%s-%d", t.Name, t.connection)
@@ -62,40 +63,40 @@
 	}
 	q = q.Clone(q.Context())
 	q.RemoteAddr = address
-	answers := make(chan *http.Response, 1)
+	responses := make(chan *http.Response, 1)
 	go func() {
-		defer close(answers)
+		defer close(responses)
 		defer func() {
-			// net/http closes the connection on this panic, too.
+			// net/http also closes the connection on this panic.
 			if p := recover(); p != nil {
 				if err, ok := p.(error); !ok || !errors.Is(err, http.ErrAbortHandler) {
 					panic(p)
 				}
 			}
 		}()
-		w := &answerBuffer{code: http.StatusOK, header: http.Header{}}
+		w := &responseBuffer{code: http.StatusOK, header: http.Header{}}
 		t.Log.ServeHTTP(w, q)
-		answers <- &http.Response{
+		responses <- &http.Response{
 			Status: http.StatusText(w.code), StatusCode: w.code, Proto: q.Proto, ProtoMajor: 1, ProtoMinor: 1,
 			Header: w.header, Body: io.NopCloser(&w.body), ContentLength: int64(w.body.Len()), Request: q,
 		}
 	}()
 	select {
-	case a, ok := <-answers:
+	case response, ok := <-responses:
 		if !ok {
 			return nil, io.ErrUnexpectedEOF
 		}
-		return a, nil
+		return response, nil
 	case <-q.Context().Done():
 		return nil, q.Context().Err()
 	}
 }
 
 // Header implements http.ResponseWriter.
-func (b *answerBuffer) Header() http.Header { return b.header }
+func (b *responseBuffer) Header() http.Header { return b.header }
 
 // Write implements http.ResponseWriter.
-func (b *answerBuffer) Write(p []byte) (int, error) { return b.body.Write(p) }
+func (b *responseBuffer) Write(p []byte) (int, error) { return b.body.Write(p) }
 
 // WriteHeader implements http.ResponseWriter.
-func (b *answerBuffer) WriteHeader(code int) { b.code = code }
+func (b *responseBuffer) WriteHeader(code int) { b.code = code }
--- a/injector/callers.go
+++ b/injector/callers.go
@@ -13,19 +13,19 @@
 )
 
 const (
-	callTimeout   = 6 * time.Second
-	waitForAnswer = 4 * timer.Second
-	// defaultPatience is how long a caller resubmits a job before it gives up.
-	defaultPatience = 40 * timer.Second
+	callTimeout = 6 * time.Second
+	jobWaitTime = 4 * timer.Second
+	// defaultResubmitTimeout is the time for which a caller resubmits a job before giving up.
+	defaultResubmitTimeout = 40 * timer.Second
 )
 
-// job is one submission and what its callers saw.
+// job is a submitted job and the responses that its callers got.
 type job struct {
 	encoder.Job
-	want    []string
-	answers []encoder.Answer // final answers
-	calls   int
-	last    string // what the last call without a final answer got
+	want        []string
+	answers     []encoder.Answer // final answers
+	calls       int
+	lastAttempt string // result of the last call; reported for jobs without a final answer
 }
 
 func newJob(n int, seed uint64, r *rand.Rand) *job {
@@ -41,8 +41,8 @@
 	return j
 }
 
-// submit calls entries until one gives a final answer or the caller's patience ends. Half of the jobs are submitted by a
-// second caller at the same time.
+// submit submits the job from one or two concurrent callers, with equal probability. Each calls entries until it gets a
+// final answer or its resubmit timeout passes.
 func (u *run) submit(ctx context.Context, j *job, r *rand.Rand) {
 	callers := 1 + r.IntN(2)
 	seeds := []uint64{r.Uint64(), r.Uint64()}
@@ -59,33 +59,33 @@
 }
 
 func (u *run) call(ctx context.Context, j *job, r *rand.Rand) {
-	body, err := server.EncodeJob(j.Job, waitForAnswer)
+	body, err := server.EncodeJob(j.Job, jobWaitTime)
 	if err != nil {
-		panic(err) // a job made here is always encodable
+		panic(err) // a generated job can always be encoded
 	}
 	for end := time.Now().Add(u.plan.Patience.Duration()); time.Now().Before(end) && ctx.Err() == nil; {
 		entry := r.IntN(u.fleet.Entries)
 		client := server.Client{URL: u.fleet.EntryURL(entry), HTTP: u.http}
 		callCtx, cancel := context.WithTimeout(ctx, callTimeout)
-		stopped := u.stopped(entry)
+		previousStop := u.lastStop(entry)
 		got, err := client.Submit(callCtx, j.Key, body)
 		cancel()
-		if u.final(j, got, err, entry, stopped) {
+		if u.recordResponse(j, got, err, entry, previousStop) {
 			return
 		}
 		time.Sleep(time.Duration(50+r.IntN(300)) * time.Millisecond)
 	}
 }
 
-// final notes the answer to one call and reports whether the caller is done.
-func (u *run) final(j *job, got server.Response, err error, entry int, stopped int64) bool {
+// recordResponse records the response to one call and reports whether it is final.
+func (u *run) recordResponse(j *job, got server.Response, err error, entry int, previousStop int64) bool {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	u.report.Requests++
 	j.calls++
-	j.last = fmt.Sprintf("entry %d: status %d, %.200s %v", entry, got.Status, got.Body, err)
+	j.lastAttempt = fmt.Sprintf("entry %d: status %d, %.200s %v", entry, got.Status, got.Body, err)
 	if err != nil {
-		u.checkCutOff(j, err, entry, stopped)
+		u.checkInterrupted(j, err, entry, previousStop)
 		return false
 	}
 	if got.Status == http.StatusServiceUnavailable || got.Status == http.StatusTooManyRequests || got.Status == http.StatusAccepted {
@@ -93,7 +93,7 @@
 	}
 	a, err := server.DecodeAnswer(got.Body)
 	if err != nil {
-		u.report.violation(&u.report.WrongAnswers, "%s: status %d, %v", j.Key, got.Status, err)
+		u.report.addViolation(&u.report.WrongAnswers, "%s: status %d, %v", j.Key, got.Status, err)
 		return false
 	}
 	if a.State == encoder.JobRunning {
--- a/injector/faults.go
+++ b/injector/faults.go
@@ -10,34 +10,35 @@
 )
 
 const (
-	killEntry    = "entry killed"
-	pauseEntry   = "entry paused"
-	stopEntry    = "entry stopped"
-	killSidecar  = "sidecar killed"
-	pauseSidecar = "sidecar paused"
-	stopSidecar  = "sidecar stopped"
-	killBackend  = "backend server killed"
-	logOutage    = "log outage"
-	logSlow      = "log slow"
-	logLoses     = "log answers lost"
-	withdraw     = "domain withdrawn"
+	killEntry        = "entry killed"
+	pauseEntry       = "entry paused"
+	stopEntry        = "entry stopped"
+	killSidecar      = "sidecar killed"
+	pauseSidecar     = "sidecar paused"
+	stopSidecar      = "sidecar stopped"
+	killBackend      = "backend server killed"
+	logOutage        = "log outage"
+	logSlow          = "log slow"
+	logDropResponses = "log answers lost"
+	withdraw         = "domain withdrawn"
 )
 
-// faultNames lists the faults. A schedule draws from it with equal chances.
+// faultNames lists the faults. A schedule selects from them with equal probability.
 var faultNames = []string{
-	killEntry, pauseEntry, stopEntry, killSidecar, pauseSidecar, stopSidecar, killBackend, logOutage, logSlow, logLoses,
-	withdraw,
+	killEntry, pauseEntry, stopEntry, killSidecar, pauseSidecar, stopSidecar, killBackend, logOutage, logSlow,
+	logDropResponses, withdraw,
 }
 
-// withdrawal is the time between an accepted withdrawal and the request to return the domain, in wall clock ms.
+// withdrawal is the period between the acceptance of a withdrawal and the request to return the domain. Times are wall
+// clock in ms.
 type withdrawal struct {
-	domain   string
-	accepted int64
-	returned int64
+	domain     string
+	acceptedAt int64
+	returnedAt int64
 }
 
-// faults injects faults until ctx ends. Faults overlap: each runs on its own goroutine.
-func (u *run) faults(ctx context.Context, r *rand.Rand) {
+// injectFaults injects faults until ctx is canceled. Faults may overlap: each runs in its own goroutine.
+func (u *run) injectFaults(ctx context.Context, r *rand.Rand) {
 	for {
 		wait := time.Duration(float64(u.plan.FaultEvery.Duration()) * (0.3 + 1.4*r.Float64()))
 		if !sleep(ctx, wait) {
@@ -48,115 +49,124 @@
 			names = faultNames
 		}
 		name := names[r.IntN(len(names))]
-		target, length := r.IntN(1<<20), time.Duration(300+r.IntN(3700))*time.Millisecond
+		target, duration := r.IntN(1<<20), time.Duration(300+r.IntN(3700))*time.Millisecond
 		u.mu.Lock()
 		u.report.Faults[name]++
 		u.mu.Unlock()
-		u.faulted.Add(1)
+		u.faultGroup.Add(1)
 		go func() {
-			defer u.faulted.Done()
-			u.inject(ctx, name, target, length)
+			defer u.faultGroup.Done()
+			u.inject(ctx, name, target, duration)
 		}()
 	}
 }
 
-func (u *run) inject(ctx context.Context, name string, target int, length time.Duration) {
+func (u *run) inject(ctx context.Context, name string, target int, duration time.Duration) {
 	f := u.fleet
 	entry, backend := target%f.Entries, target%f.Backends
 	switch name {
 	case killEntry:
-		u.restart(ctx, launcher.EntryName(entry), length, (*launcher.Process).Kill, func() error { return f.StartEntry(entry) })
+		u.restart(ctx, launcher.EntryName(entry), duration, (*launcher.Process).Kill, func() error { return f.StartEntry(entry) })
 	case stopEntry:
-		u.markStopped(entry)
-		u.restart(ctx, launcher.EntryName(entry), length, (*launcher.Process).Stop, func() error { return f.StartEntry(entry) })
+		u.recordStop(entry)
+		u.restart(ctx, launcher.EntryName(entry), duration, (*launcher.Process).Stop, func() error { return f.StartEntry(entry) })
 	case pauseEntry:
-		u.pause(ctx, launcher.EntryName(entry), length)
+		u.pause(ctx, launcher.EntryName(entry), duration)
 	case killSidecar:
-		u.restart(ctx, launcher.SidecarName(backend), length, (*launcher.Process).Kill, func() error { return f.StartSidecar(backend) })
+		u.restart(ctx, launcher.SidecarName(backend), duration, (*launcher.Process).Kill, func() error { return f.StartSidecar(backend) })
 	case stopSidecar:
-		u.restart(ctx, launcher.SidecarName(backend), length, (*launcher.Process).Stop, func() error { return f.StartSidecar(backend) })
+		u.restart(ctx, launcher.SidecarName(backend), duration, (*launcher.Process).Stop, func() error { return f.StartSidecar(backend) })
 	case pauseSidecar:
-		u.pause(ctx, launcher.SidecarName(backend), length)
+		u.pause(ctx, launcher.SidecarName(backend), duration)
 	case killBackend:
-		u.restart(ctx, launcher.BackendName(backend), length, (*launcher.Process).Kill, func() error { return f.StartBackend(backend) })
+		u.restart(ctx, launcher.BackendName(backend), duration, (*launcher.Process).Kill, func() error { return f.StartBackend(backend) })
 	case logOutage:
-		u.control(ctx, `{"outage":true}`, length, `{"outage":false}`)
+		u.injectLogFault(ctx, `{"outage":true}`, duration, `{"outage":false}`)
 	case logSlow:
-		u.control(ctx, `{"appendDelayMs":200,"readDelayMs":50}`, length, `{"appendDelayMs":4,"readDelayMs":0}`)
-	case logLoses:
-		u.control(ctx, `{"loseNext":3}`, 0, "")
+		u.injectLogFault(ctx, `{"appendDelayMs":200,"readDelayMs":50}`, duration, `{"appendDelayMs":4,"readDelayMs":0}`)
+	case logDropResponses:
+		u.injectLogFault(ctx, `{"loseNext":3}`, 0, "")
 	case withdraw:
-		u.withdraw(ctx, f.Domain(backend), entry, length)
+		u.withdraw(ctx, f.Domain(backend), entry, duration)
 	}
 }
 
-// restart ends a process and starts it again after a while. One process is restarted by one fault at a time.
-func (u *run) restart(ctx context.Context, name string, length time.Duration, end func(*launcher.Process), again func() error) {
+// restart terminates a process and starts it again after the downtime. Only one fault at a time may claim a process.
+func (u *run) restart(ctx context.Context, name string, downtime time.Duration, terminate func(*launcher.Process),
+	start func() error,
+) {
 	if !u.claim(name) {
 		return
 	}
 	defer u.release(name)
 	p := u.fleet.Process(name)
-	end(p)
-	if _, err := p.Wait(ctx); err != nil || !sleep(ctx, length) {
+	terminate(p)
+	if _, err := p.Wait(ctx); err != nil || !sleep(ctx, downtime) {
 		return
 	}
-	if err := again(); err != nil {
-		u.note("%s did not start again: %v", name, err)
+	if err := start(); err != nil {
+		u.addDetail("%s did not restart: %v", name, err)
 	}
 }
 
-func (u *run) pause(ctx context.Context, name string, length time.Duration) {
+func (u *run) pause(ctx context.Context, name string, duration time.Duration) {
 	if !u.claim(name) {
 		return
 	}
 	defer u.release(name)
 	p := u.fleet.Process(name)
 	p.Pause()
-	sleep(ctx, length)
+	sleep(ctx, duration)
 	p.Resume()
 }
 
-func (u *run) control(ctx context.Context, begin string, length time.Duration, end string) {
+func (u *run) injectLogFault(ctx context.Context, faultSettings string, duration time.Duration, normalSettings string) {
 	if !u.claim("log") {
 		return
 	}
 	defer u.release("log")
-	if err := u.fleet.ControlLog(begin); err != nil {
-		u.note("log control failed: %v", err)
+	if err := u.fleet.ControlLog(faultSettings); err != nil {
+		u.addDetail("log control request failed: %v", err)
 	}
-	if end == "" {
+	if normalSettings == "" {
 		return
 	}
-	sleep(ctx, length)
-	if err := u.fleet.ControlLog(end); err != nil {
-		u.note("log control failed: %v", err)
+	sleep(ctx, duration)
+	if err := u.fleet.ControlLog(normalSettings); err != nil {
+		u.addDetail("log control request failed: %v", err)
 	}
 }
 
-// withdraw withdraws a domain through an entry and returns it later, until the return is accepted.
-func (u *run) withdraw(ctx context.Context, domain string, entry int, length time.Duration) {
+// withdraw withdraws a domain through an entry, and returns it after a while. The return is retried until it is
+// accepted.
+func (u *run) withdraw(ctx context.Context, domain string, entry int, duration time.Duration) {
 	if !u.claim("domains") {
 		return
 	}
 	defer u.release("domains")
-	if !u.decide(ctx, entry, func(c server.Client) (server.Response, error) { return c.Withdraw(ctx, domain, "injector") }, 5) {
+	if !u.publishToAny(ctx, entry, func(c server.Client) (server.Response, error) {
+		return c.Withdraw(ctx, domain, "injector")
+	}, 5) {
 		return
 	}
-	w := withdrawal{domain: domain, accepted: time.Now().UnixMilli()}
-	sleep(ctx, 4*time.Second+length)
-	w.returned = time.Now().UnixMilli()
+	w := withdrawal{domain: domain, acceptedAt: time.Now().UnixMilli()}
+	sleep(ctx, 4*time.Second+duration)
+	w.returnedAt = time.Now().UnixMilli()
 	u.mu.Lock()
-	u.report.Withdrawn++
+	u.report.Withdrawals++
 	u.withdrawals = append(u.withdrawals, w)
 	u.mu.Unlock()
-	u.decide(ctx, entry, func(c server.Client) (server.Response, error) { return c.Return(ctx, domain, "injector") }, 100)
+	u.publishToAny(ctx, entry, func(c server.Client) (server.Response, error) {
+		return c.Return(ctx, domain, "injector")
+	}, 100)
 }
 
-// decide asks one entry after the other until one accepts.
-func (u *run) decide(ctx context.Context, entry int, ask func(server.Client) (server.Response, error), tries int) bool {
-	for i := range tries {
-		got, err := ask(server.Client{URL: u.fleet.EntryURL((entry + i) % u.fleet.Entries), Token: launcher.Token, HTTP: u.http})
+// publishToAny calls the entries in turn until one accepts the publication.
+func (u *run) publishToAny(ctx context.Context, entry int, publish func(server.Client) (server.Response, error),
+	attempts int,
+) bool {
+	for i := range attempts {
+		got, err := publish(server.Client{URL: u.fleet.EntryURL((entry + i) % u.fleet.Entries), Token: launcher.Token, HTTP: u.http})
 		if err == nil {
 			if p, err := server.DecodePublication(got.Body); err == nil && got.Status < 300 && p.Accepted {
 				return true
--- a/injector/report.go
+++ b/injector/report.go
@@ -8,42 +8,43 @@
 )
 
 type (
-	// Report counts what a run saw.
+	// Report holds the counts of a run.
 	Report struct {
-		Seed      uint64
-		Jobs      int
-		Complete  int
-		Failed    int // failed with a known outcome
-		Unknown   int // failed, outcome unknown
-		NotRun    int // refused for good, not run
-		NoAnswer  int // no final answer before the end of the run
-		Requests  int // calls of callers, resubmissions included
-		Tasks     int // tasks of complete jobs
-		Starts    int
-		Faults    map[string]int
-		Reasons   map[string]int // of failed jobs
-		Withdrawn int            // withdrawals accepted
+		Seed        uint64
+		Jobs        int
+		Complete    int
+		Failed      int // failed with a known outcome
+		Unknown     int // failed, outcome unknown
+		NotRun      int // rejected finally, not run
+		NoAnswer    int // no final answer before the end of the run
+		Requests    int // calls by callers, including resubmissions
+		Tasks       int // tasks of complete jobs
+		Starts      int
+		Faults      map[string]int
+		Reasons     map[string]int // failed jobs by reason
+		Withdrawals int            // accepted withdrawals
 
-		// The counts below are violations; each must be 0.
-		StartedTwice    int
-		StartedInDomain int // started in a withdrawn failure domain more than 3 s after the withdrawal was accepted
-		WrongAnswers    int // not the job's own results, or a partial answer
-		ChangedAnswers  int // two final answers to the same key
-		UntrueNotRun    int // answered "not run" though a task was started
-		CutOff          int // a caller's request cut off by a planned stop
+		// The counts below are violations and must be 0.
+		StartedTwice             int
+		StartedInWithdrawnDomain int // started in a withdrawn failure domain more than 3 s after the withdrawal was accepted
+		WrongAnswers             int // not the job's own results, or incomplete ones
+		ChangedAnswers           int // two different final answers for the same key
+		FalseNotRun              int // reported as not run although a task was started
+		InterruptedRequests      int // requests of callers interrupted by a planned stop
 
-		Details []string // at most a few of the violations
+		Details []string // the first violations and other details, at most maxDetails
 	}
 )
 
 const maxDetails = 20
 
-// Violations returns the number of broken promises.
+// Violations returns the number of violations.
 func (r *Report) Violations() int {
-	return r.StartedTwice + r.StartedInDomain + r.WrongAnswers + r.ChangedAnswers + r.UntrueNotRun + r.CutOff
+	return r.StartedTwice + r.StartedInWithdrawnDomain + r.WrongAnswers + r.ChangedAnswers + r.FalseNotRun +
+		r.InterruptedRequests
 }
 
-// String formats the report as text, one count a line.
+// String formats the report as text, one count per line.
 func (r *Report) String() string {
 	var b strings.Builder
 	rows := []struct {
@@ -52,9 +53,10 @@
 	}{
 		{"jobs", r.Jobs}, {"complete", r.Complete}, {"failed", r.Failed}, {"unknown", r.Unknown}, {"not run", r.NotRun},
 		{"no answer", r.NoAnswer}, {"requests", r.Requests}, {"tasks of complete jobs", r.Tasks}, {"starts", r.Starts},
-		{"withdrawals accepted", r.Withdrawn}, {"started twice", r.StartedTwice},
-		{"started in a withdrawn domain", r.StartedInDomain}, {"wrong answers", r.WrongAnswers},
-		{"changed answers", r.ChangedAnswers}, {"untrue not run", r.UntrueNotRun}, {"cut off by a planned stop", r.CutOff},
+		{"withdrawals accepted", r.Withdrawals}, {"started twice", r.StartedTwice},
+		{"started in a withdrawn domain", r.StartedInWithdrawnDomain}, {"wrong answers", r.WrongAnswers},
+		{"changed answers", r.ChangedAnswers}, {"untrue not run", r.FalseNotRun},
+		{"cut off by a planned stop", r.InterruptedRequests},
 	}
 	fmt.Fprintf(&b, "%-30s %d\n", "seed", r.Seed)
 	for _, x := range rows {
@@ -74,7 +76,7 @@
 	return b.String()
 }
 
-func (r *Report) violation(count *int, format string, args ...any) {
+func (r *Report) addViolation(count *int, format string, args ...any) {
 	*count++
 	if len(r.Details) < maxDetails {
 		r.Details = append(r.Details, "violation: "+fmt.Sprintf(format, args...))
--- a/injector/run.go
+++ b/injector/run.go
@@ -1,4 +1,5 @@
-// Package injector runs a fleet of separate processes under a seeded schedule of faults and counts broken promises.
+// Package injector runs a fleet of separate processes under a seeded schedule of faults and counts violations of the
+// guarantees.
 package injector
 
 import (
@@ -16,41 +17,41 @@
 )
 
 const (
-	// withdrawalBound is the time after an accepted withdrawal from which no task may start.
-	withdrawalBound = 3000 // ms
-	// drainBound is the time that a stopped entry has for its requests; it is the setting's default.
-	drainBound = 30_000 // ms
+	// withdrawalDeadline is the time after the acceptance of a withdrawal from which no task may start in the domain.
+	withdrawalDeadline = 3000 // ms
+	// drainTimeout is the time that a stopping entry has to finish its requests. It equals the default of the setting.
+	drainTimeout = 30_000 // ms
 )
 
 type (
-	// Plan says what to run. The zero value of a field stands for its default.
+	// Plan configures a run. A zero value selects the default of the field.
 	Plan struct {
-		Directory     string // holds the built programs
+		Directory     string // directory of the built programs
 		Seed          uint64
 		Length        timer.Millis // time during which jobs are submitted and faults injected; default 30 s
 		JobsPerSecond int          // default 20
 		FaultEvery    timer.Millis // mean time between faults; default 1 s
-		Faults        []string     // names of the faults to draw from; default all
-		Patience      timer.Millis // how long callers resubmit; default 40 s
-		Logs          string       // directory for the output of the processes; none when empty
+		Faults        []string     // names of the faults to select from; default all
+		Patience      timer.Millis // time for which callers resubmit a job; default 40 s
+		Logs          string       // directory for the output of the processes; not written if empty
 	}
 
 	run struct {
-		plan    Plan
-		fleet   *launcher.Fleet
-		http    *http.Client
-		faulted sync.WaitGroup
+		plan       Plan
+		fleet      *launcher.Fleet
+		http       *http.Client
+		faultGroup sync.WaitGroup
 
 		mu          sync.Mutex
 		report      Report
 		jobs        []*job
 		withdrawals []withdrawal
 		claimed     map[string]bool
-		stops       map[int]int64 // last planned stop of an entry, wall clock ms
+		stopTimes   map[int]int64 // time of the last planned stop by entry, wall clock in ms
 	}
 )
 
-// Run launches a fleet, runs the plan and returns the counts. The fleet ends with the run.
+// Run launches a fleet, executes the plan and returns the counts. The fleet is killed when Run returns.
 func Run(ctx context.Context, p Plan) (*Report, error) {
 	p = p.withDefaults()
 	ctx, cancel := context.WithCancel(ctx)
@@ -62,13 +63,13 @@
 		report: Report{
 			Seed: p.Seed, Faults: map[string]int{}, Reasons: map[string]int{},
 		},
-		claimed: map[string]bool{}, stops: map[int]int64{},
+		claimed: map[string]bool{}, stopTimes: map[int]int64{},
 	}
 	defer u.fleet.Close()
 	if err := u.fleet.Launch(ctx); err != nil {
 		return nil, err
 	}
-	u.work(ctx)
+	u.runWorkload(ctx)
 	u.check()
 	if p.Logs != "" {
 		if err := u.fleet.WriteLogs(p.Logs); err != nil {
@@ -86,7 +87,7 @@
 		p.JobsPerSecond = 20
 	}
 	if p.Patience == 0 {
-		p.Patience = defaultPatience
+		p.Patience = defaultResubmitTimeout
 	}
 	if p.FaultEvery == 0 {
 		p.FaultEvery = timer.Second
@@ -94,15 +95,16 @@
 	return p
 }
 
-// work submits jobs and injects faults for the length of the plan, then waits until faults have ended and callers are done.
-func (u *run) work(ctx context.Context) {
+// runWorkload submits jobs and injects faults for the duration of the plan, then waits for the faults to end and for
+// the callers to finish.
+func (u *run) runWorkload(ctx context.Context) {
 	r := rand.New(rand.NewPCG(u.plan.Seed, 7))
 	faultCtx, stopFaults := context.WithTimeout(ctx, u.plan.Length.Duration())
 	defer stopFaults()
-	u.faulted.Add(1)
+	u.faultGroup.Add(1)
 	go func() {
-		defer u.faulted.Done()
-		u.faults(faultCtx, rand.New(rand.NewPCG(u.plan.Seed, 8)))
+		defer u.faultGroup.Done()
+		u.injectFaults(faultCtx, rand.New(rand.NewPCG(u.plan.Seed, 8)))
 	}()
 	var callers sync.WaitGroup
 	for n := 0; faultCtx.Err() == nil; n++ {
@@ -110,43 +112,44 @@
 		u.mu.Lock()
 		u.jobs = append(u.jobs, j)
 		u.mu.Unlock()
-		own := rand.New(rand.NewPCG(u.plan.Seed, uint64(1000+n)))
+		jobRand := rand.New(rand.NewPCG(u.plan.Seed, uint64(1000+n)))
 		callers.Add(1)
 		go func() {
 			defer callers.Done()
-			u.submit(ctx, j, own)
+			u.submit(ctx, j, jobRand)
 		}()
 		sleep(faultCtx, time.Second/time.Duration(u.plan.JobsPerSecond))
 	}
-	u.faulted.Wait()
-	u.heal()
+	u.faultGroup.Wait()
+	u.restoreFleet()
 	callers.Wait()
 }
 
-// heal starts every process that is not running, so that the remaining callers can get their answers.
-func (u *run) heal() {
-	_ = u.fleet.ControlLog(`{"outage":false,"appendDelayMs":4,"readDelayMs":0}`) // checked by the answers that follow
+// restoreFleet restarts every process that is not running, so that the remaining callers can get their answers.
+func (u *run) restoreFleet() {
+	// An error shows in the job answers that follow.
+	_ = u.fleet.ControlLog(`{"outage":false,"appendDelayMs":4,"readDelayMs":0}`)
 	for i := range u.fleet.Backends {
-		u.revive(launcher.BackendName(i), func() error { return u.fleet.StartBackend(i) })
-		u.revive(launcher.SidecarName(i), func() error { return u.fleet.StartSidecar(i) })
+		u.ensureRunning(launcher.BackendName(i), func() error { return u.fleet.StartBackend(i) })
+		u.ensureRunning(launcher.SidecarName(i), func() error { return u.fleet.StartSidecar(i) })
 	}
 	for i := range u.fleet.Entries {
-		u.revive(launcher.EntryName(i), func() error { return u.fleet.StartEntry(i) })
+		u.ensureRunning(launcher.EntryName(i), func() error { return u.fleet.StartEntry(i) })
 	}
 }
 
-func (u *run) revive(name string, again func() error) {
+func (u *run) ensureRunning(name string, start func() error) {
 	p := u.fleet.Process(name)
 	p.Resume()
 	if p.Running() {
 		return
 	}
-	if err := again(); err != nil {
-		u.note("%s did not start again: %v", name, err)
+	if err := start(); err != nil {
+		u.addDetail("%s did not restart: %v", name, err)
 	}
 }
 
-// check compares answers and starts with the promises.
+// check verifies the guarantees against the answers and the starts.
 func (u *run) check() {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -161,7 +164,7 @@
 	}
 	for task, n := range perTask {
 		if n > 1 {
-			r.violation(&r.StartedTwice, "task %s was started %d times", task, n)
+			r.addViolation(&r.StartedTwice, "task %s was started %d times", task, n)
 		}
 	}
 	r.Starts, r.Jobs = len(starts), len(u.jobs)
@@ -170,11 +173,11 @@
 	}
 }
 
-func (u *run) checkDomain(s launcher.Start) {
+func (u *run) checkDomain(s launcher.TaskStart) {
 	for _, w := range u.withdrawals {
-		if u.fleet.Domain(s.Backend) == w.domain && s.Millis > w.accepted+withdrawalBound && s.Millis < w.returned {
-			u.report.violation(&u.report.StartedInDomain, "task %s started in %s %d ms after its withdrawal", s.Task, w.domain,
-				s.Millis-w.accepted)
+		if u.fleet.Domain(s.Backend) == w.domain && s.UnixMillis > w.acceptedAt+withdrawalDeadline && s.UnixMillis < w.returnedAt {
+			u.report.addViolation(&u.report.StartedInWithdrawnDomain, "task %s started in %s %d ms after its withdrawal",
+				s.Task, w.domain, s.UnixMillis-w.acceptedAt)
 		}
 	}
 }
@@ -183,22 +186,23 @@
 	r := &u.report
 	if len(j.answers) == 0 {
 		r.NoAnswer++
-		u.detail("%s: no answer after %d calls and %d starts; last: %s", j.Key, j.calls, starts, j.last)
+		u.addDetailLocked("%s: no answer after %d calls and %d starts; last: %s", j.Key, j.calls, starts, j.lastAttempt)
 		return
 	}
 	first := j.answers[0]
 	for _, a := range j.answers[1:] {
-		// A later "unknown" is allowed: the answer is lost when its owner and the sidecars that kept the results are.
+		// A later "unknown" is allowed: the answer is lost if its owner and the sidecars that kept the results are
+		// lost.
 		if a.State != first.State && a.Outcome != encoder.OutcomeUnknown && first.Outcome != encoder.OutcomeUnknown {
-			r.violation(&r.ChangedAnswers, "%s: %d (%s), then %d (%s)", j.Key, first.State, first.Reason, a.State, a.Reason)
+			r.addViolation(&r.ChangedAnswers, "%s: %d (%s), then %d (%s)", j.Key, first.State, first.Reason, a.State, a.Reason)
 		}
 	}
 	for _, a := range j.answers {
 		if a.State == encoder.JobComplete && !sameResults(a.Results, j.want) {
-			r.violation(&r.WrongAnswers, "%s: %d results, want %d of its own", j.Key, len(a.Results), len(j.want))
+			r.addViolation(&r.WrongAnswers, "%s: %d results, want %d of its own", j.Key, len(a.Results), len(j.want))
 		}
 		if a.State == encoder.JobFailed && a.Outcome == encoder.OutcomeNotRun && starts > 0 {
-			r.violation(&r.UntrueNotRun, "%s: %d starts, answered %q", j.Key, starts, a.Reason)
+			r.addViolation(&r.FalseNotRun, "%s: %d starts, answered %q", j.Key, starts, a.Reason)
 		}
 	}
 	if first.State == encoder.JobFailed {
@@ -229,20 +233,21 @@
 	return true
 }
 
-// checkCutOff counts a request that was open when its entry was asked to stop and that ended without an answer before
-// the entry's drain time was over. A request made after that may be refused.
-func (u *run) checkCutOff(j *job, err error, entry int, stoppedBefore int64) {
-	at := u.stops[entry]
-	if at == 0 || at == stoppedBefore || strings.Contains(err.Error(), "refused") {
+// checkInterrupted counts a request that was open when its entry was asked to stop and that failed before the entry's
+// drain timeout. An entry may refuse connections after it was asked to stop, so refused ones are not counted.
+func (u *run) checkInterrupted(j *job, err error, entry int, previousStop int64) {
+	stoppedAt := u.stopTimes[entry]
+	if stoppedAt == 0 || stoppedAt == previousStop || strings.Contains(err.Error(), "refused") {
 		return
 	}
-	if time.Now().UnixMilli()-at < drainBound && u.plan.onlyPlannedStops() {
-		u.report.violation(&u.report.CutOff, "%s: request at entry %d cut off by a planned stop: %v", j.Key, entry, err)
+	if time.Now().UnixMilli()-stoppedAt < drainTimeout && u.plan.onlyPlannedStops() {
+		u.report.addViolation(&u.report.InterruptedRequests, "%s: request at entry %d interrupted by a planned stop: %v",
+			j.Key, entry, err)
 	}
 }
 
-// onlyPlannedStops reports whether a request can only be cut off by a planned stop. With kills among the faults, a cut-off
-// request cannot be told apart from one that a kill ended.
+// onlyPlannedStops reports whether planned stops are the only faults that can interrupt a request. If the faults
+// include kills, an interrupted request cannot be attributed to a planned stop.
 func (p Plan) onlyPlannedStops() bool {
 	for _, f := range p.Faults {
 		if f != stopEntry && f != stopSidecar && f != withdraw {
@@ -268,26 +273,26 @@
 	delete(u.claimed, name)
 }
 
-func (u *run) markStopped(entry int) {
+func (u *run) recordStop(entry int) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	u.stops[entry] = time.Now().UnixMilli()
+	u.stopTimes[entry] = time.Now().UnixMilli()
 }
 
-func (u *run) stopped(entry int) int64 {
+func (u *run) lastStop(entry int) int64 {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	return u.stops[entry]
+	return u.stopTimes[entry]
 }
 
-func (u *run) note(format string, args ...any) {
+func (u *run) addDetail(format string, args ...any) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	u.detail(format, args...)
+	u.addDetailLocked(format, args...)
 }
 
-// detail adds a line to the report. The caller holds the lock.
-func (u *run) detail(format string, args ...any) {
+// addDetailLocked adds a line to the report. The caller holds the lock.
+func (u *run) addDetailLocked(format string, args ...any) {
 	if len(u.report.Details) < maxDetails {
 		u.report.Details = append(u.report.Details, fmt.Sprintf(format, args...))
 	}
--- a/injector/run_test.go
+++ b/injector/run_test.go
@@ -9,8 +9,9 @@
 	"github.com/crocuslb/crocuslb/timer"
 )
 
-// TestRun is the short fixed part of the fault runner: separate processes under kills, pauses, planned stops, log outages
-// and a withdrawal. It guards every promise that the runner counts; how many jobs complete is no part of the verdict.
+// TestRun is a short run of the fault runner with a fixed seed: separate processes under kills, pauses, planned stops,
+// log outages and withdrawals. It requires zero violations of every kind; the number of complete jobs is only required
+// to be positive.
 func TestRun(t *testing.T) {
 	ctx, cancel := context.WithTimeout(context.Background(), 4*time.Minute)
 	defer cancel()
@@ -27,6 +28,6 @@
 		t.Errorf("got %d violations, want 0:\n%s", got, report)
 	}
 	if report.Complete == 0 {
-		t.Error("no job was complete, so nothing was tried")
+		t.Error("no job completed, so the run tested nothing")
 	}
 }
--- a/launcher/fleet.go
+++ b/launcher/fleet.go
@@ -1,5 +1,5 @@
-// Package launcher runs a fleet of separate processes on loopback for tests and for the fault runner: the log and
-// backend server doubles, entries and sidecars. The product itself starts no process.
+// Package launcher runs a fleet of crocuslb processes on loopback for tests and the fault runner: the emulated
+// log and backend servers, the entries and the sidecars. The product itself starts no processes.
 package launcher
 
 import (
@@ -24,41 +24,41 @@
 
 const (
 	secret = "a secret for one run on loopback only"
-	// Token is the operators' token of the fleet.
+	// Token is the token with which operators authenticate to the fleet.
 	Token = "operator-token-of-the-fleet"
 )
 
 type (
-	// Start is one start of a task at a backend server.
-	Start struct {
-		Task    string
-		Backend int
-		Millis  int64 // wall clock, ms since 1970
+	// TaskStart is one start of a task on a backend server.
+	TaskStart struct {
+		Task       string
+		Backend    int
+		UnixMillis int64 // wall-clock time in ms since the Unix epoch
 	}
 
-	// Fleet is a set of processes. Set Directory and the sizes before Launch.
+	// Fleet is a set of processes. Set the directory and the sizes before calling Launch.
 	Fleet struct {
-		Directory string // holds the built programs
-		Entries   int
-		Backends  int
-		Domains   int
-		Slots     int
-		Members   bool // the entries and sidecars take part in membership
+		Directory  string // directory of the built programs
+		Entries    int
+		Backends   int
+		Domains    int
+		Slots      int
+		Membership bool // whether entries and sidecars join the membership protocol
 
-		ctx       context.Context
-		mu        sync.Mutex
-		processes map[string]*Process
-		ended     []*Process // replaced by newer ones of the same name
-		starts    []Start
-		logURL    string
-		backends  []string
-		quic      []string
-		http      []string
-		members   []string // member addresses of the entries
+		ctx              context.Context
+		mu               sync.Mutex
+		processes        map[string]*Process
+		replaced         []*Process // processes replaced by a newer one of the same name
+		starts           []TaskStart
+		logURL           string
+		backendURLs      []string
+		sessionAddresses []string
+		httpAddresses    []string
+		memberAddresses  []string // membership addresses of the entries
 	}
 )
 
-// Build compiles the programs into a directory. It runs the Go tool in the module that contains the working directory.
+// Build compiles the programs into a directory. It runs the go command in the module of the working directory.
 func Build(ctx context.Context, directory string) error {
 	for _, name := range []string{"crocuslb", "emulator", "platformnode"} {
 		c := exec.CommandContext(ctx, "go", "build", "-o", filepath.Join(directory, name), //nolint:gosec // the names are constant
@@ -70,26 +70,28 @@
 	return nil
 }
 
-// Launch starts all processes and returns when the log, backends and entries listen. The processes end with ctx.
+// Launch starts all processes and returns once the log, the backend servers and the entries are listening. The
+// processes are killed when ctx is canceled.
 func (f *Fleet) Launch(ctx context.Context) error {
 	f.ctx, f.processes = ctx, map[string]*Process{}
-	f.backends = make([]string, f.Backends)
+	f.backendURLs = make([]string, f.Backends)
 	for range f.Entries {
-		quic, err := freePort("udp")
+		sessionAddress, err := freeAddress("udp")
 		if err != nil {
 			return err
 		}
-		web, err := freePort("tcp")
+		httpAddress, err := freeAddress("tcp")
 		if err != nil {
 			return err
 		}
-		f.quic, f.http = append(f.quic, quic), append(f.http, web)
-		if f.Members {
-			member, err := freePort("udp")
+		f.sessionAddresses, f.httpAddresses = append(f.sessionAddresses, sessionAddress),
+			append(f.httpAddresses, httpAddress)
+		if f.Membership {
+			member, err := freeAddress("udp")
 			if err != nil {
 				return err
 			}
-			f.members = append(f.members, member)
+			f.memberAddresses = append(f.memberAddresses, member)
 		}
 	}
 	if err := f.StartLog(); err != nil {
@@ -113,11 +115,11 @@
 	return nil
 }
 
-// Close kills all processes and waits until they have ended. Without the wait, a program that exits right after it canceled
-// the context would leave processes behind.
+// Close kills all processes and waits for them to exit. Without the wait, a program that exits right after canceling
+// the context would leave processes running.
 func (f *Fleet) Close() {
 	f.mu.Lock()
-	running := slices.Concat(f.ended, slices.Collect(maps.Values(f.processes)))
+	running := slices.Concat(f.replaced, slices.Collect(maps.Values(f.processes)))
 	f.mu.Unlock()
 	for _, p := range running {
 		p.Kill()
@@ -127,73 +129,74 @@
 	}
 }
 
-// StartLog starts the log double, or starts it again empty on the same address.
+// StartLog starts the log emulator, or restarts it, empty, on the same address.
 func (f *Fleet) StartLog() error {
 	address := strings.TrimPrefix(f.logURL, "http://")
 	if address == "" {
 		address = "127.0.0.1:0"
 	}
-	url, err := f.startDouble("log", nil, "log", "-address", address)
+	url, err := f.startEmulator("log", nil, "log", "-address", address)
 	f.logURL = url
 	return err
 }
 
-// StartBackend starts backend server i, or starts it again on the same address.
+// StartBackend starts backend server i, or restarts it on the same address.
 func (f *Fleet) StartBackend(i int) error {
-	address := strings.TrimPrefix(f.backends[i], "http://")
+	address := strings.TrimPrefix(f.backendURLs[i], "http://")
 	if address == "" {
 		address = "127.0.0.1:0"
 	}
-	url, err := f.startDouble(BackendName(i), func(line string) { f.note(i, line) }, "backend", "-address", address,
-		"-slots", strconv.Itoa(f.Slots))
-	f.backends[i] = url
+	url, err := f.startEmulator(BackendName(i), func(line string) { f.recordStart(i, line) },
+		"backend", "-address", address, "-slots", strconv.Itoa(f.Slots))
+	f.backendURLs[i] = url
 	return err
 }
 
-// StartEntry starts entry i, or starts it again on the same addresses.
+// StartEntry starts entry i, or restarts it on the same addresses.
 func (f *Fleet) StartEntry(i int) error {
 	args := []string{
-		"entry", "-id", EntryName(i), "-httpAddress", f.http[i], "-address", f.quic[i], "-logUrl", f.logURL, "-secret", secret,
-		"-token", Token,
+		"entry", "-id", EntryName(i), "-httpAddress", f.httpAddresses[i], "-address", f.sessionAddresses[i],
+		"-logUrl", f.logURL, "-secret", secret, "-token", Token,
 	}
-	if f.Members {
-		args = append(args, f.memberArgs(f.members[i])...)
+	if f.Membership {
+		args = append(args, f.membershipArgs(f.memberAddresses[i])...)
 	}
 	return f.start(EntryName(i), nil, "crocuslb", args...)
 }
 
-// StartSidecar starts the sidecar beside backend server i.
+// StartSidecar starts the sidecar of backend server i.
 func (f *Fleet) StartSidecar(i int) error {
 	args := []string{
 		"sidecar", "-id", SidecarName(i), "-domain", f.Domain(i), "-worker", "worker-" + strconv.Itoa(i),
-		"-slots", strconv.Itoa(f.Slots), "-backendUrl", f.backends[i], "-entries", strings.Join(f.quic, ","), "-secret", secret,
+		"-slots", strconv.Itoa(f.Slots), "-backendUrl", f.backendURLs[i],
+		"-entries", strings.Join(f.sessionAddresses, ","), "-secret", secret,
 	}
-	if f.Members {
-		args = append(args, f.memberArgs("127.0.0.1:0")...)
+	if f.Membership {
+		args = append(args, f.membershipArgs("127.0.0.1:0")...)
 	}
 	return f.start(SidecarName(i), nil, "crocuslb", args...)
 }
 
-func (f *Fleet) memberArgs(address string) []string {
-	return []string{"-memberAddress", address, "-memberSeeds", strings.Join(f.members, ",")}
+func (f *Fleet) membershipArgs(address string) []string {
+	return []string{"-memberAddress", address, "-memberSeeds", strings.Join(f.memberAddresses, ",")}
 }
 
-// Process returns the running process of a name, or nil.
+// Process returns the latest process with the given name, or nil.
 func (f *Fleet) Process(name string) *Process {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.processes[name]
 }
 
-// WriteLogs writes the output of all processes so far into a directory, one file for each name.
+// WriteLogs writes the output of all processes so far into a directory, one file per process name.
 func (f *Fleet) WriteLogs(directory string) error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	texts := map[string]string{}
-	for _, p := range append(f.ended[:len(f.ended):len(f.ended)], slices.Collect(maps.Values(f.processes))...) {
-		texts[p.Name] += p.Tail(maxLines) + "\n"
+	outputs := map[string]string{}
+	for _, p := range append(f.replaced[:len(f.replaced):len(f.replaced)], slices.Collect(maps.Values(f.processes))...) {
+		outputs[p.Name] += p.Tail(maxLines) + "\n"
 	}
-	for name, text := range texts {
+	for name, text := range outputs {
 		if err := os.WriteFile(filepath.Join(directory, name+".log"), []byte(text), 0o600); err != nil {
 			return trace.ConvertSystemError(err)
 		}
@@ -201,41 +204,41 @@
 	return nil
 }
 
-// Starts returns all starts so far, at backend servers that are alive and at those that were killed.
-func (f *Fleet) Starts() []Start {
+// Starts returns all task starts so far, including those on backend servers that have been killed since.
+func (f *Fleet) Starts() []TaskStart {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return append([]Start(nil), f.starts...)
+	return append([]TaskStart(nil), f.starts...)
 }
 
 // EntryURL returns the base URL of entry i.
-func (f *Fleet) EntryURL(i int) string { return "http://" + f.http[i] }
+func (f *Fleet) EntryURL(i int) string { return "http://" + f.httpAddresses[i] }
 
-// EntryAddress returns the address at which sidecars reach entry i.
-func (f *Fleet) EntryAddress(i int) string { return f.quic[i] }
+// EntryAddress returns the address to which sidecars connect at entry i.
+func (f *Fleet) EntryAddress(i int) string { return f.sessionAddresses[i] }
 
-// Keys returns the keys of the sessions between the processes.
+// Keys returns the TLS configuration of the sessions between processes.
 func (f *Fleet) Keys() (*tls.Config, error) { return messenger.Keys(secret) }
 
 // BackendURL returns the base URL of backend server i.
-func (f *Fleet) BackendURL(i int) string { return f.backends[i] }
+func (f *Fleet) BackendURL(i int) string { return f.backendURLs[i] }
 
 // Domain returns the failure domain of backend server i.
 func (f *Fleet) Domain(i int) string { return "domain-" + strconv.Itoa(i%f.Domains) }
 
-// ControlLog changes the settings of the log double; body is its JSON control request.
+// ControlLog changes the settings of the log emulator. The body is a JSON control request.
 func (f *Fleet) ControlLog(body string) error {
-	q, err := http.NewRequestWithContext(f.ctx, http.MethodPost, f.logURL+"/control", strings.NewReader(body))
+	request, err := http.NewRequestWithContext(f.ctx, http.MethodPost, f.logURL+"/control", strings.NewReader(body))
 	if err != nil {
 		return trace.Wrap(err)
 	}
-	r, err := http.DefaultClient.Do(q)
+	response, err := http.DefaultClient.Do(request)
 	if err != nil {
 		return trace.Wrap(err)
 	}
-	defer func() { _ = r.Body.Close() }() // nothing is left to read
-	if r.StatusCode != http.StatusOK {
-		return trace.BadParameter("log control answered %s", r.Status)
+	defer func() { _ = response.Body.Close() }() // nothing is left to read
+	if response.StatusCode != http.StatusOK {
+		return trace.BadParameter("log control request failed: status %s", response.Status)
 	}
 	return nil
 }
@@ -249,31 +252,31 @@
 // BackendName returns the process name of backend server i.
 func BackendName(i int) string { return "backend-" + strconv.Itoa(i) }
 
-func (f *Fleet) startDouble(name string, onLine func(string), args ...string) (string, error) {
+func (f *Fleet) startEmulator(name string, onLine func(string), args ...string) (string, error) {
 	if err := f.start(name, onLine, "emulator", args...); err != nil {
 		return "", err
 	}
-	line, err := f.Process(name).WaitLine(f.ctx, "listening ")
+	line, err := f.Process(name).WaitForLine(f.ctx, "listening ")
 	return strings.TrimPrefix(line, "listening "), err
 }
 
 func (f *Fleet) start(name string, onLine func(string), program string, args ...string) error {
-	p, err := start(f.ctx, name, onLine, filepath.Join(f.Directory, program), args...)
+	p, err := startProcess(f.ctx, name, onLine, filepath.Join(f.Directory, program), args...)
 	if err != nil {
 		return err
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if old := f.processes[name]; old != nil {
-		f.ended = append(f.ended, old)
+		f.replaced = append(f.replaced, old)
 	}
 	f.processes[name] = p
 	return nil
 }
 
-func (f *Fleet) note(backend int, line string) {
-	s := Start{Backend: backend}
-	if n, _ := fmt.Sscanf(line, "start %d %s", &s.Millis, &s.Task); n != 2 {
+func (f *Fleet) recordStart(backend int, line string) {
+	s := TaskStart{Backend: backend}
+	if n, _ := fmt.Sscanf(line, "start %d %s", &s.UnixMillis, &s.Task); n != 2 {
 		return
 	}
 	f.mu.Lock()
@@ -281,8 +284,8 @@
 	f.starts = append(f.starts, s)
 }
 
-// freePort returns a loopback address that was free a moment ago.
-func freePort(network string) (string, error) {
+// freeAddress returns a loopback address whose port was free at the time of the call.
+func freeAddress(network string) (string, error) {
 	if network == "udp" {
 		c, err := net.ListenPacket("udp", "127.0.0.1:0") //nolint:noctx // returns at once
 		if err != nil {
--- a/launcher/path_test.go
+++ b/launcher/path_test.go
@@ -16,8 +16,9 @@
 
 const jobsPerPhase = 12
 
-// TestPath guards the whole path: entries, sidecars, the log and backend servers as separate processes, one of each
-// killed while jobs run. Every job must end complete with its own results or failed, and no task may start twice.
+// TestPath guards the whole path through entries, sidecars, the log and backend servers as separate processes, one of
+// each kind killed while jobs run. Every job must end complete with its own results or failed, and no task may start
+// twice.
 func TestPath(t *testing.T) {
 	ctx, cancel := context.WithTimeout(context.Background(), 4*time.Minute)
 	defer cancel()
@@ -65,7 +66,8 @@
 	}
 }
 
-// runPhase submits jobs to all entries, kills a process while they run, and submits again until each job has an answer.
+// runPhase submits jobs to all entries, kills a process while they run, and resubmits until each job has a final
+// answer.
 func runPhase(ctx context.Context, f *launcher.Fleet, n int, kill string) map[string]encoder.Answer {
 	var mu sync.Mutex
 	answers := map[string]encoder.Answer{}
@@ -75,10 +77,10 @@
 		callers.Add(1)
 		go func() {
 			defer callers.Done()
-			a := submit(ctx, f, key, i)
+			answer := submit(ctx, f, key, i)
 			mu.Lock()
 			defer mu.Unlock()
-			answers[key] = a
+			answers[key] = answer
 		}()
 	}
 	if kill != "" {
@@ -88,8 +90,8 @@
 	return answers
 }
 
-// submit calls one entry after the other until the job has ended. A wrong result is reported as a running job, which
-// fails the test.
+// submit calls the entries in turn until the job has ended. A wrong result is reported as a running job, which fails
+// the test.
 func submit(ctx context.Context, f *launcher.Fleet, key string, entry int) encoder.Answer {
 	tasks := make([]string, 1+entry%4)
 	for i := range tasks {
@@ -104,16 +106,16 @@
 		cancel()
 		if err == nil && got.Status != http.StatusServiceUnavailable {
 			a, err := server.DecodeAnswer(got.Body)
-			if err == nil && a.State == encoder.JobFailed || err == nil && a.State == encoder.JobComplete && own(a, key, len(tasks)) {
+			if err == nil && a.State == encoder.JobFailed || err == nil && a.State == encoder.JobComplete && hasOwnResults(a, key, len(tasks)) {
 				return a
 			}
 		}
-		time.Sleep(100 * time.Millisecond) // between calls; no verdict depends on it
+		time.Sleep(100 * time.Millisecond) // delay between calls; no assertion depends on it
 	}
 	return encoder.Answer{Key: key, State: encoder.JobRunning}
 }
 
-func own(a encoder.Answer, key string, tasks int) bool {
+func hasOwnResults(a encoder.Answer, key string, tasks int) bool {
 	for i, r := range a.Results {
 		if string(r.Body) != fmt.Sprintf("%s/%d", key, i) {
 			return false
--- a/launcher/process.go
+++ b/launcher/process.go
@@ -14,38 +14,38 @@
 )
 
 type (
-	// Process is a started program. Its output is read line by line.
+	// Process is a started program whose output is read line by line.
 	Process struct {
 		Name string
 
-		command *exec.Cmd
-		done    chan struct{}
-		code    int
+		command  *exec.Cmd
+		done     chan struct{}
+		exitCode int
 
-		mu    sync.Mutex
-		lines []string
-		wait  []lineWait
+		mu      sync.Mutex
+		lines   []string
+		waiters []lineWaiter
 	}
 
-	lineWait struct {
-		prefix string
-		found  chan string
+	lineWaiter struct {
+		text string
+		line chan string
 	}
 )
 
-// maxLines bounds the kept output of one process.
+// maxLines limits the number of output lines kept per process.
 const maxLines = 200_000
 
-// StartProgram runs a program that Build made. It is killed when ctx ends.
+// StartProgram runs a program built by Build. The process is killed when ctx is canceled.
 func StartProgram(ctx context.Context, name, program string, args ...string) (*Process, error) {
-	return start(ctx, name, nil, program, args...)
+	return startProcess(ctx, name, nil, program, args...)
 }
 
-// start runs the program. onLine is called for each line of its standard output.
-func start(ctx context.Context, name string, onLine func(line string), program string, args ...string) (*Process, error) {
+// startProcess runs the program and calls onLine for each line of its standard output.
+func startProcess(ctx context.Context, name string, onLine func(line string), program string, args ...string) (*Process, error) {
 	p := &Process{Name: name, done: make(chan struct{})}
-	p.command = exec.CommandContext(ctx, program, args...) //nolint:gosec // runs the programs that Build made
-	p.command.Stderr = &lineWriter{line: func(line string) { p.add(line) }}
+	p.command = exec.CommandContext(ctx, program, args...) //nolint:gosec // runs only programs built by Build
+	p.command.Stderr = &lineWriter{onLine: func(line string) { p.addLine(line) }}
 	out, err := p.command.StdoutPipe()
 	if err != nil {
 		return nil, trace.Wrap(err)
@@ -53,48 +53,49 @@
 	if err := p.command.Start(); err != nil {
 		return nil, trace.Wrap(err)
 	}
-	go p.read(out, onLine)
+	go p.readOutput(out, onLine)
 	return p, nil
 }
 
-func (p *Process) read(out io.Reader, onLine func(line string)) {
+func (p *Process) readOutput(out io.Reader, onLine func(line string)) {
 	s := bufio.NewScanner(out)
 	for s.Scan() {
-		p.add(s.Text())
+		p.addLine(s.Text())
 		if onLine != nil {
 			onLine(s.Text())
 		}
 	}
-	_ = p.command.Wait() // the exit status is read below
-	p.code = p.command.ProcessState.ExitCode()
+	_ = p.command.Wait() // the exit code is read below
+	p.exitCode = p.command.ProcessState.ExitCode()
 	p.mu.Lock()
-	for _, w := range p.wait {
-		close(w.found)
+	for _, w := range p.waiters {
+		close(w.line)
 	}
-	p.wait = nil
+	p.waiters = nil
 	close(p.done)
 	p.mu.Unlock()
 }
 
-func (p *Process) add(line string) {
+func (p *Process) addLine(line string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if len(p.lines) < maxLines {
 		p.lines = append(p.lines, line)
 	}
-	kept := p.wait[:0]
-	for _, w := range p.wait {
-		if strings.Contains(line, w.prefix) {
-			w.found <- line
+	remaining := p.waiters[:0]
+	for _, w := range p.waiters {
+		if strings.Contains(line, w.text) {
+			w.line <- line
 		} else {
-			kept = append(kept, w)
+			remaining = append(remaining, w)
 		}
 	}
-	p.wait = kept
+	p.waiters = remaining
 }
 
-// WaitLine returns the first line of output that contains text, or an error when the process or ctx ends before.
-func (p *Process) WaitLine(ctx context.Context, text string) (string, error) {
+// WaitForLine returns the first line of output that contains text, or an error if the process exits or ctx is canceled
+// first.
+func (p *Process) WaitForLine(ctx context.Context, text string) (string, error) {
 	p.mu.Lock()
 	for _, l := range p.lines {
 		if strings.Contains(l, text) {
@@ -102,19 +103,19 @@
 			return l, nil
 		}
 	}
-	w := lineWait{text, make(chan string, 1)}
+	w := lineWaiter{text, make(chan string, 1)}
 	select {
 	case <-p.done:
 		p.mu.Unlock()
-		return "", trace.NotFound("%s ended without printing %q: %s", p.Name, text, p.Tail(5))
+		return "", trace.NotFound("%s exited without printing %q: %s", p.Name, text, p.Tail(5))
 	default:
 	}
-	p.wait = append(p.wait, w)
+	p.waiters = append(p.waiters, w)
 	p.mu.Unlock()
 	select {
-	case l, ok := <-w.found:
+	case l, ok := <-w.line:
 		if !ok {
-			return "", trace.NotFound("%s ended without printing %q: %s", p.Name, text, p.Tail(5))
+			return "", trace.NotFound("%s exited without printing %q: %s", p.Name, text, p.Tail(5))
 		}
 		return l, nil
 	case <-ctx.Done():
@@ -129,32 +130,32 @@
 	return strings.Join(p.lines[max(0, len(p.lines)-n):], "\n")
 }
 
-// PID returns the identifier that the operating system gave to the process.
+// PID returns the process ID.
 func (p *Process) PID() int { return p.command.Process.Pid }
 
-// Kill ends the process at once.
+// Kill sends SIGKILL.
 func (p *Process) Kill() { p.signal(syscall.SIGKILL) }
 
-// Pause stops the process without ending it.
+// Pause suspends the process with SIGSTOP.
 func (p *Process) Pause() { p.signal(syscall.SIGSTOP) }
 
-// Resume lets a paused process go on.
+// Resume continues a suspended process.
 func (p *Process) Resume() { p.signal(syscall.SIGCONT) }
 
-// Stop asks the process to end.
+// Stop requests termination with SIGTERM.
 func (p *Process) Stop() { p.signal(syscall.SIGTERM) }
 
-// Wait returns the exit status once the process has ended.
+// Wait waits for the process to exit and returns its exit code.
 func (p *Process) Wait(ctx context.Context) (int, error) {
 	select {
 	case <-p.done:
-		return p.code, nil
+		return p.exitCode, nil
 	case <-ctx.Done():
-		return 0, trace.Wrap(ctx.Err(), "%s did not end: %s", p.Name, p.Tail(5))
+		return 0, trace.Wrap(ctx.Err(), "%s did not exit: %s", p.Name, p.Tail(5))
 	}
 }
 
-// Running reports whether the process has not ended.
+// Running reports whether the process has not exited yet.
 func (p *Process) Running() bool {
 	select {
 	case <-p.done:
@@ -165,24 +166,24 @@
 }
 
 func (p *Process) signal(s os.Signal) {
-	_ = p.command.Process.Signal(s) // it has ended when this fails
+	_ = p.command.Process.Signal(s) // fails only if the process has already exited
 }
 
-// lineWriter splits what is written to it into lines.
+// lineWriter calls onLine for each complete line written to it.
 type lineWriter struct {
-	line func(line string)
-	rest string
+	onLine  func(line string)
+	partial string
 }
 
-// Write is part of io.Writer.
+// Write implements io.Writer.
 func (w *lineWriter) Write(b []byte) (int, error) {
-	w.rest += string(b)
+	w.partial += string(b)
 	for {
-		line, rest, found := strings.Cut(w.rest, "\n")
+		line, rest, found := strings.Cut(w.partial, "\n")
 		if !found {
 			return len(b), nil
 		}
-		w.line(line)
-		w.rest = rest
+		w.onLine(line)
+		w.partial = rest
 	}
 }
--- a/soaker/callers.go
+++ b/soaker/callers.go
@@ -14,104 +14,104 @@
 )
 
 const (
-	// resendPause is how long a caller waits before it sends a job again after it got no answer.
-	resendPause = 1300 * time.Millisecond
-	maxSends    = 4
-	callerWait  = 2 * time.Second
-	leaveShare  = 0.05 // of the callers leave early
-	estimate    = 400  // ms that callers expect of a task
-	keptEvery   = 3    // each third job is a kept one
-	// keptTime is the time after the last fault in which all accepted kept jobs end.
-	keptTime = 10 * time.Second
+	// resendDelay is the delay before a caller resubmits a job that got no response.
+	resendDelay     = 1300 * time.Millisecond
+	maxAttempts     = 4
+	callTimeout     = 2 * time.Second
+	abandonFraction = 0.05 // fraction of the callers that abandon the call early
+	taskEstimateMs  = 400  // run time of a task as estimated by callers, in ms
+	durableEvery    = 3    // every third job is durable
+	// durableJobTimeout is the time after the last fault within which all accepted durable jobs must end.
+	durableJobTimeout = 10 * time.Second
 )
 
-// sendJobs sends jobs until disturbed ends, each from a goroutine of callers.
-func (s *soak) sendJobs(disturbed, ctx context.Context, callers *sync.WaitGroup) { //nolint:revive // the two contexts are equals
+// sendJobs submits jobs until faultCtx is canceled, each from a goroutine of callers.
+func (s *soak) sendJobs(faultCtx, ctx context.Context, callers *sync.WaitGroup) { //nolint:revive // the two contexts are equals
 	r := rand.New(rand.NewPCG(s.plan.Seed, 5))
 	gap := time.Second / time.Duration(s.plan.JobsPerSecond)
-	for n := 0; disturbed.Err() == nil; n++ {
+	for n := 0; faultCtx.Err() == nil; n++ {
 		id := fmt.Sprintf("%016x", uint64(n)+1<<20)
 		tasks, spec, entry := 1+r.IntN(5), fmt.Sprint(10+r.IntN(200)), r.IntN(s.plan.Entries)
-		leaves := r.Float64() < leaveShare
-		if n%keptEvery == 0 {
-			callers.Go(func() { s.sendKept(ctx, id, tasks, spec, entry) })
+		abandons := r.Float64() < abandonFraction
+		if n%durableEvery == 0 {
+			callers.Go(func() { s.sendDurableJob(ctx, id, tasks, spec, entry) })
 		} else {
-			callers.Go(func() { s.sendJob(ctx, id, tasks, spec, entry, leaves) })
+			callers.Go(func() { s.sendJob(ctx, id, tasks, spec, entry, abandons) })
 		}
 		time.Sleep(time.Duration(float64(gap) * 2 * r.Float64()))
 	}
 }
 
-// sendJob sends a job until it is answered, at another entry each time.
-func (s *soak) sendJob(ctx context.Context, id string, tasks int, spec string, entry int, leaves bool) {
+// sendJob submits a job until it gets a response, at another entry each time.
+func (s *soak) sendJob(ctx context.Context, id string, tasks int, spec string, entry int, abandons bool) {
 	var attempts []attempt
-	for range maxSends {
-		wait := callerWait
-		if leaves {
+	for range maxAttempts {
+		wait := callTimeout
+		if abandons {
 			wait = 50 * time.Millisecond
 		}
 		status, body := s.post(ctx, entry, id, tasks, spec, wait)
 		attempts = append(attempts, attempt{status, body})
-		if status != 0 && status != http.StatusGatewayTimeout && status != http.StatusBadGateway || leaves || ctx.Err() != nil {
+		if status != 0 && status != http.StatusGatewayTimeout && status != http.StatusBadGateway || abandons || ctx.Err() != nil {
 			break
 		}
-		time.Sleep(resendPause)
+		time.Sleep(resendDelay)
 		entry = (entry + 1) % s.plan.Entries
 	}
 	if ctx.Err() == nil {
-		s.checks.onAnswered(id, tasks, attempts)
+		s.checker.onResponses(id, tasks, attempts)
 	}
 }
 
-// sendKept hands a kept job in until it is accepted or refused.
-func (s *soak) sendKept(ctx context.Context, id string, tasks int, spec string, entry int) {
+// sendDurableJob submits a durable job until it is accepted or rejected.
+func (s *soak) sendDurableJob(ctx context.Context, id string, tasks int, spec string, entry int) {
 	unknown := false
-	for range maxSends {
-		r, err := platformtest.NewDurableJobRequest(s.address(1+entry, callersPort), prefix, id, tasks, spec, estimate, int(callerWait.Milliseconds()))
+	for range maxAttempts {
+		r, err := platformtest.NewDurableJobRequest(s.address(1+entry, callersPort), prefix, id, tasks, spec, taskEstimateMs, int(callTimeout.Milliseconds()))
 		if err != nil {
-			s.checks.violate("job %s: %v", id, err)
+			s.checker.addViolation("job %s: %v", id, err)
 			return
 		}
-		status, body := s.do(ctx, r, callerWait)
+		status, body := s.do(ctx, r, callTimeout)
 		switch {
 		case status == http.StatusOK:
-			s.checks.onAccepted(id, tasks)
+			s.checker.onAccepted(id, tasks)
 			return
 		case status == http.StatusServiceUnavailable && !unknown:
-			s.checks.onAnswered(id, tasks, []attempt{{status, body}})
+			s.checker.onResponses(id, tasks, []attempt{{status, body}})
 			return
 		}
 		unknown = true
-		time.Sleep(resendPause)
+		time.Sleep(resendDelay)
 		entry = (entry + 1) % s.plan.Entries
 	}
 }
 
-// awaitKept returns what went wrong with the accepted kept jobs: each has an end that every entry knows.
-func (s *soak) awaitKept(ctx context.Context) (missed []string) {
-	limit := time.Now().Add(keptTime)
-	for _, id := range s.checks.acceptedJobs() {
+// awaitDurableJobs waits until every entry reports an end of each accepted durable job, and returns the failures.
+func (s *soak) awaitDurableJobs(ctx context.Context) (failures []string) {
+	deadline := time.Now().Add(durableJobTimeout)
+	for _, id := range s.checker.acceptedJobs() {
 		for i := range s.plan.Entries {
 			state := ""
-			for state != "succeeded" && state != "failed" && time.Now().Before(limit) && ctx.Err() == nil {
-				state = s.state(ctx, i, id)
+			for state != "succeeded" && state != "failed" && time.Now().Before(deadline) && ctx.Err() == nil {
+				state = s.jobState(ctx, i, id)
 			}
-			if text := s.checks.onState(id, state); text != "" {
-				missed = append(missed, fmt.Sprintf("%s (entry %d)", text, i))
+			if text := s.checker.checkState(id, state); text != "" {
+				failures = append(failures, fmt.Sprintf("%s (entry %d)", text, i))
 			}
 		}
 	}
-	return missed
+	return failures
 }
 
-// state returns the state of a kept job, or the whole answer when it has none.
-func (s *soak) state(ctx context.Context, entry int, id string) string {
+// jobState returns the state of a durable job, or the status and body of the response if it has no state.
+func (s *soak) jobState(ctx context.Context, entry int, id string) string {
 	r, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+s.address(1+entry, callersPort)+prefix+id, http.NoBody)
 	if err != nil {
 		return err.Error()
 	}
 	r.Host = platformtest.Host
-	status, body := s.do(ctx, r, callerWait)
+	status, body := s.do(ctx, r, callTimeout)
 	var m struct{ State string }
 	if status != http.StatusOK || json.Unmarshal([]byte(body), &m) != nil {
 		return fmt.Sprint(status, " ", body)
@@ -119,9 +119,9 @@
 	return m.State
 }
 
-// post sends a job once. The status is 0 when there was no answer.
+// post submits a job once. The status is 0 if there was no response.
 func (s *soak) post(ctx context.Context, entry int, id string, tasks int, spec string, wait time.Duration) (int, string) {
-	r, err := platformtest.NewJobRequest(s.address(1+entry, callersPort), prefix, id, tasks, spec, estimate, int(callerWait.Milliseconds()))
+	r, err := platformtest.NewJobRequest(s.address(1+entry, callersPort), prefix, id, tasks, spec, taskEstimateMs, int(callTimeout.Milliseconds()))
 	if err != nil {
 		return 0, err.Error()
 	}
@@ -135,7 +135,7 @@
 	if err != nil {
 		return 0, "no answer"
 	}
-	defer func() { _ = response.Body.Close() }() // the answer is read or lost
+	defer func() { _ = response.Body.Close() }() // the body has been read or the read has failed
 	body, err := io.ReadAll(response.Body)
 	if err != nil {
 		return 0, "no answer"
--- a/soaker/faults.go
+++ b/soaker/faults.go
@@ -10,13 +10,13 @@
 	"github.com/crocuslb/crocuslb/platform/platformtest"
 )
 
-// fault is a way to disturb a run. It returns when it is over.
+// fault is a kind of fault. inject returns when the fault is over.
 type fault struct {
-	name string
-	do   func(s *soak, ctx context.Context, pick int, length time.Duration)
+	name   string
+	inject func(s *soak, ctx context.Context, pick int, length time.Duration)
 }
 
-// faults are drawn with equal chances. They overlap.
+// faults are selected with equal probability. They may overlap.
 var faults = []fault{
 	{"entry killed", func(s *soak, ctx context.Context, pick int, length time.Duration) {
 		s.kill(ctx, s.entry(pick), length/4)
@@ -28,24 +28,24 @@
 	{"sidecar stopped", func(s *soak, ctx context.Context, pick int, _ time.Duration) { s.stop(ctx, s.sidecar(pick)) }},
 	{"entry paused", func(s *soak, _ context.Context, pick int, length time.Duration) { s.pause(s.entry(pick), length) }},
 	{"sidecar paused", func(s *soak, _ context.Context, pick int, length time.Duration) { s.pause(s.sidecar(pick), length) }},
-	{"connections reset", func(s *soak, _ context.Context, pick int, _ time.Duration) { s.entry(pick).front.reset(0.5) }},
-	{"connections silent", func(s *soak, _ context.Context, pick int, _ time.Duration) { s.entry(pick).front.silence() }},
+	{"connections reset", func(s *soak, _ context.Context, pick int, _ time.Duration) { s.entry(pick).entryProxy.reset(0.5) }},
+	{"connections silent", func(s *soak, _ context.Context, pick int, _ time.Duration) { s.entry(pick).entryProxy.stall() }},
 	{"link cut", func(s *soak, _ context.Context, pick int, length time.Duration) {
-		s.entry(pick).front.cut(length, true, true)
+		s.entry(pick).entryProxy.cut(length, true, true)
 	}},
 	{"link cut one way", func(s *soak, _ context.Context, pick int, length time.Duration) {
-		s.entry(pick).front.cut(length, pick%2 == 0, pick%2 == 1)
+		s.entry(pick).entryProxy.cut(length, pick%2 == 0, pick%2 == 1)
 	}},
 	{"link slow", func(s *soak, _ context.Context, pick int, length time.Duration) {
-		s.entry(pick).front.setDelay(10 * time.Millisecond)
+		s.entry(pick).entryProxy.setDelay(10 * time.Millisecond)
 		time.Sleep(length)
-		s.entry(pick).front.setDelay(0)
+		s.entry(pick).entryProxy.setDelay(0)
 	}},
 	{"store cut from a process", func(s *soak, _ context.Context, pick int, length time.Duration) {
-		s.nodes[pick%len(s.nodes)].toStore.cut(length, true, true)
+		s.nodes[pick%len(s.nodes)].storeProxy.cut(length, true, true)
 	}},
 	{"store connections silent", func(s *soak, _ context.Context, pick int, _ time.Duration) {
-		s.nodes[pick%len(s.nodes)].toStore.silence()
+		s.nodes[pick%len(s.nodes)].storeProxy.stall()
 	}},
 	{"store silent", func(s *soak, _ context.Context, _ int, length time.Duration) {
 		s.storeFault(platformtest.StoreFaults{Unresponsive: true}, length)
@@ -75,48 +75,48 @@
 	}},
 	{"backend server leaves", func(s *soak, _ context.Context, pick int, length time.Duration) {
 		s.backend(pick).Drain()
-		time.Sleep(length + drainBound)
+		time.Sleep(length + drainStartLimit)
 		s.restartBackend(pick)
 	}},
 	{"domain withdrawn", func(s *soak, _ context.Context, pick int, length time.Duration) {
 		domain := domainName(pick)
 		s.store.SetDomainWithdrawn(domain, true)
-		s.checks.onWithdrawn(domain, true)
+		s.checker.onWithdrawn(domain, true)
 		time.Sleep(length)
-		s.checks.onWithdrawn(domain, false)
+		s.checker.onWithdrawn(domain, false)
 		s.store.SetDomainWithdrawn(domain, false)
 	}},
 	{"configuration changed", func(s *soak, _ context.Context, pick int, _ time.Duration) { s.reconfigure(pick) }},
 }
 
-// Faults returns the names of the faults.
-func Faults() (names []string) {
+// FaultNames returns the names of the faults that a run selects from.
+func FaultNames() (names []string) {
 	for _, f := range faults {
 		names = append(names, f.name)
 	}
 	return names
 }
 
-// inject draws faults until disturbed ends.
-func (s *soak) inject(disturbed, ctx context.Context) { //nolint:revive // the two contexts are equals
-	for disturbed.Err() == nil {
+// inject injects faults until faultCtx is canceled.
+func (s *soak) inject(faultCtx, ctx context.Context) { //nolint:revive // the two contexts are equals
+	for faultCtx.Err() == nil {
 		pause := time.Duration(float64(s.plan.FaultEvery) * (0.2 + 1.6*s.random.Float64()))
 		f, pick := faults[s.random.IntN(len(faults))], s.random.IntN(1<<20)
 		length := time.Duration(200+s.random.IntN(3500)) * time.Millisecond
 		select {
-		case <-disturbed.Done():
+		case <-faultCtx.Done():
 			return
 		case <-time.After(pause):
 		}
 		s.mu.Lock()
-		s.faults = append(s.faults, fmt.Sprintf("%6.2f s %s (%d, %s)", time.Since(s.started).Seconds(), f.name, pick%12, length))
+		s.injectedFaults = append(s.injectedFaults, fmt.Sprintf("%6.2f s %s (%d, %s)", time.Since(s.started).Seconds(), f.name, pick%12, length))
 		s.mu.Unlock()
-		s.faulted.Go(func() { f.do(s, ctx, pick, length) })
+		s.faultGroup.Go(func() { f.inject(s, ctx, pick, length) })
 	}
 }
 
-// heal ends what lasts.
-func (s *soak) heal() {
+// clearFaults ends the faults of the store and of the backend servers.
+func (s *soak) clearFaults() {
 	s.store.SetFaults(platformtest.StoreFaults{})
 	for _, b := range s.backends {
 		b.SetFaults(platformtest.BackendFaults{})
@@ -132,10 +132,10 @@
 	s.store.SetFaults(platformtest.StoreFaults{})
 }
 
-// restartBackend begins a new life of a backend server, which does not leave.
+// restartBackend restarts a backend server as a new instance that is not draining.
 func (s *soak) restartBackend(pick int) {
 	s.backend(pick).Restart()
-	s.checks.onReturned(s.backend(pick).ID)
+	s.checker.onRestarted(s.backend(pick).ID)
 }
 
 func (s *soak) backendFault(pick int, f platformtest.BackendFaults, d time.Duration) {
@@ -144,74 +144,74 @@
 	s.backend(pick).SetFaults(platformtest.BackendFaults{})
 }
 
-// take claims a node for a fault that ends its process. It returns false when another one has it.
-func (n *node) take() bool {
+// claim reserves a node for a fault that terminates its process. It returns false if another fault has reserved it.
+func (n *node) claim() bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if n.stopped {
+	if n.claimed {
 		return false
 	}
-	n.stopped = true
+	n.claimed = true
 	return true
 }
 
 func (n *node) release() {
 	n.mu.Lock()
-	n.stopped = false
+	n.claimed = false
 	n.mu.Unlock()
 }
 
-func (s *soak) kill(ctx context.Context, n *node, down time.Duration) {
-	if !n.take() {
+func (s *soak) kill(ctx context.Context, n *node, downtime time.Duration) {
+	if !n.claim() {
 		return
 	}
 	defer n.release()
 	p := n.current()
 	p.Kill()
-	// A supervisor starts a program again once it has ended, when its listeners are free.
+	// As a supervisor does, restart the program only after it has exited, when its ports are free.
 	if _, err := p.Wait(ctx); err != nil && ctx.Err() == nil {
-		s.checks.violate("%s did not end after SIGKILL: %v", n.name, err)
+		s.checker.addViolation("%s did not exit after SIGKILL: %v", n.name, err)
 	}
-	time.Sleep(down)
+	time.Sleep(downtime)
 	s.restart(ctx, n)
 }
 
-// stop ends a process by plan and checks that it ends by itself, with status 0.
+// stop sends SIGTERM to a process and checks that it exits in time with status 0.
 func (s *soak) stop(ctx context.Context, n *node) {
-	if !n.take() {
+	if !n.claim() {
 		return
 	}
 	defer n.release()
 	p := n.current()
 	p.Stop()
 	started := time.Now()
-	code, err := s.await(ctx, n, p, started)
+	code, err := s.awaitExit(ctx, n, p, started)
 	switch {
 	case err != nil && ctx.Err() == nil:
-		s.checks.violate("%s did not end within %s of SIGTERM at %s: %v", n.name, stopBound, started.Format("05.000"), err)
+		s.checker.addViolation("%s did not exit within %s of SIGTERM at %s: %v", n.name, stopTimeout, started.Format("05.000"), err)
 		p.Kill()
 	case err == nil && code != 0:
-		s.checks.violate("%s ended with status %d after SIGTERM: %s", n.name, code, p.Tail(3))
+		s.checker.addViolation("%s exited with status %d after SIGTERM: %s", n.name, code, p.Tail(3))
 	}
 	s.restart(ctx, n)
 }
 
-// await waits for the end of a process. The time in which the process is paused does not count.
-func (s *soak) await(ctx context.Context, n *node, p *launcher.Process, started time.Time) (int, error) {
+// awaitExit waits for a process to exit. Time during which the process is paused does not count towards the timeout.
+func (s *soak) awaitExit(ctx context.Context, n *node, p *launcher.Process, started time.Time) (int, error) {
 	for {
-		limit, cancel := context.WithDeadline(ctx, started.Add(stopBound+s.pausedSince(n, started)))
-		code, err := p.Wait(limit)
+		waitCtx, cancel := context.WithDeadline(ctx, started.Add(stopTimeout+s.pausedSince(n, started)))
+		code, err := p.Wait(waitCtx)
 		cancel()
-		if err == nil || time.Since(started) >= stopBound+s.pausedSince(n, started) {
+		if err == nil || time.Since(started) >= stopTimeout+s.pausedSince(n, started) {
 			return code, err
 		}
 	}
 }
 
 func (s *soak) restart(ctx context.Context, n *node) {
-	time.Sleep(restartPause)
+	time.Sleep(restartDelay)
 	if err := s.startNode(ctx, n); err != nil && ctx.Err() == nil {
-		s.checks.violate("%s did not start again: %v", n.name, err)
+		s.checker.addViolation("%s did not restart: %v", n.name, err)
 	}
 }
 
@@ -225,7 +225,8 @@
 	p.Resume()
 }
 
-// pausedSince returns how long the node was or will be paused after a time, at most.
+// pausedSince returns an upper bound of the time for which the node is paused after at, including the rest of a pause
+// that has not ended.
 func (s *soak) pausedSince(n *node, at time.Time) (total time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -237,7 +238,7 @@
 	return total
 }
 
-// reconfigure adds or drops a queue that the callers do not use.
+// reconfigure publishes a new configuration version, with or without a queue that no caller uses.
 func (s *soak) reconfigure(pick int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/soaker/proxy.go
+++ b/soaker/proxy.go
@@ -9,29 +9,29 @@
 )
 
 const (
-	// proxyBuffer is the number of bytes that a proxy forwards at a time.
+	// proxyBuffer is the size of the forwarding buffer in bytes.
 	proxyBuffer = 16 << 10
-	// cutCheck is the period in which a held-up direction looks whether it may go on.
-	cutCheck = 5 * time.Millisecond
+	// cutPollInterval is the interval at which a cut direction checks whether it may continue.
+	cutPollInterval = 5 * time.Millisecond
 )
 
 type (
-	// proxy forwards TCP connections and disturbs them on request.
+	// proxy forwards TCP connections and injects network faults on request.
 	proxy struct {
 		listener net.Listener
 		target   string
 
 		mu    sync.Mutex
 		delay time.Duration
-		pairs map[*pair]bool
-		// cut holds up all bytes to or from the target until a time.
-		cutTo, cutFrom time.Time
+		pairs map[*connPair]bool
+		// cutToUntil and cutFromUntil are the times until which bytes to and from the target are held back.
+		cutToUntil, cutFromUntil time.Time
 	}
 
-	// pair is a connection with its continuation. A silent one forwards nothing any more.
-	pair struct {
+	// connPair is a client connection and its connection to the target. A stalled pair no longer forwards data.
+	connPair struct {
 		client, server net.Conn
-		silent         bool
+		stalled        bool
 	}
 )
 
@@ -40,9 +40,9 @@
 	if err != nil {
 		return nil, err
 	}
-	p := &proxy{listener: listener, target: target, pairs: map[*pair]bool{}}
+	p := &proxy{listener: listener, target: target, pairs: map[*connPair]bool{}}
 	context.AfterFunc(ctx, func() {
-		_ = listener.Close() // Accept returns in any case
+		_ = listener.Close() // Accept returns an error even if closing fails
 		p.reset(1)
 	})
 	go func() {
@@ -60,10 +60,10 @@
 func (p *proxy) serve(ctx context.Context, client net.Conn) {
 	server, err := (&net.Dialer{Timeout: time.Second}).DialContext(ctx, "tcp", p.target)
 	if err != nil {
-		_ = client.Close() // the client sees the loss
+		_ = client.Close() // the client detects the closed connection
 		return
 	}
-	c := &pair{client: client, server: server}
+	c := &connPair{client: client, server: server}
 	p.mu.Lock()
 	p.pairs[c] = true
 	p.mu.Unlock()
@@ -76,15 +76,15 @@
 	p.mu.Unlock()
 }
 
-// forward copies one direction until either end is gone.
-func (p *proxy) forward(c *pair, to, from net.Conn, toServer bool) {
+// forward copies one direction until either connection is closed.
+func (p *proxy) forward(c *connPair, to, from net.Conn, toServer bool) {
 	buffer := make([]byte, proxyBuffer)
 	for {
 		n, err := from.Read(buffer)
-		for p.held(c, toServer) {
-			time.Sleep(cutCheck)
+		for p.delayAndCheckCut(c, toServer) {
+			time.Sleep(cutPollInterval)
 		}
-		if n > 0 && !p.isSilent(c) {
+		if n > 0 && !p.isStalled(c) {
 			if _, err := to.Write(buffer[:n]); err != nil {
 				break
 			}
@@ -96,12 +96,12 @@
 	c.close()
 }
 
-// held waits out the delay and reports whether the direction is cut.
-func (p *proxy) held(c *pair, toServer bool) bool {
+// delayAndCheckCut waits for the configured delay and reports whether the direction is cut.
+func (p *proxy) delayAndCheckCut(c *connPair, toServer bool) bool {
 	p.mu.Lock()
-	delay, until := p.delay, p.cutFrom
+	delay, until := p.delay, p.cutFromUntil
 	if toServer {
-		until = p.cutTo
+		until = p.cutToUntil
 	}
 	open := p.pairs[c]
 	p.mu.Unlock()
@@ -109,46 +109,46 @@
 	return open && time.Now().Before(until)
 }
 
-func (p *proxy) isSilent(c *pair) bool {
+func (p *proxy) isStalled(c *connPair) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return c.silent
+	return c.stalled
 }
 
-func (c *pair) close() {
+func (c *connPair) close() {
 	for _, conn := range []net.Conn{c.client, c.server} {
 		if t, ok := conn.(*net.TCPConn); ok {
-			_ = t.SetLinger(0) // without it the end is a plain close
+			_ = t.SetLinger(0) // close with a reset rather than a FIN
 		}
-		_ = conn.Close() // the other end sees the loss
+		_ = conn.Close() // the peer detects the closed connection
 	}
 }
 
-// setDelay delays all bytes.
+// setDelay sets the delay of all forwarded data.
 func (p *proxy) setDelay(d time.Duration) {
 	p.mu.Lock()
 	p.delay = d
 	p.mu.Unlock()
 }
 
-// cut holds up one or both directions for a time. Bytes are forwarded afterwards, as after a partition.
-func (p *proxy) cut(d time.Duration, to, from bool) {
+// cut holds back data in one or both directions for a time. It is forwarded afterwards, as after a network partition.
+func (p *proxy) cut(d time.Duration, toTarget, fromTarget bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if to {
-		p.cutTo = time.Now().Add(d)
+	if toTarget {
+		p.cutToUntil = time.Now().Add(d)
 	}
-	if from {
-		p.cutFrom = time.Now().Add(d)
+	if fromTarget {
+		p.cutFromUntil = time.Now().Add(d)
 	}
 }
 
-// reset ends a share of the connections.
-func (p *proxy) reset(share float64) {
+// reset resets a fraction of the connections, selected at random.
+func (p *proxy) reset(fraction float64) {
 	p.mu.Lock()
-	var chosen []*pair
+	var chosen []*connPair
 	for c := range p.pairs {
-		if rand.Float64() < share {
+		if rand.Float64() < fraction {
 			chosen = append(chosen, c)
 			delete(p.pairs, c)
 		}
@@ -159,11 +159,11 @@
 	}
 }
 
-// silence lets the open connections forward nothing any more, while new ones work.
-func (p *proxy) silence() {
+// stall stops forwarding on the open connections without closing them. New connections work.
+func (p *proxy) stall() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for c := range p.pairs {
-		c.silent = true
+		c.stalled = true
 	}
 }
--- a/soaker/soak.go
+++ b/soaker/soak.go
@@ -1,5 +1,6 @@
-// Package soaker runs the programs of the platform path as separate processes against stand-ins of the platform,
-// disturbs them from outside by a seeded schedule, and checks the promises from what callers and backend servers see.
+// Package soaker runs the programs of the platform integration as separate processes against emulators of the platform,
+// injects external faults by a seeded schedule, and checks the guarantees from what callers and backend servers
+// observe.
 package soaker
 
 import (
@@ -20,89 +21,88 @@
 )
 
 const (
-	service      = "svc"
-	prefix       = "/jobs/"
-	domains      = 3
-	backendCPU   = 8000 // thousandths of a core, eight tasks
-	entryPort    = 7720
-	proxyPort    = 7721
-	storePort    = 7000
-	callersPort  = 8000
-	readyPort    = 8001
-	announcePort = 8002
-	backendPort  = 8003
-	firstSidecar = 100
-	storeHost    = 250
-	startTime    = 20 * time.Second
-	restartPause = 300 * time.Millisecond
-	calmTime     = 6 * time.Second // after the last fault, before the final jobs
-	finalJobs    = 40
+	service          = "svc"
+	prefix           = "/jobs/"
+	domains          = 3
+	backendCPU       = 8000 // thousandths of a core, enough for eight tasks
+	entryPort        = 7720
+	proxyPort        = 7721
+	storePort        = 7000
+	callersPort      = 8000
+	readyPort        = 8001
+	announcePort     = 8002
+	backendPort      = 8003
+	firstSidecarHost = 100
+	storeHost        = 250
+	startTimeout     = 20 * time.Second
+	restartDelay     = 300 * time.Millisecond
+	settleTime       = 6 * time.Second // delay between the last fault and the final jobs
+	finalJobCount    = 40
 )
 
 type (
-	// Plan says what to run. The zero values of Entries, Sidecars, Length, JobsPerSecond and FaultEvery mean 3, 6, 20 s,
-	// 30 and 700 ms.
+	// Plan configures a run. A zero value selects the default of the field, if it has one.
 	Plan struct {
 		Program       string // path of the built program
 		Seed          uint64
-		Entries       int
-		Sidecars      int
-		Length        time.Duration // in which jobs are sent and faults injected
-		JobsPerSecond int
-		FaultEvery    time.Duration
-		Logs          string // directory for the output of the processes; none when empty
+		Entries       int           // default 3
+		Sidecars      int           // default 6
+		Length        time.Duration // time during which jobs are submitted and faults injected; default 20 s
+		JobsPerSecond int           // default 30
+		FaultEvery    time.Duration // mean time between faults; default 700 ms
+		Logs          string        // directory for the output of the processes; not written if empty
 	}
 
-	// Report is the outcome of a run.
+	// Report is the result of a run.
 	Report struct {
 		Seed    uint64
 		Jobs    int
-		Answers map[string]int // by the status of the last answer
-		Faults  []string       // in order, with their time
-		// Starved lists the longest delays of timers in spells in which the last jobs were not all served and the machine
-		// was starved.
-		Starved    []string
-		Violations []string
+		Answers map[string]int // number of jobs by last response
+		Faults  []string       // injected faults in order, with their time
+		// TimerDelays lists the longest timer delay of each round in which not all final jobs were served and the
+		// machine was overloaded.
+		TimerDelays []string
+		Violations  []string
 	}
 
-	// soak is a run.
+	// soak is a run of a plan.
 	soak struct {
-		plan     Plan
-		network  string
-		random   *rand.Rand
-		started  time.Time
-		store    *platformtest.Store
-		backends []*platformtest.Backend
-		nodes    []*node
-		client   *http.Client
-		checks   *checks
-		faulted  sync.WaitGroup
-		version  int
+		plan          Plan
+		addressPrefix string
+		random        *rand.Rand
+		started       time.Time
+		store         *platformtest.Store
+		backends      []*platformtest.Backend
+		nodes         []*node
+		client        *http.Client
+		checker       *checker
+		faultGroup    sync.WaitGroup
+		version       int
 
-		mu     sync.Mutex
-		faults []string
-		pauses []pause
+		mu             sync.Mutex
+		injectedFaults []string
+		pauses         []pause
 	}
 
-	// pause is a time in which a node's process stands still.
+	// pause is a period during which a node's process is suspended.
 	pause struct {
 		node   *node
 		at     time.Time
 		length time.Duration
 	}
 
-	// node is an entry or a sidecar process with the proxies before it and before its store.
+	// node is an entry or sidecar process with the proxies in front of it and in front of its store.
 	node struct {
-		name    string
-		args    []string
-		entry   bool
-		domain  string
-		front   *proxy // before an entry's listener; nil for sidecars
-		toStore *proxy
+		name       string
+		args       []string
+		isEntry    bool
+		domain     string
+		entryProxy *proxy // proxy in front of an entry's listener; nil for sidecars
+		storeProxy *proxy
 
 		mu      sync.Mutex
 		process *launcher.Process
-		stopped bool // by plan; it is started again by the fault that stopped it
+		claimed bool // claimed by a fault that terminates the process and restarts it
 	}
 )
 
@@ -125,32 +125,32 @@
 	return p
 }
 
-// Run runs the plan. Its processes end with it.
+// Run executes the plan. Its processes are killed when it returns.
 func Run(ctx context.Context, p Plan) (*Report, error) {
 	p = p.withDefaults()
 	ctx, cancel := context.WithCancel(ctx)
 	s := &soak{
 		plan: p, random: rand.New(rand.NewPCG(p.Seed, 3)), started: time.Now(), store: &platformtest.Store{}, version: 1,
-		network: fmt.Sprintf("127.%d.%d.", 10+os.Getpid()%200, p.Seed%250), checks: newChecks(),
+		addressPrefix: fmt.Sprintf("127.%d.%d.", 10+os.Getpid()%200, p.Seed%250), checker: newChecker(),
 		client: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 64}},
 	}
-	defer s.end(cancel)
+	defer s.killProcesses(cancel)
 	if err := s.launch(ctx); err != nil {
 		return nil, err
 	}
-	s.work(ctx)
+	s.runWorkload(ctx)
 	if p.Logs != "" {
 		if err := s.writeLogs(); err != nil {
 			return nil, err
 		}
 	}
-	r := s.checks.report()
-	r.Seed, r.Faults = p.Seed, s.faults
+	r := s.checker.report()
+	r.Seed, r.Faults = p.Seed, s.injectedFaults
 	return r, nil
 }
 
-// end kills the processes of this run, and only those.
-func (s *soak) end(cancel context.CancelFunc) {
+// killProcesses kills the processes of this run and no others.
+func (s *soak) killProcesses(cancel context.CancelFunc) {
 	for _, n := range s.nodes {
 		if p := n.current(); p != nil {
 			p.Resume()
@@ -160,9 +160,11 @@
 	cancel()
 }
 
-func (s *soak) address(host, port int) string { return fmt.Sprintf("%s%d:%d", s.network, host, port) }
+func (s *soak) address(host, port int) string {
+	return fmt.Sprintf("%s%d:%d", s.addressPrefix, host, port)
+}
 
-// launch starts the stand-ins, then the processes, and waits until a job is served.
+// launch starts the emulators, then the processes, and waits until every entry serves a job.
 func (s *soak) launch(ctx context.Context) error {
 	s.store.PublishConfiguration(s.version, service, prefix)
 	if err := serve(ctx, s.address(storeHost, storePort), s.store); err != nil {
@@ -183,7 +185,7 @@
 			return err
 		}
 	}
-	for at := time.Now(); time.Since(at) < startTime; time.Sleep(restartPause) {
+	for at := time.Now(); time.Since(at) < startTimeout; time.Sleep(restartDelay) {
 		served := 0
 		for i := range s.plan.Entries {
 			if status, _ := s.post(ctx, i, fmt.Sprintf("%016x", i), 1, "1", time.Second); status == http.StatusOK {
@@ -194,7 +196,7 @@
 			return nil
 		}
 	}
-	return trace.LimitExceeded("the fleet did not serve within %s", startTime)
+	return trace.LimitExceeded("not every entry served a job within %s of the launch", startTimeout)
 }
 
 func serve(ctx context.Context, address string, h http.Handler) error {
@@ -203,22 +205,22 @@
 		return trace.ConnectionProblem(err, "cannot listen on %s: %v", address, err)
 	}
 	server := &http.Server{Handler: h, ReadHeaderTimeout: time.Minute}
-	context.AfterFunc(ctx, func() { _ = server.Close() }) // the run is over
-	go func() { _ = server.Serve(listener) }()            // it returns when the run is over
+	context.AfterFunc(ctx, func() { _ = server.Close() }) // the run has ended
+	go func() { _ = server.Serve(listener) }()            // returns when the server is closed
 	return nil
 }
 
 func domainName(i int) string { return fmt.Sprintf("domain-%d", i%domains) }
 
-// addNode makes a node with its proxy before the store.
+// addNode creates a node with its proxy in front of the store.
 func (s *soak) addNode(ctx context.Context, name, role string, host int, entry bool, i int) (*node, error) {
-	n := &node{name: name, entry: entry, domain: domainName(i)}
+	n := &node{name: name, isEntry: entry, domain: domainName(i)}
 	var err error
-	if n.toStore, err = newProxy(ctx, s.address(host, storePort), s.address(storeHost, storePort)); err != nil {
+	if n.storeProxy, err = newProxy(ctx, s.address(host, storePort), s.address(storeHost, storePort)); err != nil {
 		return nil, err
 	}
 	n.args = []string{
-		role, "-name", name, "-domain", n.domain, "-ip", fmt.Sprintf("%s%d", s.network, host), "-internalPort", fmt.Sprint(entryPort),
+		role, "-name", name, "-domain", n.domain, "-ip", fmt.Sprintf("%s%d", s.addressPrefix, host), "-internalPort", fmt.Sprint(entryPort),
 		"-storeAddress", s.address(host, storePort), "-drainMs", "4000",
 	}
 	s.nodes = append(s.nodes, n)
@@ -232,19 +234,21 @@
 		return err
 	}
 	n.args = append(n.args, "-callersAddress", s.address(host, callersPort), "-readyAddress", s.address(host, readyPort), "-advertise", s.address(host, proxyPort))
-	n.front, err = newProxy(ctx, s.address(host, proxyPort), s.address(host, entryPort))
+	n.entryProxy, err = newProxy(ctx, s.address(host, proxyPort), s.address(host, entryPort))
 	return err
 }
 
 func (s *soak) addSidecar(ctx context.Context, i int) error {
-	host := firstSidecar + i
+	host := firstSidecarHost + i
 	n, err := s.addNode(ctx, fmt.Sprintf("sidecar-%d", i), "sidecar", host, false, i)
 	if err != nil {
 		return err
 	}
 	b := &platformtest.Backend{ID: fmt.Sprintf("i-%d", i), Service: service, Zone: n.domain, CPU: backendCPU, MemMb: 64_000, Control: s.address(host, announcePort)}
-	b.OnRun = func(task string, run uint64, how string) { s.checks.onRun(b.ID, n.domain, task, run, how) }
-	b.OnDraining = func() { s.checks.onDraining(b.ID) }
+	b.OnRun = func(task string, run uint64, outcome string) {
+		s.checker.onRun(b.ID, n.domain, task, run, outcome)
+	}
+	b.OnDraining = func() { s.checker.onDraining(b.ID) }
 	s.backends = append(s.backends, b)
 	go b.Run(ctx)
 	n.args = append(n.args, "-announceAddress", s.address(host, announcePort), "-backendAddress", s.address(host, backendPort))
@@ -268,53 +272,54 @@
 	return nil
 }
 
-// work sends jobs while faults are injected, then some when all is sound again.
-func (s *soak) work(ctx context.Context) {
-	disturbed, cancel := context.WithTimeout(ctx, s.plan.Length)
+// runWorkload submits jobs while faults are injected, then submits the final jobs once all faults have ended.
+func (s *soak) runWorkload(ctx context.Context) {
+	faultCtx, cancel := context.WithTimeout(ctx, s.plan.Length)
 	defer cancel()
 	var callers sync.WaitGroup
-	callers.Go(func() { s.sendJobs(disturbed, ctx, &callers) })
-	s.inject(disturbed, ctx)
-	s.faulted.Wait()
-	s.heal()
+	callers.Go(func() { s.sendJobs(faultCtx, ctx, &callers) })
+	s.inject(faultCtx, ctx)
+	s.faultGroup.Wait()
+	s.clearFaults()
 	callers.Wait()
-	s.finish(ctx)
+	s.verifyRecovery(ctx)
 }
 
-// finish sends jobs when all is sound again. All of them are served, unless the machine was starved meanwhile: the bounds of
-// the promises hold for processes that are not slowed down. Then they are sent once more, and the report says so.
-func (s *soak) finish(ctx context.Context) {
-	watched, cancel := context.WithCancel(ctx)
+// verifyRecovery submits jobs after all faults have ended. All of them must be served, unless the machine was
+// overloaded meanwhile: the time limits of the guarantees assume that processes are not slowed down. In that case the
+// jobs are submitted again, and the report lists the timer delay.
+func (s *soak) verifyRecovery(ctx context.Context) {
+	monitorCtx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	var machine starvation
-	go machine.watch(watched)
-	for try := range maxFinalTries {
-		time.Sleep(calmTime)
-		settled := machine.take()
-		missed := append(s.finalJobs(ctx, try), s.awaitKept(ctx)...)
-		late := max(settled, machine.take())
-		if len(missed) == 0 {
+	var monitor timerMonitor
+	go monitor.watch(monitorCtx)
+	for round := range maxFinalRounds {
+		time.Sleep(settleTime)
+		settleDelay := monitor.takeMaxDelay()
+		failures := append(s.sendFinalJobs(ctx, round), s.awaitDurableJobs(ctx)...)
+		delay := max(settleDelay, monitor.takeMaxDelay())
+		if len(failures) == 0 {
 			return
 		}
-		if late < starvedAfter || try == maxFinalTries-1 {
-			for _, text := range missed {
-				s.checks.violate("%s; the longest delay of a timer was %s", text, late)
+		if delay < starvationThreshold || round == maxFinalRounds-1 {
+			for _, text := range failures {
+				s.checker.addViolation("%s; the longest timer delay was %s", text, delay)
 			}
 			return
 		}
-		s.checks.starved(late)
+		s.checker.addTimerDelay(delay)
 	}
 }
 
-// finalJobs returns what went wrong with jobs that should all be served.
-func (s *soak) finalJobs(ctx context.Context, try int) (missed []string) {
-	for i := range finalJobs {
-		id := fmt.Sprintf("f%07x%08x", try, i)
+// sendFinalJobs submits jobs that must all be served, and returns the failures.
+func (s *soak) sendFinalJobs(ctx context.Context, round int) (failures []string) {
+	for i := range finalJobCount {
+		id := fmt.Sprintf("f%07x%08x", round, i)
 		if status, body := s.post(ctx, i%s.plan.Entries, id, 2, "20", 2*time.Second); status != http.StatusOK {
-			missed = append(missed, fmt.Sprintf("job %s, sent %s after the last fault: got %d %s, want 200", id, calmTime, status, body))
+			failures = append(failures, fmt.Sprintf("job %s, submitted %s after the last fault: got %d %s, want 200", id, settleTime, status, body))
 		}
 	}
-	return missed
+	return failures
 }
 
 func (s *soak) writeLogs() error {
--- a/soaker/soak_test.go
+++ b/soaker/soak_test.go
@@ -13,8 +13,8 @@
 	"github.com/crocuslb/crocuslb/launcher"
 )
 
-// TestSoak runs a short seeded soak of the real programs. Seeds that ever showed a broken promise stay here, each with a
-// line on its cause.
+// TestSoak runs short soaks of the real programs with fixed seeds. Seeds that once showed a violation are kept, each
+// with its cause.
 func TestSoak(t *testing.T) {
 	directory := t.TempDir()
 	if err := launcher.Build(t.Context(), directory); err != nil {
@@ -25,11 +25,11 @@
 		cause string
 	}{
 		{1, "an entry panicked on the end of a restartable job that a restarted sidecar offered for recording"},
-		{103, "the check of planned stops counted the time in which the process was paused"},
-		{234, "a killed process was started again before it had ended, so its listener was taken"},
+		{103, "the check of planned stops counted time during which the process was paused"},
+		{234, "a killed process was started again before it had ended, so its port was in use"},
 		{218, "a session that opened before the first listing while the domain was withdrawn got no outcomes"},
-		{201, "a placing entry dropped a request with a session that only its end saw break, and a kept job waited for ever"},
-		{200, "the check of draining did not see that another fault had restarted the backend server"},
+		{201, "a placing entry discarded a request together with a session that broke on its side only, and a durable job waited forever"},
+		{200, "the check of draining did not account for a restart of the backend server by another fault"},
 	}
 	for _, c := range cases {
 		t.Run(strconv.FormatUint(c.seed, 10), func(t *testing.T) {
@@ -46,7 +46,7 @@
 	}
 }
 
-// evidence returns the log lines of all processes that name a job of a violation.
+// evidence returns the log lines of all processes that contain a job named in a violation.
 func evidence(t *testing.T, logs string, violations []string) string {
 	jobs := regexp.MustCompile("[0-9a-f]{16}").FindAllString(strings.Join(violations, " "), -1)
 	paths, err := filepath.Glob(filepath.Join(logs, "*"))
@@ -68,49 +68,50 @@
 	return lines.String()
 }
 
-// TestChecks guards against checks that see nothing: each case breaks one promise.
+// TestChecks guards against a checker that misses violations: each case that is marked as broken violates one
+// guarantee.
 func TestChecks(t *testing.T) {
 	const job = "00000000000000aa"
 	cases := []struct {
 		name   string
-		events func(c *checks)
+		events func(c *checker)
 		broken bool
 	}{
-		{"sound", func(c *checks) {
+		{"sound", func(c *checker) {
 			c.onRun("a", "d", job+".0.0.0", 1, "")
 			c.onRun("a", "d", job+".0.0.0", 1, "done")
-			c.onAnswered(job, 1, []attempt{{200, `{"State":"succeeded"}`}})
+			c.onResponses(job, 1, []attempt{{200, `{"State":"succeeded"}`}})
 		}, false},
-		{"two runs at once", func(c *checks) {
+		{"two runs at once", func(c *checker) {
 			c.onRun("a", "d", job+".0.0.0", 1, "")
 			c.onRun("b", "d", job+".0.0.0", 2, "")
 		}, true},
-		{"run after the end of another one", func(c *checks) {
+		{"run after the end of another one", func(c *checker) {
 			c.onRun("a", "d", job+".0.0.0", 1, "")
 			c.onRun("a", "d", job+".0.0.0", 1, "lapsed")
 			c.onRun("b", "d", job+".0.0.0", 2, "")
 		}, false},
-		{"false refusal", func(c *checks) {
+		{"false refusal", func(c *checker) {
 			c.onRun("a", "d", job+".0.0.0", 1, "")
-			c.onAnswered(job, 1, []attempt{{503, ""}})
+			c.onResponses(job, 1, []attempt{{503, ""}})
 		}, true},
-		{"refusal after no answer", func(c *checks) {
+		{"refusal after no answer", func(c *checker) {
 			c.onRun("a", "d", job+".0.0.0", 1, "")
-			c.onAnswered(job, 1, []attempt{{0, ""}, {503, ""}})
+			c.onResponses(job, 1, []attempt{{0, ""}, {503, ""}})
 		}, false},
-		{"success without a task", func(c *checks) { c.onAnswered(job, 1, []attempt{{200, `{"State":"succeeded"}`}}) }, true},
-		{"failure without failed runs", func(c *checks) { c.onAnswered(job, 1, []attempt{{200, `{"State":"failed"}`}}) }, true},
-		{"start on a server that leaves", func(c *checks) {
-			c.draining["a"] = time.Now().Add(-drainBound - time.Second)
+		{"success without a task", func(c *checker) { c.onResponses(job, 1, []attempt{{200, `{"State":"succeeded"}`}}) }, true},
+		{"failure without failed runs", func(c *checker) { c.onResponses(job, 1, []attempt{{200, `{"State":"failed"}`}}) }, true},
+		{"start on a server that leaves", func(c *checker) {
+			c.draining["a"] = time.Now().Add(-drainStartLimit - time.Second)
 			c.onRun("a", "d", job+".0.0.0", 1, "")
 		}, true},
-		{"start in a withdrawn domain", func(c *checks) {
-			c.withdrawn["d"] = time.Now().Add(-withdrawBound - storeReturn - time.Second)
+		{"start in a withdrawn domain", func(c *checker) {
+			c.withdrawn["d"] = time.Now().Add(-withdrawalStartLimit - storeFaultAllowance - time.Second)
 			c.onRun("a", "d", job+".0.0.0", 1, "")
 		}, true},
 	}
 	for _, test := range cases {
-		c := newChecks()
+		c := newChecker()
 		test.events(c)
 		if got := len(c.report().Violations) > 0; got != test.broken {
 			t.Errorf("%s: got broken %v (%v), want %v", test.name, got, c.report().Violations, test.broken)
