--- a/runner/configuration.go
+++ b/runner/configuration.go
@@ -120,7 +120,7 @@
 			l.post(ctx, func(now timer.Millis) { c.applyRecords(now, p, complete) })
 		},
 		OnUnavailable: func(err error) { c.logger.WithError(err).Warn("store: lost") },
-		OnAvailable:   func() { c.logger.Info("store: available again") },
+		OnAvailable:   func() { c.logger.Info("store: regained") },
 	}
 	f.Run(ctx)
 }
--- a/runner/program.go
+++ b/runner/program.go
@@ -52,7 +52,7 @@
 	}
 	options, logRate, err := LoadOptions(role, args, p.Environ)
 	if err != nil {
-		logger.WithError(err).Error("settings: invalid, cannot start")
+		logger.WithError(err).Error("settings: cannot start")
 		return exitUsage
 	}
 	rec.Rate = logRate
@@ -90,7 +90,7 @@
 		case <-hangup:
 		}
 		if _, _, err := LoadOptions(role, args, p.Environ); err != nil {
-			logger.WithError(err).Error("settings: reload failed validation; keeping the current settings")
+			logger.WithError(err).Error("settings: reload found faults; keeping the current settings")
 			continue
 		}
 		logger.Info("settings: reloaded; changes take effect at the next start")
