--- a/appender/appender.go
+++ b/appender/appender.go
@@ -11,8 +11,8 @@
 )
 
 const (
-	// MaxBody is the maximum size of a record body in bytes.
-	MaxBody = 1 << 20
+	// MaxBodyLen is the maximum size of a record body in bytes.
+	MaxBodyLen = 1 << 20
 	// MaxIDLen is the maximum length of a record identifier in bytes.
 	MaxIDLen = 64
 	// MaxReadRecords is the maximum number of records that one read can request.
--- a/appender/client.go
+++ b/appender/client.go
@@ -75,13 +75,13 @@
 
 // Append appends body to the stream under the identifier and returns its offset. Attempts that definitely did not take
 // effect are repeated until Timeout; if none succeeds, the error is definite. Without a response, the record is searched
-// from the head known before the first attempt. If it is not found, the error satisfies IsUnknown. Append can then be
+// from the head known before the first attempt. If it is not found, the error satisfies IsOutcomeUnknown. Append can then be
 // called again with the same identifier: it searches for the record before it sends it again. A delayed first attempt can
 // then leave the record in the log twice, so consumers must reject duplicate identifiers.
 func (c *Client) Append(ctx context.Context, stream, id string, body []byte) (offset uint64, err error) {
 	switch {
-	case len(body) > MaxBody:
-		return 0, trace.BadParameter("record body of %d bytes is larger than %d", len(body), MaxBody)
+	case len(body) > MaxBodyLen:
+		return 0, trace.BadParameter("record body of %d bytes is larger than %d", len(body), MaxBodyLen)
 	case id == "" || len(id) > MaxIDLen:
 		return 0, trace.BadParameter("record identifier of %d bytes is not between 1 and %d bytes long", len(id), MaxIDLen)
 	}
@@ -106,7 +106,7 @@
 	switch {
 	case err == nil:
 		c.streamState.removeUnresolved(k)
-	case IsUnknown(err):
+	case IsOutcomeUnknown(err):
 	case retried:
 		// The outcome of the earlier call with this identifier is still unknown.
 		err = &unknownOutcomeError{cause: err}
@@ -194,7 +194,7 @@
 }
 
 // resolve sends the record, and reads it back if there is no response in time or the failure is not definite. Its error is
-// either definite or satisfies IsUnknown.
+// either definite or satisfies IsOutcomeUnknown.
 func (c *Client) resolve(ctx context.Context, k appendKey, searchStart uint64, body []byte) (uint64, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -208,7 +208,7 @@
 	defer readBackTimer.Stop()
 	go func() { attemptResult <- c.appendWithRetry(ctx, k, body) }()
 	startReadBack := func() {
-		// Open connections may have stalled; the read-back needs a new one.
+		// HasRecords connections may have stalled; the read-back needs a new one.
 		c.httpClient().CloseIdleConnections()
 		readBackResult, startedAfterFailure = make(chan appendResult, 1), attemptErr != nil
 		go func(done chan<- appendResult) { done <- c.findRecord(ctx, k, searchStart, true) }(readBackResult)
--- a/appender/client_test.go
+++ b/appender/client_test.go
@@ -54,7 +54,7 @@
 	switch {
 	case err == nil:
 		return appended
-	case appender.IsUnknown(err):
+	case appender.IsOutcomeUnknown(err):
 		return unknown
 	}
 	return notAppended
@@ -72,7 +72,7 @@
 		t.Fatalf("got first %d, next %d, error %v", first, next, err)
 	}
 	for i, body := range []string{"a", "", "c"} {
-		l.Change(func(s *emulator.LogSettings) { s.LoseNext = (i + 1) % 2 })
+		l.UpdateSettings(func(s *emulator.LogSettings) { s.DropResponses = (i + 1) % 2 })
 		got, err := c.Append(t.Context(), "roster", appender.NewID(), []byte(body))
 		if err != nil || got != uint64(i) {
 			t.Fatalf("append %d: got offset %d, error %v", i, got, err)
@@ -82,7 +82,7 @@
 	if err != nil || p.First != 0 || p.Next != 3 || len(p.Records) != 2 || string(p.Records[1].Body) != "c" {
 		t.Fatalf("got page %+v, error %v", p, err)
 	}
-	l.Change(func(s *emulator.LogSettings) { s.Retention = 1 })
+	l.UpdateSettings(func(s *emulator.LogSettings) { s.Retention = 1 })
 	if _, err := c.Read(t.Context(), "roster", 1, 10, 0); !appender.IsTruncated(err) {
 		t.Errorf("got error %v, want truncated", err)
 	}
@@ -105,10 +105,10 @@
 			faults: emulator.LogSettings{
 				AppendDelay:      rapid.SampledFrom([]timer.Millis{0, 0, 5, 1500, 2500, 9000}).Draw(t, "append delay"),
 				ReadDelay:        rapid.SampledFrom([]timer.Millis{0, 0, 100, 3000}).Draw(t, "read delay"),
-				LoseNext:         rapid.IntRange(0, 3).Draw(t, "lose"),
-				LoseSilently:     oneIn(t, 2, "lose silently"),
+				DropResponses:    rapid.IntRange(0, 3).Draw(t, "lose"),
+				DropSilently:     oneIn(t, 2, "lose silently"),
 				Outage:           oneIn(t, 5, "outage"),
-				Silent:           oneIn(t, 6, "silent"),
+				Unresponsive:     oneIn(t, 6, "silent"),
 				AppendsPerSecond: rapid.SampledFrom([]int{0, 0, 1, 20}).Draw(t, "rate"),
 			},
 		}
@@ -129,8 +129,8 @@
 		calls[id] = append(calls[id], appendCall{outcomeOf(err), offset})
 	}
 	for n, r := range rounds {
-		l.Change(func(s *emulator.LogSettings) { *s = r.faults })
-		transport.Refuse(r.refusals)
+		l.UpdateSettings(func(s *emulator.LogSettings) { *s = r.faults })
+		transport.SetRefusals(r.refusals)
 		if r.silenceConnections {
 			l.SilenceConnections()
 		}
@@ -148,11 +148,11 @@
 			g.Go(func() { appendRecord(id) })
 		}
 		time.Sleep(r.faultDuration.Duration())
-		l.Change(func(s *emulator.LogSettings) {
-			*s = emulator.LogSettings{AppendDelay: s.AppendDelay, LoseNext: s.LoseNext}
+		l.UpdateSettings(func(s *emulator.LogSettings) {
+			*s = emulator.LogSettings{AppendDelay: s.AppendDelay, DropResponses: s.DropResponses}
 		})
 		if !r.keepRefusals {
-			transport.Refuse(emulator.Refusals{})
+			transport.SetRefusals(emulator.Refusals{})
 		}
 		g.Wait()
 	}
@@ -263,14 +263,14 @@
 		want     string
 		within   timer.Millis
 	}
-	lose := emulator.LogSettings{LoseNext: 1}
+	lose := emulator.LogSettings{DropResponses: 1}
 	noReads, noAppends := emulator.Refusals{Reads: true}, emulator.Refusals{Appends: true}
 	for _, c := range []struct {
 		name  string
 		steps []step // calls of Append with the same identifier
 	}{
 		{"closed connection", []step{{faults: lose, want: appended, within: 10}}},
-		{"silent connection", []step{{faults: emulator.LogSettings{LoseNext: 1, LoseSilently: true}, want: appended, within: 600}}},
+		{"silent connection", []step{{faults: emulator.LogSettings{DropResponses: 1, DropSilently: true}, want: appended, within: 600}}},
 		{"slow append", []step{{faults: emulator.LogSettings{AppendDelay: 2500}, want: appended, within: 2600}}},
 		{"short outage", []step{{faults: emulator.LogSettings{AppendsPerSecond: 1}, want: appended, within: 1200}}},
 		{"outage", []step{{faults: emulator.LogSettings{Outage: true}, want: notAppended, within: 2600}, {want: appended}}},
@@ -287,8 +287,8 @@
 				t.Fatal(err)
 			}
 			for i, s := range c.steps {
-				l.Change(func(p *emulator.LogSettings) { *p = s.faults })
-				transport.Refuse(s.refusals)
+				l.UpdateSettings(func(p *emulator.LogSettings) { *p = s.faults })
+				transport.SetRefusals(s.refusals)
 				began := time.Now()
 				offset, err := a.Append(t.Context(), "s", "id", nil)
 				if got := outcomeOf(err); got != s.want || got == appended && offset != 1 {
@@ -318,7 +318,7 @@
 		ctx           context.Context
 		size          int
 	}{
-		{"large body", "http://log", "id", t.Context(), appender.MaxBody + 1},
+		{"large body", "http://log", "id", t.Context(), appender.MaxBodyLen + 1},
 		{"no identifier", "http://log", "", t.Context(), 0},
 		{"long identifier", "http://log", strings.Repeat("x", appender.MaxIDLen+1), t.Context(), 0},
 		{"address", "http://log:x", "id", t.Context(), 0},
@@ -331,21 +331,21 @@
 	}
 }
 
-// TestGap guards against a Gap that grows without bound or returns records that are not contiguous.
+// TestGap guards against a RecordBuffer that grows without bound or returns records that are not contiguous.
 func TestGap(t *testing.T) {
-	var g appender.Gap
+	var g appender.RecordBuffer
 	for offset := uint64(10); offset < 40; offset++ {
-		g.Add(appender.Record{Offset: offset, Body: make([]byte, appender.MaxBody)})
+		g.Add(appender.Record{Offset: offset, Body: make([]byte, appender.MaxBodyLen)})
 	}
-	if _, ok := g.Close(10); ok || !g.Open() {
+	if _, ok := g.TakeFrom(10); ok || !g.HasRecords() {
 		t.Error("no record was dropped beyond the memory bound")
 	}
 	g.Add(appender.Record{Offset: 50}) // not contiguous
 	g.Add(appender.Record{Offset: 51})
-	if _, ok := g.Close(49); ok {
+	if _, ok := g.TakeFrom(49); ok {
 		t.Error("records after a missing one were returned")
 	}
-	if rest, ok := g.Close(51); !ok || len(rest) != 1 || rest[0].Offset != 51 || g.Open() {
+	if rest, ok := g.TakeFrom(51); !ok || len(rest) != 1 || rest[0].Offset != 51 || g.HasRecords() {
 		t.Errorf("got %d records, %v, want 1", len(rest), ok)
 	}
 }
--- a/appender/errors.go
+++ b/appender/errors.go
@@ -32,8 +32,8 @@
 	}
 )
 
-// IsUnknown reports whether err means that the append may have taken effect or may still do so.
-func IsUnknown(err error) bool {
+// IsOutcomeUnknown reports whether err means that the append may have taken effect or may still do so.
+func IsOutcomeUnknown(err error) bool {
 	var u *unknownOutcomeError
 	return errors.As(err, &u)
 }
--- a/appender/fields.go
+++ b/appender/fields.go
@@ -5,18 +5,18 @@
 	"google.golang.org/protobuf/encoding/protowire"
 )
 
-// Field is one protobuf field of a record body. Tag is the field number, Number the value of a varint, and Bytes the value
+// Field is one protobuf field of a record body. Tag is the field number, Varint the value of a varint, and Bytes the value
 // of a length-delimited field.
 type Field struct {
 	Tag    protowire.Number
 	Type   protowire.Type
-	Number uint64
+	Varint uint64
 	Bytes  []byte
 }
 
-// Fields calls visit for each protobuf field of b, in order, and stops at the first error. Wire types other than varint and
+// RangeFields calls visit for each protobuf field of b, in order, and stops at the first error. Wire types other than varint and
 // length-delimited are errors. Field.Bytes refers to b.
-func Fields(b []byte, visit func(f Field) error) error {
+func RangeFields(b []byte, visit func(f Field) error) error {
 	for pos := 0; pos < len(b); {
 		tag, wireType, n := protowire.ConsumeTag(b[pos:])
 		if n < 0 {
@@ -26,7 +26,7 @@
 		var size int
 		switch wireType {
 		case protowire.VarintType:
-			f.Number, size = protowire.ConsumeVarint(b[pos+n:])
+			f.Varint, size = protowire.ConsumeVarint(b[pos+n:])
 		case protowire.BytesType:
 			f.Bytes, size = protowire.ConsumeBytes(b[pos+n:])
 		default:
@@ -43,24 +43,24 @@
 	return nil
 }
 
-// Uint stores the value of a varint field in dst.
-func (f Field) Uint(dst *uint64) error {
+// StoreUint stores the value of a varint field in dst.
+func (f Field) StoreUint(dst *uint64) error {
 	if f.Type != protowire.VarintType {
 		return trace.BadParameter("field %d is not a varint", f.Tag)
 	}
-	*dst = f.Number
+	*dst = f.Varint
 	return nil
 }
 
-// Text stores the value of a length-delimited field of at most limit bytes in dst.
-func (f Field) Text(dst *string, limit int) error {
-	b, err := f.Message(limit)
+// StoreString stores the value of a length-delimited field of at most limit bytes in dst.
+func (f Field) StoreString(dst *string, limit int) error {
+	b, err := f.BytesValue(limit)
 	*dst = string(b)
 	return err
 }
 
-// Message returns the value of a length-delimited field of at most limit bytes.
-func (f Field) Message(limit int) ([]byte, error) {
+// BytesValue returns the value of a length-delimited field of at most limit bytes.
+func (f Field) BytesValue(limit int) ([]byte, error) {
 	if f.Type != protowire.BytesType {
 		return nil, trace.BadParameter("field %d is not length-delimited", f.Tag)
 	}
@@ -70,11 +70,11 @@
 	return f.Bytes, nil
 }
 
-// Unknown returns the error for a field that the message type does not define.
-func (f Field) Unknown() error { return trace.BadParameter("field %d is unknown", f.Tag) }
+// UnknownFieldError returns the error for a field that the message type does not define.
+func (f Field) UnknownFieldError() error { return trace.BadParameter("field %d is unknown", f.Tag) }
 
-// AppendText appends a string field to dst. It omits the empty string, which is the default of an absent field.
-func AppendText(dst []byte, tag protowire.Number, s string) []byte {
+// AppendString appends a string field to dst. It omits the empty string, which is the default of an absent field.
+func AppendString(dst []byte, tag protowire.Number, s string) []byte {
 	if s == "" {
 		return dst
 	}
--- a/appender/gap.go
+++ b/appender/recordbuffer.go
@@ -1,20 +1,20 @@
 package appender
 
-// maxGapBytes bounds the memory of a Gap as counted by recordMemory. It is a quarter of the 32 MB that a process may use for
+// maxGapBytes bounds the memory of a RecordBuffer as counted by recordMemory. It is a quarter of the 32 MB that a process may use for
 // control state.
 const maxGapBytes = 8 << 20
 
-// Gap buffers contiguous records that cannot be applied yet, because records before them are missing. Beyond maxGapBytes
+// RecordBuffer buffers contiguous records that cannot be applied yet, because records before them are missing. Beyond maxGapBytes
 // the oldest records are dropped: a later checkpoint covers them. The zero value is empty.
-type Gap struct {
+type RecordBuffer struct {
 	records []Record
 	size    int
 }
 
 // Add buffers the record. If it does not follow the last one, the buffered records are dropped first.
-func (g *Gap) Add(r Record) {
+func (g *RecordBuffer) Add(r Record) {
 	if n := len(g.records); n > 0 && g.records[n-1].Offset+1 != r.Offset {
-		*g = Gap{}
+		*g = RecordBuffer{}
 	}
 	g.records = append(g.records, r)
 	g.size += recordMemory(r)
@@ -27,17 +27,17 @@
 	g.records = g.records[n:]
 }
 
-// Open reports whether records are buffered.
-func (g *Gap) Open() bool { return len(g.records) > 0 }
+// HasRecords reports whether records are buffered.
+func (g *RecordBuffer) HasRecords() bool { return len(g.records) > 0 }
 
-// Close empties the buffer and returns its records from the offset on. If records between the offset and the first buffered
+// TakeFrom empties the buffer and returns its records from the offset on. If records between the offset and the first buffered
 // one are missing, ok is false and the buffer is unchanged.
-func (g *Gap) Close(offset uint64) (rest []Record, ok bool) {
+func (g *RecordBuffer) TakeFrom(offset uint64) (rest []Record, ok bool) {
 	if len(g.records) > 0 && g.records[0].Offset > offset {
 		return nil, false
 	}
 	rest = g.records
-	*g = Gap{}
+	*g = RecordBuffer{}
 	for len(rest) > 0 && rest[0].Offset < offset {
 		rest = rest[1:]
 	}
--- a/appender/tail.go
+++ b/appender/tail.go
@@ -35,16 +35,16 @@
 
 	// Progress describes one read of a Tail.
 	Progress struct {
-		// Began is the start time of the read. If Head is set, the state from the records so far was current at that
+		// StartedAt is the start time of the read. If Head is set, the state from the records so far was current at that
 		// time.
-		Began timer.Millis
+		StartedAt timer.Millis
 		// Next is the offset at which the next read starts.
 		Next uint64
-		// First is the offset of the first retained record; 0 after a failed read.
-		First uint64
-		// Head means that every record that existed when the read started was passed to OnRecord.
-		Head bool
-		// Err is the error of a failed read; the fields except Began and Next are then zero.
+		// FirstRetained is the offset of the first retained record; 0 after a failed read.
+		FirstRetained uint64
+		// AtHead means that every record that existed when the read started was passed to OnRecord.
+		AtHead bool
+		// Err is the error of a failed read; the fields except StartedAt and Next are then zero.
 		Err error
 	}
 )
@@ -69,7 +69,7 @@
 			r.err = trace.CompareFailed("head %d of stream %q is lower than the next offset %d; the log has lost records", r.page.Next, t.Stream, next)
 		}
 		if r.err != nil {
-			t.report(Progress{Began: r.startedAt, Next: next, Err: r.err})
+			t.report(Progress{StartedAt: r.startedAt, Next: next, Err: r.err})
 			if IsTruncated(r.err) {
 				return r.err
 			}
@@ -83,7 +83,7 @@
 			}
 			next = record.Offset + 1
 		}
-		t.report(Progress{Began: r.startedAt, Next: next, First: r.page.First, Head: next >= r.page.Next})
+		t.report(Progress{StartedAt: r.startedAt, Next: next, FirstRetained: r.page.First, AtHead: next >= r.page.Next})
 		wait, backoff = orDefault(t.Wait, defaultTailWait), minBackoff
 	}
 	return ctx.Err()
--- a/appender/tail_test.go
+++ b/appender/tail_test.go
@@ -42,7 +42,7 @@
 		OnRead: func(p appender.Progress) {
 			f.mu.Lock()
 			defer f.mu.Unlock()
-			f.reads, f.lastAge = append(f.reads, p), now()-p.Began
+			f.reads, f.lastAge = append(f.reads, p), now()-p.StartedAt
 		},
 	}
 	go func() { f.done <- t.Run(ctx) }()
@@ -77,13 +77,13 @@
 		run  func(t *testing.T, f *tailTest)
 	}{
 		{"empty stream is confirmed at once", 0, func(t *testing.T, f *tailTest) {
-			if _, reads, _, _ := f.snapshot(); len(reads) != 1 || !reads[0].Head || reads[0].Began != 0 {
+			if _, reads, _, _ := f.snapshot(); len(reads) != 1 || !reads[0].AtHead || reads[0].StartedAt != 0 {
 				t.Errorf("got reads %+v", reads)
 			}
 		}},
 		{"idle stream is confirmed for 200 ms at a time", 0, func(t *testing.T, f *tailTest) {
 			f.advance(1000)
-			if _, reads, p, age := f.snapshot(); !p.Head || age != 200 || len(reads) != 6 {
+			if _, reads, p, age := f.snapshot(); !p.AtHead || age != 200 || len(reads) != 6 {
 				t.Errorf("got %+v with age %s after %d reads", p, age, len(reads))
 			}
 		}},
@@ -93,14 +93,14 @@
 			if got, _, _, _ := f.snapshot(); got != "a" {
 				t.Errorf("got records %q at once", got)
 			}
-			f.log.Change(func(s *emulator.LogSettings) { s.ReadDelay = 50 })
+			f.log.UpdateSettings(func(s *emulator.LogSettings) { s.ReadDelay = 50 })
 			f.appendBodies("b", "c", "d", "e", "f")
 			synctest.Wait()
 			_, before, _, _ := f.snapshot()
 			f.advance(1000)
 			_, reads, _, _ := f.snapshot()
 			for _, p := range reads[len(before):] {
-				if p.Head != (p.Next == 6) {
+				if p.AtHead != (p.Next == 6) {
 					t.Errorf("got %+v", p)
 				}
 			}
@@ -109,17 +109,17 @@
 			}
 		}},
 		{"outage and silence are reported and end", 0, func(t *testing.T, f *tailTest) {
-			for _, faults := range []emulator.LogSettings{{Outage: true}, {Silent: true}} {
-				f.log.Change(func(s *emulator.LogSettings) { *s = faults })
+			for _, faults := range []emulator.LogSettings{{Outage: true}, {Unresponsive: true}} {
+				f.log.UpdateSettings(func(s *emulator.LogSettings) { *s = faults })
 				f.advance(3000)
-				if _, reads, p, _ := f.snapshot(); p.Err == nil || p.Head || len(reads) > 30 {
+				if _, reads, p, _ := f.snapshot(); p.Err == nil || p.AtHead || len(reads) > 30 {
 					t.Errorf("got %+v after %d reads", p, len(reads))
 				}
 			}
-			f.log.Change(func(s *emulator.LogSettings) { s.Silent = false })
+			f.log.UpdateSettings(func(s *emulator.LogSettings) { s.Unresponsive = false })
 			f.appendBodies("a")
 			f.advance(1000)
-			if _, _, p, _ := f.snapshot(); !p.Head || p.Next != 1 {
+			if _, _, p, _ := f.snapshot(); !p.AtHead || p.Next != 1 {
 				t.Errorf("got %+v", p)
 			}
 		}},
@@ -128,7 +128,7 @@
 			f.log.SilenceConnections()
 			f.appendBodies("b")
 			f.advance(1200)
-			if _, _, p, _ := f.snapshot(); !p.Head || p.Next != 2 || p.Began < 500 {
+			if _, _, p, _ := f.snapshot(); !p.AtHead || p.Next != 2 || p.StartedAt < 500 {
 				t.Errorf("got %+v", p)
 			}
 			_, reads, _, _ := f.snapshot()
@@ -139,16 +139,16 @@
 			}
 		}},
 		{"slow read is as old as its exchange", 0, func(t *testing.T, f *tailTest) {
-			f.log.Change(func(s *emulator.LogSettings) { s.ReadDelay = 800 })
+			f.log.UpdateSettings(func(s *emulator.LogSettings) { s.ReadDelay = 800 })
 			f.advance(5000)
-			if _, _, p, age := f.snapshot(); !p.Head || age < 800 {
+			if _, _, p, age := f.snapshot(); !p.AtHead || age < 800 {
 				t.Errorf("got %+v with age %s", p, age)
 			}
 		}},
 		{"dropped records end the tail", 0, func(t *testing.T, f *tailTest) {
-			f.log.Change(func(s *emulator.LogSettings) { s.Outage = true })
+			f.log.UpdateSettings(func(s *emulator.LogSettings) { s.Outage = true })
 			f.advance(1000)
-			f.log.Change(func(s *emulator.LogSettings) { *s = emulator.LogSettings{Retention: 1} })
+			f.log.UpdateSettings(func(s *emulator.LogSettings) { *s = emulator.LogSettings{Retention: 1} })
 			f.appendBodies("a", "b", "c")
 			f.advance(1000)
 			if bodies, _, _, _ := f.snapshot(); bodies != "" {
@@ -163,7 +163,7 @@
 			f.advance(1000)
 			_, reads, _, _ := f.snapshot()
 			for _, p := range reads {
-				if p.Head || p.Err == nil || p.Next != 7 {
+				if p.AtHead || p.Err == nil || p.Next != 7 {
 					t.Errorf("got %+v", p)
 				}
 			}
--- a/appender/wire.go
+++ b/appender/wire.go
@@ -75,8 +75,8 @@
 		switch {
 		case r.Offset != from+uint64(i) || r.Offset < p.First || r.Offset >= p.Next:
 			return Page{}, trace.Errorf("response to a read has offset %d at position %d, but the read starts at offset %d", r.Offset, i, from)
-		case len(r.Body) > MaxBody:
-			return Page{}, trace.LimitExceeded("body of the record at offset %d exceeds %d bytes", r.Offset, MaxBody)
+		case len(r.Body) > MaxBodyLen:
+			return Page{}, trace.LimitExceeded("body of the record at offset %d exceeds %d bytes", r.Offset, MaxBodyLen)
 		}
 		p.Records = append(p.Records, Record(r))
 	}
--- a/cmd/emulator/main.go
+++ b/cmd/emulator/main.go
@@ -41,7 +41,7 @@
 	var err error
 	if args[0] == "log" {
 		l := &emulator.Log{}
-		l.Change(func(s *emulator.LogSettings) { s.AppendDelay = timer.Millis(*appendDelay) })
+		l.UpdateSettings(func(s *emulator.LogSettings) { s.AppendDelay = timer.Millis(*appendDelay) })
 		url, err = emulator.ServeLog(ctx, *address, l)
 	} else {
 		b := &emulator.Backend{Slots: *slots, OnStart: printStart}
--- a/cmd/faultrunner/main.go
+++ b/cmd/faultrunner/main.go
@@ -40,13 +40,13 @@
 	flag.Parse()
 	if *platform {
 		os.Exit(runSoak(soaker.Plan{
-			Seed: *seed, Length: time.Duration(*seconds) * time.Second, FaultEvery: time.Duration(*faultInterval) * time.Millisecond,
-			JobsPerSecond: *rate, Entries: *entries, Sidecars: *sidecars, Logs: *logs,
+			Seed: *seed, Duration: time.Duration(*seconds) * time.Second, FaultInterval: time.Duration(*faultInterval) * time.Millisecond,
+			JobsPerSecond: *rate, Entries: *entries, Sidecars: *sidecars, LogDir: *logs,
 		}, *seeds, *parallel))
 	}
 	os.Exit(runInjector(injector.Plan{
-		Seed: *seed, Length: timer.Millis(*seconds) * timer.Second, FaultEvery: timer.Millis(*faultInterval), JobsPerSecond: *rate,
-		Patience: timer.Millis(*resubmitPeriod), Logs: *logs,
+		Seed: *seed, Duration: timer.Millis(*seconds) * timer.Second, FaultInterval: timer.Millis(*faultInterval), JobsPerSecond: *rate,
+		ResubmitTimeout: timer.Millis(*resubmitPeriod), LogDir: *logs,
 		Faults: strings.FieldsFunc(*faults, func(c rune) bool { return c == ',' }),
 	}))
 }
@@ -106,7 +106,7 @@
 
 func runInjector(p injector.Plan) int {
 	return withBinaries(func(ctx context.Context, directory string) (bool, error) {
-		p.Directory = directory
+		p.ProgramDir = directory
 		report, err := injector.Run(ctx, p)
 		if err != nil {
 			return false, err
--- a/commander/commands.go
+++ b/commander/commands.go
@@ -6,10 +6,10 @@
 
 // commands returns the subcommands in the order of the usage overview.
 func commands() []command {
-	limitSetting := loader.Setting{Name: "limit", Unit: loader.UnitCount, Default: "20", Min: 1, Max: 1000, Meaning: "number of notes to show"}
-	keySetting := loader.Setting{Name: "key", Meaning: "idempotency key; a random one when empty"}
-	dryRunSetting := loader.Setting{Name: "dryRun", Unit: loader.UnitSwitch, Default: "false", Meaning: "check the note and show the differences without publishing it"}
-	formatSetting := loader.Setting{Name: "format", Default: "text", Meaning: "format of the report: text, json or html", Check: checkOneOf("text", "json", "html")}
+	limitSetting := loader.Setting{Name: "limit", Unit: loader.UnitCount, Default: "20", Min: 1, Max: 1000, Description: "number of notes to show"}
+	keySetting := loader.Setting{Name: "key", Description: "idempotency key; a random one when empty"}
+	dryRunSetting := loader.Setting{Name: "dryRun", Unit: loader.UnitBool, Default: "false", Description: "check the note and show the differences without publishing it"}
+	formatSetting := loader.Setting{Name: "format", Default: "text", Description: "format of the report: text, json or html", Check: checkOneOf("text", "json", "html")}
 	entryRules := append(requireSecretAndToken("httpAddress", "address", "advertise"),
 		loader.Rule{Names: []string{"advertise", "address"}, Check: checkAdvertise},
 		loader.Rule{Names: []string{"burnShortMs", "burnLongMs"}, Check: checkBurnWindows}, membershipRule)
--- a/commander/demo.go
+++ b/commander/demo.go
@@ -113,7 +113,7 @@
 	}
 	p, err := server.DecodePublication(r.Body)
 	// The entry responds once the withdrawal has been applied, so the time of acceptance is taken from the response.
-	d.withdrawAccepted, d.propagationTime = d.withdrawRequested+p.Took, p.InForce
+	d.withdrawAccepted, d.propagationTime = d.withdrawRequested+p.Elapsed, p.PropagationTime
 	if err != nil || !p.Accepted {
 		return trace.Errorf("the withdrawal was not accepted: status %d, %s", r.Status, r.Body)
 	}
@@ -123,7 +123,7 @@
 		return err
 	}
 	p, err = server.DecodePublication(r.Body)
-	d.returnAccepted = d.returnRequested + p.Took
+	d.returnAccepted = d.returnRequested + p.Elapsed
 	if err != nil || !p.Accepted {
 		return trace.Errorf("the return was not accepted: status %d, %s", r.Status, r.Body)
 	}
--- a/commander/democluster.go
+++ b/commander/democluster.go
@@ -72,12 +72,12 @@
 }
 
 func (dc *demoCluster) start(ctx context.Context, logger *log.Logger) error {
-	tlsConfig, err := messenger.Keys(rand.Text() + rand.Text())
+	tlsConfig, err := messenger.NewTLSConfig(rand.Text() + rand.Text())
 	if err != nil {
 		return err
 	}
 	eventLog := &emulator.Log{}
-	eventLog.Change(func(s *emulator.LogSettings) { s.AppendDelay = demoAppendDelay })
+	eventLog.UpdateSettings(func(s *emulator.LogSettings) { s.AppendDelay = demoAppendDelay })
 	logURL, err := emulator.ServeLog(ctx, "127.0.0.1:0", eventLog)
 	if err != nil {
 		return err
--- a/commander/entry.go
+++ b/commander/entry.go
@@ -93,7 +93,7 @@
 	if s == "" {
 		return nil, nil //nolint:nilnil // without keys the process listens on loopback only
 	}
-	return messenger.Keys(s)
+	return messenger.NewTLSConfig(s)
 }
 
 // idOrRandom returns id, or a random identifier with the prefix if id is empty.
@@ -118,22 +118,22 @@
 	p.requestsCtx, p.cancelRequests = context.WithCancel(context.WithoutCancel(ctx))
 	p.reports = make(chan dispatcher.TaskReport, taskReportQueueSize)
 	p.Entry.OnTask = p.enqueueTaskReport
-	p.metrics.Burn(&p.Reporter, p.Entry.Clock)
+	p.metrics.AddBurnRates(&p.Reporter, p.Entry.Clock)
 	s := &server.Server{
 		Submit: p.submit, Get: p.Entry.Get, Cancel: p.Entry.Cancel,
 		Publish: p.publish, History: p.history, Withdraw: p.withdraw, Return: p.returnDomain, Status: p.status,
 		Burn: func(w io.Writer, format string) error {
 			return p.Reporter.Report(p.Entry.Clock.Now()).Write(w, format)
 		},
-		Metrics: p.writeMetrics, Ready: p.ready, Observe: p.metrics.CountCall, Clock: p.Entry.Clock, Token: p.Token,
+		Metrics: p.writeMetrics, Ready: p.ready, OnResponse: p.metrics.CountRequest, Clock: p.Entry.Clock, Token: p.Token,
 	}
 	h, err := s.Handler()
 	if err != nil {
 		return "", err
 	}
 	p.listener = server.Listener{
-		Handler: h, Connections: p.MaxConnections, Guarded: p.AllowNonLoopback,
-		Report: func(text string) { p.Entry.Logger.Warn("entry: HTTP server: " + text) },
+		Handler: h, MaxConnections: p.MaxConnections, AllowNonLoopback: p.AllowNonLoopback,
+		OnError: func(text string) { p.Entry.Logger.Warn("entry: HTTP server: " + text) },
 	}
 	return p.listener.Listen(ctx, p.HTTPAddress)
 }
@@ -202,7 +202,7 @@
 		return true
 	}
 	switch a.Code {
-	case encoder.CodeTask, encoder.CodeUnknown, encoder.CodeDeadline, encoder.CodeOverload, encoder.CodeUnavailable:
+	case encoder.CodeTaskFailed, encoder.CodeUnknown, encoder.CodeDeadline, encoder.CodeOverload, encoder.CodeUnavailable:
 		return a.State == encoder.JobFailed
 	}
 	return false
@@ -235,11 +235,11 @@
 	defer cancel()
 	s := p.Entry.Status(ctx)
 	for name, value := range map[string]int{
-		"crocuslb_queued_tasks": s.Queued, "crocuslb_open_submissions": s.Jobs, "crocuslb_kept_answers": s.Kept,
-		"crocuslb_kept_answers_bytes": s.KeptBytes, "crocuslb_sidecars": len(s.Sidecars), "crocuslb_roster_entries": len(s.Roster.Entries),
+		"crocuslb_queued_tasks": s.Queued, "crocuslb_open_submissions": s.Submissions, "crocuslb_kept_answers": s.CachedAnswers,
+		"crocuslb_kept_answers_bytes": s.CachedAnswerBytes, "crocuslb_sidecars": len(s.Sidecars), "crocuslb_roster_entries": len(s.Roster.Entries),
 		"crocuslb_lagging_processes": s.Lagging,
 	} {
-		p.metrics.Set(name, float64(value))
+		p.metrics.SetGauge(name, float64(value))
 	}
 	n := s.Counters
 	for name, value := range map[string]uint64{
@@ -250,7 +250,7 @@
 		p.metrics.SetTotal(name, value)
 	}
 	p.members.updateMetrics(&p.metrics)
-	for i := 1; i < encoder.MessageTypes; i++ {
+	for i := 1; i < encoder.TypeCount; i++ {
 		label := fmt.Sprintf("{type=%q}", encoder.Type(i))
 		p.metrics.SetTotal("crocuslb_sent_messages_total"+label, s.Sent[i])
 		p.metrics.SetTotal("crocuslb_received_messages_total"+label, s.Received[i])
--- a/commander/entry_test.go
+++ b/commander/entry_test.go
@@ -181,10 +181,10 @@
 		r    dispatcher.TaskReport
 		want string // failure domains and workers that burn the budgets of response and success
 	}{
-		{"good", dispatcher.TaskReport{Domain: "d", Worker: "w", Status: done, Ran: 112, Expected: 100}, "[] [] [] []"},
-		{"slow", dispatcher.TaskReport{Domain: "d", Worker: "w", Status: done, Ran: 113, Expected: 100}, "[{d 1 1 1}] [{w 1 1 1}] [] []"},
-		{"no expectation", dispatcher.TaskReport{Domain: "d", Worker: "w", Status: done, Ran: 113}, "[] [] [] []"},
-		{"failed", dispatcher.TaskReport{Domain: "d", Worker: "w", Status: failed, Ran: 9}, "[] [] [{d 1 1 1}] [{w 1 1 1}]"},
+		{"good", dispatcher.TaskReport{Domain: "d", Worker: "w", Status: done, RunTime: 112, ExpectedRunTime: 100}, "[] [] [] []"},
+		{"slow", dispatcher.TaskReport{Domain: "d", Worker: "w", Status: done, RunTime: 113, ExpectedRunTime: 100}, "[{d 1 1 1}] [{w 1 1 1}] [] []"},
+		{"no expectation", dispatcher.TaskReport{Domain: "d", Worker: "w", Status: done, RunTime: 113}, "[] [] [] []"},
+		{"failed", dispatcher.TaskReport{Domain: "d", Worker: "w", Status: failed, RunTime: 9}, "[] [] [{d 1 1 1}] [{w 1 1 1}]"},
 		{"unknown", dispatcher.TaskReport{Domain: "d", Worker: "w", Status: unknown}, "[] [] [{d 1 1 1}] [{w 1 1 1}]"},
 		{"canceled", dispatcher.TaskReport{Domain: "d", Worker: "w", Status: failed, Canceled: true}, "[] [] [] []"},
 		{"unknown place", dispatcher.TaskReport{Status: unknown}, "[] [] [] []"},
@@ -198,7 +198,7 @@
 		cancel()
 		running.Wait()
 		p.enqueueTaskReport(tc.r)
-		rows := p.Reporter.Report(p.Entry.Clock.Now()).Rows
+		rows := p.Reporter.Report(p.Entry.Clock.Now()).Objectives
 		got := fmt.Sprint(rows[0].Domains, rows[0].Workers, rows[1].Domains, rows[1].Workers)
 		if got != tc.want || rows[0].Total+rows[1].Total != 0 || p.droppedReports.Load() != 1 {
 			t.Errorf("%s: got %s, %d jobs, %d dropped; want %s, none, 1", tc.name, got, rows[0].Total+rows[1].Total, p.droppedReports.Load(), tc.want)
--- a/commander/membership.go
+++ b/commander/membership.go
@@ -22,8 +22,8 @@
 )
 
 var (
-	memberAddressSetting = loader.Setting{Name: "memberAddress", Unit: loader.UnitAddress, Meaning: "address at which the process takes part in membership (UDP), reached by all other members; membership is off when empty"}
-	memberSeedsSetting   = loader.Setting{Name: "memberSeeds", Unit: loader.UnitAddresses, Meaning: "member addresses of other processes, from which the process learns the others"}
+	memberAddressSetting = loader.Setting{Name: "memberAddress", Unit: loader.UnitAddress, Description: "address at which the process takes part in membership (UDP), reached by all other members; membership is off when empty"}
+	memberSeedsSetting   = loader.Setting{Name: "memberSeeds", Unit: loader.UnitAddresses, Description: "member addresses of other processes, from which the process learns the others"}
 
 	membershipRule = loader.Rule{Names: []string{memberAddressSetting.Name, memberSeedsSetting.Name, secretSetting.Name}, Check: checkMembership}
 )
@@ -101,9 +101,9 @@
 		counts[u.State]++
 	}
 	for s, n := range counts {
-		metrics.Set(`crocuslb_members{state="`+s.String()+`"}`, float64(n))
+		metrics.SetGauge(`crocuslb_members{state="`+s.String()+`"}`, float64(n))
 	}
-	metrics.SetTotal("crocuslb_refused_member_datagrams_total", m.process.Refused())
+	metrics.SetTotal("crocuslb_refused_member_datagrams_total", m.process.DroppedDatagrams())
 }
 
 // checkMembership rejects addresses beyond loopback if there is no secret, and an unspecified member address, because
@@ -111,10 +111,10 @@
 func checkMembership(v loader.Values) []loader.Finding {
 	var findings []loader.Finding
 	add := func(s loader.Setting, reason string) {
-		findings = append(findings, loader.Finding{Place: "-" + s.Name, Reason: reason})
+		findings = append(findings, loader.Finding{Location: "-" + s.Name, Reason: reason})
 	}
 	hasSecret := v.Text(secretSetting.Name) != ""
-	if !hasSecret && !v.Loopback(memberAddressSetting.Name) {
+	if !hasSecret && !v.IsLoopback(memberAddressSetting.Name) {
 		add(memberAddressSetting, "an address beyond loopback needs -secret")
 	}
 	if a, err := netip.ParseAddrPort(v.Text(memberAddressSetting.Name)); err == nil && a.Addr().Unmap().IsUnspecified() {
--- a/commander/operatorcalls.go
+++ b/commander/operatorcalls.go
@@ -67,16 +67,16 @@
 	return out
 }
 
-func (p *entryProcess) history(ctx context.Context, limit int) ([]server.Record, error) {
+func (p *entryProcess) history(ctx context.Context, limit int) ([]server.HistoryRecord, error) {
 	changes, err := p.Entry.History(ctx, limit)
 	if err != nil {
 		return nil, err
 	}
-	out := make([]server.Record, 0, len(changes))
+	out := make([]server.HistoryRecord, 0, len(changes))
 	for _, c := range changes {
-		r := server.Record{Offset: c.Offset, Note: c.Note}
+		r := server.HistoryRecord{Offset: c.Offset, Note: c.Note}
 		if len(c.Findings) > 0 {
-			r.Refused = configurer.Err(c.Findings).Error()
+			r.Refused = configurer.JoinFindings(c.Findings).Error()
 		}
 		out = append(out, r)
 	}
@@ -128,7 +128,7 @@
 		if s.Entry.ID != "" && s.ConfigOffset > pub.Offset {
 			pub.Lagging = s.Lagging
 			if s.Lagging == 0 {
-				pub.InForce = now - started
+				pub.PropagationTime = now - started
 				return pub
 			}
 		}
@@ -176,7 +176,7 @@
 
 func newPublication(d dispatcher.Publication, elapsed timer.Millis) server.Publication {
 	pub := server.Publication{
-		Offset: d.Offset, Lagging: d.Lagging, Took: elapsed,
+		Offset: d.Offset, Lagging: d.Lagging, Elapsed: elapsed,
 		Accepted:    d.State == dispatcher.PublicationAccepted,
 		Recorded:    d.State == dispatcher.PublicationRecorded,
 		Provisional: d.State == dispatcher.PublicationProvisional,
@@ -184,7 +184,7 @@
 		Unknown:     d.State == dispatcher.PublicationUnknown,
 	}
 	for _, f := range d.Findings {
-		pub.Findings = append(pub.Findings, server.Finding{Place: f.Place, Reason: f.Text})
+		pub.Findings = append(pub.Findings, server.Finding{Place: f.Location, Reason: f.Message})
 	}
 	return pub
 }
@@ -196,8 +196,8 @@
 	}
 	out := server.State{
 		ID: s.Entry.ID, Incarnation: s.Entry.Incarnation, Version: version().Version, Epoch: s.Roster.Epoch, ConfigOffset: s.ConfigOffset,
-		Joined: s.Joined, LogReachable: s.LogReachable, Attested: s.Attests, Leaving: s.Draining, Takeover: s.Takeover,
-		Queued: s.Queued, Submissions: s.Jobs, Lagging: s.Lagging, Counters: server.Counters(s.Counters),
+		Joined: s.Joined, LogReachable: s.LogReachable, Attested: s.AttestsLogOutage, Leaving: s.Draining, Takeover: s.Takeover,
+		Queued: s.Queued, Submissions: s.Submissions, Lagging: s.Lagging, Counters: server.Counters(s.Counters),
 	}
 	for _, e := range s.Roster.Entries {
 		out.Entries = append(out.Entries, server.EntryState{ID: e.Member.ID, Incarnation: e.Member.Incarnation, Address: e.Address})
@@ -205,7 +205,7 @@
 	for _, c := range s.Sidecars {
 		out.Sidecars = append(out.Sidecars, server.SidecarState{
 			ID: c.Member.ID, Domain: c.Domain, Worker: c.Worker, Slots: c.Slots, Credits: c.Credits, Running: c.Running,
-			Connected: c.Connected, Leaving: c.Leaving, Silent: c.Silence,
+			Connected: c.Connected, Leaving: c.Leaving, DisconnectedFor: c.DisconnectedFor,
 		})
 	}
 	for _, d := range s.Domains {
--- a/commander/operatorcommands.go
+++ b/commander/operatorcommands.go
@@ -79,7 +79,7 @@
 		return ExitUsage
 	}
 	return c.callEntry(ctx, func(s server.Client, ctx context.Context) (server.Response, error) {
-		return s.Publish(ctx, body, c.values.Switch("dryRun"))
+		return s.Publish(ctx, body, c.values.Bool("dryRun"))
 	}, c.printPublication)
 }
 
@@ -112,13 +112,13 @@
 	case p.DryRun:
 		c.printf("dry run, nothing published\n")
 	case p.Provisional:
-		c.printf("in force, not yet recorded; %d processes have not applied it yet (%v)\n", p.Lagging, p.Took)
+		c.printf("in force, not yet recorded; %d processes have not applied it yet (%v)\n", p.Lagging, p.Elapsed)
 	case p.Accepted && p.Lagging == 0:
-		c.printf("accepted at offset %d after %v, in force everywhere after %v\n", p.Offset, p.Took, p.InForce)
+		c.printf("accepted at offset %d after %v, in force everywhere after %v\n", p.Offset, p.Elapsed, p.PropagationTime)
 	case p.Accepted:
-		c.printf("accepted at offset %d after %v, not in force on %d processes yet\n", p.Offset, p.Took, p.Lagging)
+		c.printf("accepted at offset %d after %v, not in force on %d processes yet\n", p.Offset, p.Elapsed, p.Lagging)
 	default:
-		c.printf("recorded at offset %d, not accepted yet (%v)\n", p.Offset, p.Took)
+		c.printf("recorded at offset %d, not accepted yet (%v)\n", p.Offset, p.Elapsed)
 	}
 	if p.Domain != "" && p.Sidecars == 0 {
 		c.printf("no sidecar is known in failure domain %s; is the name right?\n", p.Domain)
--- a/commander/program.go
+++ b/commander/program.go
@@ -72,7 +72,7 @@
 	}
 	if n := len(loaded.Args); n != cmd.argCount && (!cmd.optionalArgs || n > cmd.argCount) {
 		loaded.Findings = append(loaded.Findings, loader.Finding{
-			Place: "arguments", Reason: fmt.Sprintf("got %d, want %d (usage: crocuslb %s)", n, cmd.argCount, cmd.usage()),
+			Location: "arguments", Reason: fmt.Sprintf("got %d, want %d (usage: crocuslb %s)", n, cmd.argCount, cmd.usage()),
 		})
 	}
 	if len(loaded.Findings) > 0 {
@@ -145,7 +145,7 @@
 func (c command) usage() string { return strings.TrimSpace(c.name + " " + c.args) }
 
 func (c command) settingSet() loader.Set {
-	return loader.Set{Settings: c.settings, Known: allSettings(), Rules: c.rules}
+	return loader.Set{Settings: c.settings, OtherSettings: allSettings(), Rules: c.rules}
 }
 
 // allSettings returns the distinct settings of all subcommands, in the order of the subcommands.
@@ -211,4 +211,4 @@
 	return server.Client{URL: c.values.Text(entryURLSetting.Name), Token: c.values.Text(tokenSetting.Name), HTTP: &http.Client{}}, ctx, cancel
 }
 
-func (c invocation) jsonRequested() bool { return c.values.Switch(jsonSetting.Name) }
+func (c invocation) jsonRequested() bool { return c.values.Bool(jsonSetting.Name) }
--- a/commander/program_test.go
+++ b/commander/program_test.go
@@ -90,7 +90,7 @@
 func TestSettingDeclarations(t *testing.T) {
 	units := map[string]string{}
 	for _, c := range commands() {
-		if found := c.settingSet().Declared(); len(found) > 0 {
+		if found := c.settingSet().CheckDeclarations(); len(found) > 0 {
 			t.Errorf("%s: got %v", c.name, found)
 		}
 		for _, s := range c.settings {
@@ -124,8 +124,8 @@
 				Differences: []server.Difference{{Key: n.Added[0].Key, After: n.Added[0].Value}},
 			}, nil
 		},
-		History: func(context.Context, int) ([]server.Record, error) {
-			return []server.Record{{Offset: 3, Refused: "newer", Note: configurer.Note{ID: "n", Withdrawn: []string{"domain/a"}}}}, nil
+		History: func(context.Context, int) ([]server.HistoryRecord, error) {
+			return []server.HistoryRecord{{Offset: 3, Refused: "newer", Note: configurer.Note{ID: "n", Withdrawn: []string{"domain/a"}}}}, nil
 		},
 		Withdraw: func(_ context.Context, domain, _ string) (server.Publication, error) {
 			return server.Publication{Provisional: true, Domain: domain}, nil
--- a/commander/taskreport.go
+++ b/commander/taskreport.go
@@ -37,9 +37,9 @@
 // nothing about its worker, and for a task whose worker and failure domain are both unknown.
 func taskObservation(r dispatcher.TaskReport) (reporter.Observation, bool) {
 	v := reporter.Observation{
-		Domain: r.Domain, Worker: r.Worker, Response: r.Ran, Ideal: r.Expected, Failed: r.Status != encoder.StatusDone, Task: true,
+		Domain: r.Domain, Worker: r.Worker, Response: r.RunTime, Ideal: r.ExpectedRunTime, Failed: r.Status != encoder.StatusDone, Task: true,
 	}
-	if r.Ran == 0 {
+	if r.RunTime == 0 {
 		v.Ideal = 0
 	}
 	return v, !r.Canceled && (r.Domain != "" || r.Worker != "")
--- a/configurer/codec.go
+++ b/configurer/codec.go
@@ -29,15 +29,15 @@
 	tagValue     = 2
 	tagChangedAt = 3
 
-	maxEntrySize = MaxKey + MaxValue + entryOverhead
+	maxEntrySize = MaxKeyLen + MaxValueLen + entryOverhead
 )
 
 // AppendNote appends the encoded record of a note to dst.
 func AppendNote(dst []byte, n Note) []byte {
 	var b []byte
-	b = appender.AppendText(b, tagID, n.ID)
-	b = appender.AppendText(b, tagAuthor, n.Author)
-	b = appender.AppendText(b, tagComment, n.Comment)
+	b = appender.AppendString(b, tagID, n.ID)
+	b = appender.AppendString(b, tagAuthor, n.Author)
+	b = appender.AppendString(b, tagComment, n.Comment)
 	b = appender.AppendUint(b, tagBase, n.Base)
 	for _, e := range n.Added {
 		b = appendEntry(b, tagAdded, versionedEntry{key: e.Key, value: e.Value})
@@ -74,11 +74,11 @@
 // DecodeRecord decodes the body of a record. It returns the zero Record on error.
 func DecodeRecord(body []byte) (Record, error) {
 	var r Record
-	if len(body) > appender.MaxBody {
-		return r, trace.BadParameter("record of %d bytes is larger than %d", len(body), appender.MaxBody)
+	if len(body) > appender.MaxBodyLen {
+		return r, trace.BadParameter("record of %d bytes is larger than %d", len(body), appender.MaxBodyLen)
 	}
-	err := appender.Fields(body, func(f appender.Field) error {
-		b, err := f.Message(len(body))
+	err := appender.RangeFields(body, func(f appender.Field) error {
+		b, err := f.BytesValue(len(body))
 		if err != nil {
 			return err
 		}
@@ -93,7 +93,7 @@
 			r.Kind = KindCheckpoint
 			r.Checkpoint, err = decodeCheckpoint(b)
 		default:
-			err = f.Unknown()
+			err = f.UnknownFieldError()
 		}
 		return err
 	})
@@ -108,16 +108,16 @@
 
 func decodeNote(b []byte) (Note, error) {
 	var n Note
-	err := appender.Fields(b, func(f appender.Field) error {
+	err := appender.RangeFields(b, func(f appender.Field) error {
 		switch f.Tag {
 		case tagID:
-			return f.Text(&n.ID, maxIDLen)
+			return f.StoreString(&n.ID, maxIDLen)
 		case tagAuthor:
-			return f.Text(&n.Author, maxAuthorLen)
+			return f.StoreString(&n.Author, maxAuthorLen)
 		case tagComment:
-			return f.Text(&n.Comment, maxCommentLen)
+			return f.StoreString(&n.Comment, maxCommentLen)
 		case tagBase:
-			return f.Uint(&n.Base)
+			return f.StoreUint(&n.Base)
 		}
 		if len(n.Added)+len(n.Changed)+len(n.Withdrawn) >= MaxEntries {
 			return trace.BadParameter("note touches more than %d keys", MaxEntries)
@@ -136,21 +136,21 @@
 			return err
 		case tagWithdrawn:
 			var k string
-			err := f.Text(&k, MaxKey)
+			err := f.StoreString(&k, MaxKeyLen)
 			n.Withdrawn = append(n.Withdrawn, k)
 			return err
 		}
-		return f.Unknown()
+		return f.UnknownFieldError()
 	})
 	return n, err
 }
 
 func decodeCheckpoint(b []byte) (Snapshot, error) {
 	var s Snapshot
-	err := appender.Fields(b, func(f appender.Field) error {
+	err := appender.RangeFields(b, func(f appender.Field) error {
 		switch f.Tag {
 		case tagOffset:
-			return f.Uint(&s.offset)
+			return f.StoreUint(&s.offset)
 		case tagEntries, tagTombstones:
 			e, err := decodeEntry(f)
 			if err != nil {
@@ -164,7 +164,7 @@
 			}
 			return nil
 		}
-		return f.Unknown()
+		return f.UnknownFieldError()
 	})
 	if err != nil {
 		return Snapshot{}, err
@@ -178,8 +178,8 @@
 
 // validate checks the invariants of the fold, so that a checkpoint cannot introduce a state that no fold produces.
 func (s Snapshot) validate() error {
-	if s.size > MaxSize {
-		return trace.BadParameter("checkpoint has a size of %d bytes, more than %d", s.size, MaxSize)
+	if s.size > MaxSnapshotSize {
+		return trace.BadParameter("checkpoint has a size of %d bytes, more than %d", s.size, MaxSnapshotSize)
 	}
 	var r findingList
 	for n, list := range [][]versionedEntry{s.entries, s.tombstones} {
@@ -200,25 +200,25 @@
 			}
 		}
 	}
-	return Err(r.all())
+	return JoinFindings(r.all())
 }
 
 func decodeEntry(f appender.Field) (versionedEntry, error) {
 	var e versionedEntry
-	b, err := f.Message(maxEntrySize)
+	b, err := f.BytesValue(maxEntrySize)
 	if err != nil {
 		return e, err
 	}
-	err = appender.Fields(b, func(f appender.Field) error {
+	err = appender.RangeFields(b, func(f appender.Field) error {
 		switch f.Tag {
 		case tagKey:
-			return f.Text(&e.key, MaxKey)
+			return f.StoreString(&e.key, MaxKeyLen)
 		case tagValue:
-			return f.Text(&e.value, MaxValue)
+			return f.StoreString(&e.value, MaxValueLen)
 		case tagChangedAt:
-			return f.Uint(&e.changedAt)
+			return f.StoreUint(&e.changedAt)
 		}
-		return f.Unknown()
+		return f.UnknownFieldError()
 	})
 	return e, err
 }
@@ -230,8 +230,8 @@
 	}
 	b = protowire.AppendTag(b, tag, protowire.BytesType)
 	b = protowire.AppendVarint(b, uint64(size))
-	b = appender.AppendText(b, tagKey, e.key)
-	b = appender.AppendText(b, tagValue, e.value)
+	b = appender.AppendString(b, tagKey, e.key)
+	b = appender.AppendString(b, tagValue, e.value)
 	return appender.AppendUint(b, tagChangedAt, e.changedAt)
 }
 
--- a/configurer/codec_test.go
+++ b/configurer/codec_test.go
@@ -73,7 +73,7 @@
 		{`{}`, "note changes nothing"},
 		{`{"changed":[{"key":"domain/a","value":"on"},{"key":"domain/a","value":"in"}]}`, `changed[0].value: domain value "on" is not "in" or "out"; changed[1].key: key "domain/a" is also at changed[0].key`},
 		{many, "withdrawn: has more than 256 elements"},
-		{strings.Repeat(" ", MaxNoteJSON+1), "note of 1048577 bytes is larger than 1048576"},
+		{strings.Repeat(" ", MaxNoteJSONLen+1), "note of 1048577 bytes is larger than 1048576"},
 		{`{"` + strings.Repeat("x", 99) + `":1}`, strings.Repeat("x", 64) + "...: field is unknown"},
 	} {
 		_, findings := ParseNote([]byte(c.body))
@@ -84,8 +84,8 @@
 		if got := strings.Join(got, "; "); got != c.want {
 			t.Errorf("%.60q: got %q, want %q", c.body, got, c.want)
 		}
-		if (Err(findings) == nil) != (c.want == "") {
-			t.Errorf("%.60q: got error %v", c.body, Err(findings))
+		if (JoinFindings(findings) == nil) != (c.want == "") {
+			t.Errorf("%.60q: got error %v", c.body, JoinFindings(findings))
 		}
 	}
 }
@@ -118,7 +118,7 @@
 		{"wrong wire type", protowire.AppendVarint(protowire.AppendTag(nil, tagNote, protowire.VarintType), 1), false},
 		{"group wire type", protowire.AppendTag(nil, tagNote, protowire.StartGroupType), false},
 		{"too many keys", AppendNote(nil, Note{Withdrawn: make([]string, MaxEntries+1)}), false},
-		{"long key", AppendNote(nil, Note{Withdrawn: []string{strings.Repeat("k", MaxKey+1)}}), false},
+		{"long key", AppendNote(nil, Note{Withdrawn: []string{strings.Repeat("k", MaxKeyLen+1)}}), false},
 	} {
 		if _, err := DecodeRecord(c.body); (err == nil) != c.valid {
 			t.Errorf("%s: got error %v, want success %v", c.name, err, c.valid)
@@ -172,7 +172,7 @@
 }
 
 func Benchmark(b *testing.B) {
-	s := productionSizeSnapshot().WithDomainsOut("zone-3")
+	s := productionSizeSnapshot().WithDomainsWithdrawn("zone-3")
 	note := AppendNote(nil, Note{ID: "0123456789abcdef0123456789abcdef", Base: s.Offset(), Changed: []Entry{{"domain/zone-4", "out"}}})
 	body := checkpointOf(s)
 	run := func(name string, itemsPerOp, size int, f func()) {
@@ -186,9 +186,9 @@
 		})
 	}
 	run("Get", 1, 0, func() { s.Get("team/team-0400") })
-	run("DomainInForce", 1, 0, func() { s.DomainInForce("zone-4") })
+	run("DomainInForce", 1, 0, func() { s.DomainInService("zone-4") })
 	run("FoldNote", 1, len(note), func() { Fold(s, s.Offset(), note) })
-	p := &Replay{state: s}
+	p := &Replayer{state: s}
 	run("EncodeAndReplayNote", 1, len(note), func() {
 		n := Note{Base: p.state.offset, Changed: []Entry{{"domain/zone-4", "out"}}}
 		if p.Add(appender.Record{Offset: n.Base, Body: AppendNote(nil, n)}) != nil {
--- a/configurer/fold.go
+++ b/configurer/fold.go
@@ -41,11 +41,11 @@
 func (s Snapshot) fold(offset uint64, r Record, inPlace bool) (Snapshot, []Finding) {
 	switch {
 	case s.edited:
-		return s, []Finding{{Place: recordLocation(offset), Text: "snapshot has local edits and is no state of the log"}}
+		return s, []Finding{{Location: recordLocation(offset), Message: "snapshot has local edits and is no state of the log"}}
 	case offset < s.offset:
 		return s, nil
 	case offset > s.offset:
-		return s, []Finding{{Place: recordLocation(offset), Text: "records from offset " + strconv.FormatUint(s.offset, 10) + " on are missing"}}
+		return s, []Finding{{Location: recordLocation(offset), Message: "records from offset " + strconv.FormatUint(s.offset, 10) + " on are missing"}}
 	}
 	var findings []Finding
 	next := s
@@ -54,10 +54,10 @@
 		next, findings = s.apply(r.Note, inPlace)
 	case KindCheckpoint:
 		if r.Checkpoint.offset == s.offset && !r.Checkpoint.Equal(s) {
-			findings = []Finding{{Place: recordLocation(offset), Text: "checkpoint differs from the state folded from the log"}}
+			findings = []Finding{{Location: recordLocation(offset), Message: "checkpoint differs from the state folded from the log"}}
 		}
 	default:
-		findings = []Finding{{Place: recordLocation(offset), Text: "record is not a configuration record"}}
+		findings = []Finding{{Location: recordLocation(offset), Message: "record is not a configuration record"}}
 	}
 	next.offset = offset + 1
 	return next.prune(), findings
@@ -74,13 +74,13 @@
 // addDecodeError appends the decoding error of a record, if any, to the text of its finding.
 func addDecodeError(findings []Finding, err error) []Finding {
 	if err != nil && len(findings) > 0 {
-		findings[0].Text += ": " + err.Error()
+		findings[0].Message += ": " + err.Error()
 	}
 	return findings
 }
 
-// Check returns the findings that Apply would return if the note were the next record.
-func Check(s Snapshot, n Note) []Finding {
+// CheckNote returns the findings that Apply would return if the note were the next record.
+func CheckNote(s Snapshot, n Note) []Finding {
 	return s.checkNote(n)
 }
 
@@ -116,8 +116,8 @@
 	if len(r.findings) > 0 {
 		return r.all()
 	}
-	if size := s.sizeAfter(n); size > MaxSize && size > s.size {
-		return []Finding{{Text: "configuration would be larger than " + strconv.Itoa(MaxSize) + " bytes"}}
+	if size := s.sizeAfter(n); size > MaxSnapshotSize && size > s.size {
+		return []Finding{{Message: "configuration would be larger than " + strconv.Itoa(MaxSnapshotSize) + " bytes"}}
 	}
 	return nil
 }
--- a/configurer/fold_test.go
+++ b/configurer/fold_test.go
@@ -72,7 +72,7 @@
 					history[k] = append(history[k], offset+1)
 				}
 			}
-			check, before := Check(s, n), s
+			check, before := CheckNote(s, n), s
 			next, findings := Fold(s, offset, AppendNote(nil, n))
 			if got := len(findings) == 0; got != accepted || len(check) != len(findings) || !before.Equal(s) {
 				t.Fatalf("offset %d, note %+v: got findings %v, check %v, want accepted %v", offset, n, findings, check, accepted)
@@ -87,7 +87,7 @@
 				}
 			}
 			for _, d := range []string{"a", "b", "unknown"} {
-				if got, want := s.DomainInForce(d), values["domain/"+d] != "out"; got != want {
+				if got, want := s.DomainInService(d), values["domain/"+d] != "out"; got != want {
 					t.Fatalf("domain %s in service: got %v, want %v", d, got, want)
 				}
 			}
@@ -157,15 +157,15 @@
 	return records, states
 }
 
-// TestReplayFromAnywhere checks that a Replay reaches the same state and checkpoint from any first retained record and
+// TestReplayFromAnywhere checks that a Replayer reaches the same state and checkpoint from any first retained record and
 // any known state, and that its state never reverts to an earlier offset.
 func TestReplayFromAnywhere(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		records, states := drawStream(t)
 		first := rapid.IntRange(0, len(records)-1).Draw(t, "first retained")
 		known := rapid.IntRange(0, len(records)).Draw(t, "known offset")
-		p := &Replay{state: Snapshot{}.WithDomainsOut("zone")}
-		p.Adopt(states[known])
+		p := &Replayer{state: Snapshot{}.WithDomainsWithdrawn("zone")}
+		p.InstallSnapshot(states[known])
 		stateKnown, before := known >= first, p.state
 		for i, r := range records[first:] {
 			p.Add(r)
@@ -182,7 +182,7 @@
 				t.Fatalf("record %d: got state known %v, want %v", r.Offset, ok, stateKnown)
 			case ok && (!after.Equal(states[next]) || !bytes.Equal(checkpointOf(after), checkpointOf(states[next]))):
 				t.Fatalf("record %d: got %+v, want %+v", r.Offset, after, states[next])
-			case after.DomainInForce("zone"):
+			case after.DomainInService("zone"):
 				t.Fatalf("record %d: the provisional withdrawal was lost", r.Offset)
 			}
 			before = after
@@ -199,8 +199,8 @@
 		edited := s.Without("kind/k").WithDomain("b", rapid.Bool().Draw(t, "in")).With("setting/new", "1")
 		n := Diff(s, edited)
 		got, findings := Apply(s, s.Offset(), Record{Kind: KindNote, Note: n})
-		if len(findings) > 0 || len(Diff(got, edited).Added) > 0 || !slices.Equal(got.Keys(""), edited.Keys("")) {
-			t.Fatalf("got %v from note %+v, findings %v, want %v", got.Keys(""), n, findings, edited.Keys(""))
+		if len(findings) > 0 || len(Diff(got, edited).Added) > 0 || !slices.Equal(got.KeysWithPrefix(""), edited.KeysWithPrefix("")) {
+			t.Fatalf("got %v from note %+v, findings %v, want %v", got.KeysWithPrefix(""), n, findings, edited.KeysWithPrefix(""))
 		}
 		if _, findings := Apply(edited, s.Offset(), Record{Kind: KindNote, Note: n}); len(findings) == 0 {
 			t.Fatal("Apply accepted an edited snapshot")
@@ -213,7 +213,7 @@
 func TestFindings(t *testing.T) {
 	s, _ := Apply(Snapshot{}, 0, Record{Kind: KindNote, Note: Note{Added: []Entry{{"domain/a", "in"}, {"team/x", "weight=1"}, {"setting/s", ""}}}})
 	s, _ = Apply(s, 1, Record{Kind: KindNote, Note: Note{Base: 1, Changed: []Entry{{"team/x", "weight=2"}}, Withdrawn: []string{"setting/s"}}})
-	long := string(make([]byte, MaxKey))
+	long := string(make([]byte, MaxKeyLen))
 	many := Note{Base: 2}
 	for i := range MaxEntries + 1 {
 		many.Withdrawn = append(many.Withdrawn, fmt.Sprint("kind/", i))
@@ -236,12 +236,12 @@
 		{"invalid domain value", Note{Base: 2, Changed: []Entry{{"domain/a", "maybe"}}}, []string{"changed[0].value"}},
 		{"invalid team value", Note{Base: 2, Changed: []Entry{{"team/x", "weight=0 quota=1"}}}, []string{"changed[0].value"}},
 		{"invalid group or name", Note{Base: 2, Added: []Entry{{"rack/r", "1"}, {"kind/", ""}, {"kind/a b", ""}}}, []string{"added[0].key", "added[1].key", "added[2].key"}},
-		{"too long", Note{ID: long, Base: 2, Added: []Entry{{"kind/" + long, ""}, {"kind/k", string(make([]byte, MaxValue+1))}}}, []string{"id", "added[0].key", "added[1].value"}},
+		{"too long", Note{ID: long, Base: 2, Added: []Entry{{"kind/" + long, ""}, {"kind/k", string(make([]byte, MaxValueLen+1))}}}, []string{"id", "added[0].key", "added[1].value"}},
 		{"too many keys", many, []string{""}},
 	} {
 		var got []string
-		for _, f := range Check(s, c.note) {
-			got = append(got, f.Place)
+		for _, f := range CheckNote(s, c.note) {
+			got = append(got, f.Location)
 		}
 		if !slices.Equal(got, c.want) {
 			t.Errorf("%s: got findings at %q, want %q", c.name, got, c.want)
@@ -255,7 +255,7 @@
 	s, _ := Apply(Snapshot{}, 0, Record{Kind: KindNote, Note: Note{Added: []Entry{{"kind/k", "1"}}}})
 	s, _ = Apply(s, 1, Record{Kind: KindNote, Note: Note{Base: 1, Withdrawn: []string{"kind/k"}}})
 	for s.Offset() < BaseWindow+2 {
-		if late := Check(s, Note{Base: 1, Added: []Entry{{"kind/k", "1"}}}); len(late) == 0 {
+		if late := CheckNote(s, Note{Base: 1, Added: []Entry{{"kind/k", "1"}}}); len(late) == 0 {
 			t.Fatalf("offset %d: accepted a note whose base precedes the withdrawal", s.Offset())
 		}
 		s, _ = Apply(s, s.Offset(), Record{})
@@ -263,7 +263,7 @@
 	if len(s.tombstones) != 0 || s.size != 0 {
 		t.Errorf("got %d tombstones with a total size of %d, want none", len(s.tombstones), s.size)
 	}
-	if got := Check(s, Note{Base: 1, Added: []Entry{{"kind/k", "1"}}}); len(got) != 1 || got[0].Place != "base" {
+	if got := CheckNote(s, Note{Base: 1, Added: []Entry{{"kind/k", "1"}}}); len(got) != 1 || got[0].Location != "base" {
 		t.Errorf("got %v, want one finding at base", got)
 	}
 }
@@ -291,13 +291,13 @@
 	if _, findings := Fold(later, 2, checkpoint(conflicting, 2).Body); len(findings) != 1 {
 		t.Errorf("checkpoint with a different state: got findings %v", findings)
 	}
-	p := &Replay{}
-	p.Adopt(later)
+	p := &Replayer{}
+	p.InstallSnapshot(later)
 	p.Add(appender.Record{Offset: 2, Body: AppendNote(nil, Note{Base: 2, Withdrawn: []string{"kind/a"}})})
 	if _, _, ok := later.Get("kind/a"); !ok || p.state.Len() != 1 {
 		t.Errorf("an adopted snapshot was modified, or the replay was not: %d keys", p.state.Len())
 	}
-	p = &Replay{state: old}
+	p = &Replayer{state: old}
 	p.Add(add("kind/c", 5))
 	p.Add(checkpoint(Snapshot{offset: 8}, 6))
 	if s, ok := p.Snapshot(); ok || !s.Equal(old) {
--- a/configurer/json.go
+++ b/configurer/json.go
@@ -9,8 +9,8 @@
 )
 
 const (
-	// MaxNoteJSON is the maximum size of a JSON-encoded note in bytes.
-	MaxNoteJSON = 1 << 20
+	// MaxNoteJSONLen is the maximum size of a JSON-encoded note in bytes.
+	MaxNoteJSONLen = 1 << 20
 )
 
 // member is a name/value pair of a JSON object.
@@ -30,8 +30,8 @@
 		n Note
 		r findingList
 	)
-	if len(body) > MaxNoteJSON {
-		r.add("", "note of %d bytes is larger than %d", len(body), MaxNoteJSON)
+	if len(body) > MaxNoteJSONLen {
+		r.add("", "note of %d bytes is larger than %d", len(body), MaxNoteJSONLen)
 		return n, r.all()
 	}
 	if !utf8.Valid(body) {
--- a/configurer/note.go
+++ b/configurer/note.go
@@ -13,14 +13,14 @@
 
 // The limits are part of the record format: all readers of the log must apply the same ones.
 const (
-	// MaxKey is the maximum length of a key in bytes.
-	MaxKey = 128
-	// MaxValue is the maximum length of a value in bytes.
-	MaxValue = 1024
+	// MaxKeyLen is the maximum length of a key in bytes.
+	MaxKeyLen = 128
+	// MaxValueLen is the maximum length of a value in bytes.
+	MaxValueLen = 1024
 	// MaxEntries is the maximum number of keys that one note may add, change and withdraw.
 	MaxEntries = 256
-	// MaxSize is the maximum size of the configuration in bytes. It ensures that a checkpoint fits into one log record.
-	MaxSize = 768 << 10
+	// MaxSnapshotSize is the maximum size of the configuration in bytes. It ensures that a checkpoint fits into one log record.
+	MaxSnapshotSize = 768 << 10
 
 	maxIDLen      = 64
 	maxAuthorLen  = 128
@@ -50,8 +50,8 @@
 	// Entry is a key with its value. Keys have the form group/NAME; the groups are domain, team, kind and setting.
 	Entry struct{ Key, Value string }
 
-	// Finding is one reason why a note or a record is rejected. Place is its location, for example added[0].key.
-	Finding struct{ Place, Text string }
+	// Finding is one reason why a note or a record is rejected. Location is, for example, added[0].key.
+	Finding struct{ Location, Message string }
 
 	// Team is the value of a key in the team group.
 	Team struct {
@@ -69,14 +69,14 @@
 )
 
 func (f Finding) String() string {
-	if f.Place == "" {
-		return f.Text
+	if f.Location == "" {
+		return f.Message
 	}
-	return f.Place + ": " + f.Text
+	return f.Location + ": " + f.Message
 }
 
-// Err combines the findings into one error. It returns nil if there are none.
-func Err(findings []Finding) error {
+// JoinFindings combines the findings into one error. It returns nil if there are none.
+func JoinFindings(findings []Finding) error {
 	if len(findings) == 0 {
 		return nil
 	}
@@ -126,14 +126,14 @@
 		r.omitted++
 		return
 	}
-	r.findings = append(r.findings, Finding{Place: location, Text: fmt.Sprintf(format, args...)})
+	r.findings = append(r.findings, Finding{Location: location, Message: fmt.Sprintf(format, args...)})
 }
 
 func (r *findingList) all() []Finding {
 	if r.omitted == 0 {
 		return r.findings
 	}
-	return append(r.findings[:len(r.findings):len(r.findings)], Finding{Text: fmt.Sprintf("%d more findings", r.omitted)})
+	return append(r.findings[:len(r.findings):len(r.findings)], Finding{Message: fmt.Sprintf("%d more findings", r.omitted)})
 }
 
 // checkFormat validates the parts of the note that do not depend on the current state. It returns false if the note has
@@ -192,8 +192,8 @@
 
 // checkKey returns a description of the problem with a key, or an empty string if the key is valid.
 func checkKey(k string) string {
-	if len(k) > MaxKey {
-		return fmt.Sprintf("key of %d bytes is longer than %d", len(k), MaxKey)
+	if len(k) > MaxKeyLen {
+		return fmt.Sprintf("key of %d bytes is longer than %d", len(k), MaxKeyLen)
 	}
 	group, name, _ := strings.Cut(k, "/")
 	switch group {
@@ -215,7 +215,7 @@
 
 func checkValue(r *findingList, location string, e Entry) {
 	before := len(r.findings)
-	checkText(r, location, e.Value, MaxValue)
+	checkText(r, location, e.Value, MaxValueLen)
 	if len(r.findings) > before {
 		return
 	}
--- a/configurer/snapshot.go
+++ b/configurer/snapshot.go
@@ -45,8 +45,8 @@
 	return s.entries[i].value, s.entries[i].changedAt, true
 }
 
-// Keys returns the keys with the given prefix in sorted order.
-func (s Snapshot) Keys(prefix string) []string {
+// KeysWithPrefix returns the keys with the given prefix in sorted order.
+func (s Snapshot) KeysWithPrefix(prefix string) []string {
 	var keys []string
 	i, _ := search(s.entries, prefix)
 	for ; i < len(s.entries) && strings.HasPrefix(s.entries[i].key, prefix); i++ {
@@ -55,8 +55,8 @@
 	return keys
 }
 
-// DomainInForce reports whether tasks may start in the failure domain. Domains without a key are in service.
-func (s Snapshot) DomainInForce(domain string) bool {
+// DomainInService reports whether tasks may start in the failure domain. Domains without a key are in service.
+func (s Snapshot) DomainInService(domain string) bool {
 	if len(s.withdrawnDomains) == 0 && len(s.provisionalDomains) == 0 {
 		return true
 	}
@@ -78,10 +78,10 @@
 	return t
 }
 
-// WithDomainsOut returns a copy in which the given domains are withdrawn provisionally, in addition to those withdrawn
+// WithDomainsWithdrawn returns a copy in which the given domains are withdrawn provisionally, in addition to those withdrawn
 // in the log. They replace any previous provisional withdrawals. Get, Apply and checkpoints ignore provisional
 // withdrawals, and Apply preserves them.
-func (s Snapshot) WithDomainsOut(domains ...string) Snapshot {
+func (s Snapshot) WithDomainsWithdrawn(domains ...string) Snapshot {
 	s.provisionalDomains = slices.Compact(slices.Sorted(slices.Values(domains)))
 	return s
 }
--- a/dispatcher/answer.go
+++ b/dispatcher/answer.go
@@ -10,7 +10,7 @@
 
 const (
 	// maxAnswerPartBytes bounds the results in one part of an answer. It leaves room in the frame for the other fields.
-	maxAnswerPartBytes = encoder.MaxFrame / 2
+	maxAnswerPartBytes = encoder.MaxFrameSize / 2
 	resultOverhead     = 16 // encoded size of a result without its body, in bytes
 )
 
--- a/dispatcher/answer_test.go
+++ b/dispatcher/answer_test.go
@@ -28,7 +28,7 @@
 		var parts []*encoder.ForwardAnswer
 		for i := range c.effects {
 			m := c.effects[i].Message.(*encoder.ForwardAnswer)
-			if n := len(encoder.Append(nil, m)); n > encoder.MaxFrame {
+			if n := len(encoder.Append(nil, m)); n > encoder.MaxFrameSize {
 				t.Errorf("%d results: part of %d bytes", len(sz), n)
 			}
 			parts = append(parts, m)
@@ -72,7 +72,7 @@
 		c.takeover.pastRosters = append(c.takeover.pastRosters, pastRoster{encoder.Roster{}, c.now})
 		c.takeover.reportedKeys = map[string]reportedKey{"k": {reportedAt: c.now}}
 		c.takeover.missingEvidence = map[encoder.Member]timer.Millis{{ID: "s9"}: c.now}
-		m := &encoder.Handover{Certain: tt.certain, Job: encoder.Job{Key: "k", Tasks: make([]encoder.JobTask, 2)}}
+		m := &encoder.Handover{StartedComplete: tt.certain, Job: encoder.Job{Key: "k", Tasks: make([]encoder.JobTask, 2)}}
 		for _, i := range tt.running {
 			m.Started = append(m.Started, encoder.StartedTask{
 				Task: encoder.TaskKey{Job: "k", Index: i}, Status: encoder.StatusRunning,
@@ -115,7 +115,7 @@
 		if i < 0 {
 			t.Fatalf("%s: got no handover", tt.name)
 		}
-		if got := b.sent[i].(*encoder.Handover).Certain; got != tt.want {
+		if got := b.sent[i].(*encoder.Handover).StartedComplete; got != tt.want {
 			t.Errorf("%s: got certain %v, want %v", tt.name, got, tt.want)
 		}
 	}
--- a/dispatcher/bench_test.go
+++ b/dispatcher/bench_test.go
@@ -24,7 +24,7 @@
 			for _, f := range c.core.TakeEffects() {
 				if s, ok := f.Message.(*encoder.Start); ok {
 					c.core.HandleMessage(c.now, sidecarSession, &encoder.Result{
-						Task: s.Task, Status: encoder.StatusDone, Ran: 100, Credits: 1,
+						Task: s.Task, Status: encoder.StatusDone, RunTime: 100, Credits: 1,
 					})
 				}
 			}
--- a/dispatcher/census.go
+++ b/dispatcher/census.go
@@ -145,7 +145,7 @@
 		t := &s.tasks[i]
 		if step(taskChart, &t.state, eventRewind) {
 			s.running--
-			c.queue.Refused(t.sidecar.hello.Member.ID, c.schedulerTask(s, i), encoder.RefusalCanceled)
+			c.queue.TaskRefused(t.sidecar.hello.Member.ID, c.schedulerTask(s, i), encoder.RefusalCanceled)
 			t.sidecar, t.resent = nil, false
 		}
 	}
@@ -157,7 +157,7 @@
 	for i := range s.tasks {
 		t := &s.tasks[i]
 		if e := known.find(uint32(i)); e != nil && t.state == taskQueued &&
-			(e.status == encoder.StatusRunning || e.status == encoder.StatusKept) {
+			(e.status == encoder.StatusRunning || e.status == encoder.StatusRetained) {
 			sc := c.findSidecar(e.sidecar)
 			if sc == nil || !step(taskChart, &t.state, eventRecover) {
 				continue
@@ -291,7 +291,7 @@
 	if p == nil || p.session() == 0 {
 		return
 	}
-	m := &encoder.Handover{Job: job, Certain: certain}
+	m := &encoder.Handover{Job: job, StartedComplete: certain}
 	for i := range s.tasks {
 		t := &s.tasks[i]
 		started := encoder.StartedTask{Task: encoder.TaskKey{Job: s.key, Index: uint32(i)}, Status: encoder.StatusRunning}
@@ -342,7 +342,7 @@
 				c.takeover.addEvidence(&m.Started[i], nil, c.now)
 			}
 		}
-		certain := m.Certain && c.isOwner(c.roster, key)
+		certain := m.StartedComplete && c.isOwner(c.roster, key)
 		if certain && c.takeover.handovers == nil {
 			c.takeover.handovers = map[string]handoverRecord{}
 		}
--- a/dispatcher/core.go
+++ b/dispatcher/core.go
@@ -113,7 +113,7 @@
 	}
 
 	// MessageCounts counts messages by type.
-	MessageCounts [encoder.MessageTypes]uint64
+	MessageCounts [encoder.TypeCount]uint64
 
 	// session is an open session to either a sidecar or a peer.
 	session struct {
--- a/dispatcher/core_test.go
+++ b/dispatcher/core_test.go
@@ -113,7 +113,7 @@
 		{"duplicate results", []any{done(0), done(0), done(0), done(1)}, 0, 0, 0},
 		{"result of another index", []any{done(9), done(0), done(1), done(2)}, encoder.JobComplete, 0, encoder.OutcomeRan},
 		{"failed task waits for the running one", []any{status(0, encoder.StatusFailed)}, 0, 0, 0},
-		{"failed task", []any{status(0, encoder.StatusFailed), done(1)}, encoder.JobFailed, encoder.CodeTask, encoder.OutcomeRan},
+		{"failed task", []any{status(0, encoder.StatusFailed), done(1)}, encoder.JobFailed, encoder.CodeTaskFailed, encoder.OutcomeRan},
 		{"unknown task", []any{status(0, encoder.StatusUnknown), done(1)}, encoder.JobFailed, encoder.CodeUnknown, encoder.OutcomeUnknown},
 		{"not started is requeued", []any{status(0, encoder.StatusNotStarted), done(1), done(2), done(0)}, encoder.JobComplete, 0, encoder.OutcomeRan},
 		{"refused is requeued", []any{refuse(0, encoder.RefusalDuplicate), refuse(1, encoder.RefusalClaimTimeout), done(0), done(2), done(1)}, encoder.JobComplete, 0, encoder.OutcomeRan},
@@ -166,7 +166,7 @@
 // the task was asked to stop.
 func TestOnTask(t *testing.T) {
 	end := func(i uint32, s encoder.Status) *encoder.Result {
-		return &encoder.Result{Task: encoder.TaskKey{Job: "k", Index: i}, Status: s, Ran: 70, Credits: 1}
+		return &encoder.Result{Task: encoder.TaskKey{Job: "k", Index: i}, Status: s, RunTime: 70, Credits: 1}
 	}
 	tests := []struct {
 		name     string
@@ -190,7 +190,7 @@
 		b := newTestBench(t, Settings{OnTask: func(r TaskReport) { got = append(got, fmt.Sprint(r)) }})
 		b.core.sidecars["s"].hello.Worker = "w"
 		for range tt.learnt {
-			b.core.queue.Finished("s", b.core.schedulerTask(&submission{specs: job("", 1).Tasks}, 0), encoder.StatusDone, 100)
+			b.core.queue.TaskFinished("s", b.core.schedulerTask(&submission{specs: job("", 1).Tasks}, 0), encoder.StatusDone, 100)
 		}
 		j := job("k", 2)
 		j.Tasks[0].RunTime = tt.declared
--- a/dispatcher/entry.go
+++ b/dispatcher/entry.go
@@ -68,9 +68,9 @@
 		dialCancels         map[string]context.CancelFunc
 		pendingAnswers      map[uint64]chan encoder.Answer
 		pendingPublications map[uint64]chan Publication
-		configurationReplay configurer.Replay
+		configurationReplay configurer.Replayer
 		configuration       configurer.Snapshot
-		rosterReplay        elector.Replay
+		rosterReplay        elector.Replayer
 
 		configurationCheckpoints checkpointState
 		rosterCheckpoints        checkpointState
@@ -148,7 +148,7 @@
 	e.member.Store(&member)
 	e.roster.Store(&encoder.Roster{})
 	e.node = &messenger.Node{
-		Hello: e.hello, Accept: e.accept, OnUp: e.onSessionOpened, OnMessage: e.onMessage, OnDown: e.onSessionClosed, TLS: e.TLS,
+		Hello: e.hello, Accept: e.accept, OnConnect: e.onSessionOpened, OnMessage: e.onMessage, OnDisconnect: e.onSessionClosed, TLS: e.TLS,
 	}
 	bound, err := e.node.Listen(ctx, e.Listen)
 	if err != nil {
@@ -239,7 +239,7 @@
 	case eventReadDone:
 		e.handleRead(now, ev.stream, ev.progress)
 	case eventAppendDone:
-		e.core.AppendDone(now, ev.tag, ev.offset, ev.err == nil, ev.err != nil && appender.IsUnknown(ev.err))
+		e.core.AppendDone(now, ev.tag, ev.offset, ev.err == nil, ev.err != nil && appender.IsOutcomeUnknown(ev.err))
 		if ev.err != nil {
 			e.Logger.Warnf("entry: append to log stream %s failed: %v", ev.stream, ev.err)
 		}
--- a/dispatcher/entry_log.go
+++ b/dispatcher/entry_log.go
@@ -60,13 +60,13 @@
 func (e *Entry) setConfiguration(now timer.Millis, s configurer.Snapshot) {
 	old := e.configuration
 	e.configuration = s
-	for _, key := range append(old.Keys(teamPrefix), s.Keys(teamPrefix)...) {
+	for _, key := range append(old.KeysWithPrefix(teamPrefix), s.KeysWithPrefix(teamPrefix)...) {
 		name := key[len(teamPrefix):]
 		if t := s.Team(name); t != old.Team(name) {
 			e.core.queue.SetTeam(name, t.Weight, t.Quota)
 		}
 	}
-	e.core.SetConfiguration(now, s.Offset(), s.DomainInForce)
+	e.core.SetConfiguration(now, s.Offset(), s.DomainInService)
 }
 
 // sendConfiguration sends the current configuration to a peer as a checkpoint.
@@ -82,7 +82,7 @@
 // read again.
 func (e *Entry) adoptConfiguration(now timer.Millis, m *encoder.PeerConfiguration) {
 	r, err := configurer.DecodeRecord(m.Checkpoint)
-	if err != nil || r.Kind != configurer.KindCheckpoint || !e.configurationReplay.Adopt(r.Checkpoint) {
+	if err != nil || r.Kind != configurer.KindCheckpoint || !e.configurationReplay.InstallSnapshot(r.Checkpoint) {
 		return
 	}
 	if s, ok := e.configurationReplay.Snapshot(); ok {
@@ -94,7 +94,7 @@
 // handleRead handles a completed read of the log. A read that reached the head confirms the stream, unless its state is not
 // known yet.
 func (e *Entry) handleRead(now timer.Millis, stream string, p appender.Progress) {
-	if p.Err != nil || !p.Head {
+	if p.Err != nil || !p.AtHead {
 		return
 	}
 	switch stream {
@@ -111,6 +111,6 @@
 			return
 		}
 	}
-	e.core.StreamConfirmed(now, stream, p.Began)
+	e.core.StreamConfirmed(now, stream, p.StartedAt)
 	e.appendCheckpointIfDue(stream, p)
 }
--- a/dispatcher/entry_test.go
+++ b/dispatcher/entry_test.go
@@ -61,12 +61,12 @@
 // connectSidecar connects a sidecar that answers every start with the task's payload.
 func (n *testNetwork) connectSidecar() {
 	node := &messenger.Node{
-		Hello: func() encoder.Hello { h := hello("s", 1); h.Slots = 8; return h },
-		OnUp:  func(s *messenger.Session) { s.Send(&encoder.Grant{Credits: 8}) },
+		Hello:     func() encoder.Hello { h := hello("s", 1); h.Slots = 8; return h },
+		OnConnect: func(s *messenger.Session) { s.Send(&encoder.Grant{Credits: 8}) },
 		OnMessage: func(s *messenger.Session, m encoder.Message) {
 			switch m := m.(type) {
 			case *encoder.Start:
-				s.Send(&encoder.Result{Task: m.Task, Status: encoder.StatusDone, Body: m.Payload, Ran: 1, Credits: 1})
+				s.Send(&encoder.Result{Task: m.Task, Status: encoder.StatusDone, Body: m.Payload, RunTime: 1, Credits: 1})
 			case *encoder.Census:
 				s.Send(&encoder.CensusReply{Epoch: m.Roster.Epoch, Last: true})
 			}
--- a/dispatcher/follow.go
+++ b/dispatcher/follow.go
@@ -96,5 +96,5 @@
 	if since <= checkpointRetryInterval {
 		return false
 	}
-	return p.First > 0 && last < p.First+(p.Next-p.First)/2 || since > checkpointInterval
+	return p.FirstRetained > 0 && last < p.FirstRetained+(p.Next-p.FirstRetained)/2 || since > checkpointInterval
 }
--- a/dispatcher/freshness.go
+++ b/dispatcher/freshness.go
@@ -109,7 +109,7 @@
 }
 
 func (c *Core) confirmedByHalf(agrees func(p *peer) bool) bool {
-	if _, ok := elector.Find(c.roster, c.self.ID); !ok {
+	if _, ok := elector.FindEntry(c.roster, c.self.ID); !ok {
 		return false
 	}
 	count := 0
@@ -137,7 +137,7 @@
 	case c.attestsLogOutage():
 		p.Confirmed, p.LogReachable = true, false
 	case c.lastConfirmation() != 0 && age < leaseDuration:
-		p.Confirmed, p.Age = true, age
+		p.Confirmed, p.ConfirmationAge = true, age
 	}
 	sc.configOffset = p.ConfigOffset
 	c.send(sc.session, p)
--- a/dispatcher/freshness_test.go
+++ b/dispatcher/freshness_test.go
@@ -84,8 +84,8 @@
 		if !ok || pong.Sequence != 7 || pong.Confirmed != tt.confirmed || pong.LogReachable == tt.attests {
 			t.Errorf("%s: got pong %+v", tt.name, b.sent[0])
 		}
-		if want := tt.silence; !tt.attests && tt.confirmed && pong.Age != want || tt.attests && pong.Age != 0 {
-			t.Errorf("%s: got age %v, last confirmation %v ago", tt.name, pong.Age, want)
+		if want := tt.silence; !tt.attests && tt.confirmed && pong.ConfirmationAge != want || tt.attests && pong.ConfirmationAge != 0 {
+			t.Errorf("%s: got age %v, last confirmation %v ago", tt.name, pong.ConfirmationAge, want)
 		}
 	}
 }
@@ -138,12 +138,12 @@
 			case "return":
 				configuration(2, true)
 			case "conflict":
-				b.core.ConfigurationRecord(b.now, 0, []configurer.Finding{{Text: "the key was changed"}})
+				b.core.ConfigurationRecord(b.now, 0, []configurer.Finding{{Message: "the key was changed"}})
 				configuration(1, true)
 			case "know":
 				b.answerPing(1, encoder.PeerPing{Epoch: 3, LogReachable: true, ConfigOffset: 1}, 10)
 			case "hear":
-				b.core.HandleMessage(b.now, 1, &encoder.PeerPing{Epoch: 3, Domains: []string{"north"}, ConfigOffset: 0})
+				b.core.HandleMessage(b.now, 1, &encoder.PeerPing{Epoch: 3, WithdrawnDomains: []string{"north"}, ConfigOffset: 0})
 			case "time":
 				b.now += 3500
 			}
--- a/dispatcher/peer.go
+++ b/dispatcher/peer.go
@@ -139,7 +139,7 @@
 	for _, m := range s.Sidecars {
 		c.takeover.sidecarSeen(m, c.now)
 	}
-	for _, d := range s.Domains {
+	for _, d := range s.WithdrawnDomains {
 		c.adoptProvisional(d, s.ConfigOffset)
 	}
 	c.offerConfiguration(p, s)
@@ -164,7 +164,7 @@
 		ConfigConfirmed: c.confirmations[StreamConfiguration] != 0 && c.now-c.confirmations[StreamConfiguration] <= logTimeout,
 	}
 	for d := range c.domainState.provisional {
-		s.Domains = append(s.Domains, d)
+		s.WithdrawnDomains = append(s.WithdrawnDomains, d)
 	}
 	if c.now-p.lastFullList >= fullSidecarListInterval {
 		clear(p.listedSidecars)
--- a/dispatcher/placement.go
+++ b/dispatcher/placement.go
@@ -57,7 +57,7 @@
 	spec := &s.specs[i]
 	return scheduler.Task{
 		Key: encoder.TaskKey{Job: s.key, Index: uint32(i)}, Team: s.team, Kind: spec.Kind, MemoryMB: spec.MemoryMB,
-		RunTime: spec.RunTime, Arrived: s.arrivedAt, Deadline: s.deadline, JobLeft: s.unfinished,
+		RunTime: spec.RunTime, Arrived: s.arrivedAt, Deadline: s.deadline, JobRemaining: s.unfinished,
 	}
 }
 
@@ -77,8 +77,8 @@
 		}
 		if s == nil || s.state != submissionOpen || !step(taskChart, &s.tasks[i].state, eventPlace) {
 			// The task ended while it was queued, so the credit was not used.
-			c.queue.Refused(p.Sidecar, p.Task, encoder.RefusalCanceled)
-			c.queue.Grant(p.Sidecar, 1)
+			c.queue.TaskRefused(p.Sidecar, p.Task, encoder.RefusalCanceled)
+			c.queue.AddCredits(p.Sidecar, 1)
 			continue
 		}
 		s.tasks[i].sidecar = sc
@@ -131,7 +131,7 @@
 		c.requeue(s, i, sc, encoder.RefusalNoSlot, 0)
 		return
 	}
-	c.taskEnded(s, i, sc, m.Status, m.Body, m.Reason, m.Ran)
+	c.taskEnded(s, i, sc, m.Status, m.Body, m.Reason, m.RunTime)
 }
 
 // taskEnded applies the end of a task. The state chart refuses further ends of the same task, which have no effect.
@@ -148,7 +148,7 @@
 	c.reportTaskEnd(s, i, sc, status, ran)
 	if previous != taskQueued {
 		s.running--
-		c.queue.Finished(sc.hello.Member.ID, c.schedulerTask(s, i), status, ran)
+		c.queue.TaskFinished(sc.hello.Member.ID, c.schedulerTask(s, i), status, ran)
 	}
 	t.sidecar = sc
 	s.unfinished--
@@ -164,7 +164,7 @@
 		}
 		return
 	}
-	code := encoder.CodeTask
+	code := encoder.CodeTaskFailed
 	if event == eventForget {
 		code = encoder.CodeUnknown
 	}
@@ -213,7 +213,7 @@
 		c.counters.Ignored++
 		return
 	}
-	c.queue.Refused(sc.hello.Member.ID, c.schedulerTask(s, i), reason)
+	c.queue.TaskRefused(sc.hello.Member.ID, c.schedulerTask(s, i), reason)
 	s.running--
 	t.sidecar, t.resent = nil, false
 	t.attempts++
--- a/dispatcher/publication.go
+++ b/dispatcher/publication.go
@@ -89,7 +89,7 @@
 			return
 		}
 		c.addPublishResponse(request, Publication{State: PublicationRefused, Findings: []configurer.Finding{{
-			Place: "log", Text: "less than half of the entries report the log as reachable",
+			Location: "log", Message: "less than half of the entries report the log as reachable",
 		}}})
 		return
 	}
@@ -122,11 +122,11 @@
 	}
 	delete(c.publications.pending, tag)
 	p := Publication{State: PublicationUnknown, Findings: []configurer.Finding{{
-		Place: "log", Text: "the outcome of the append is not known",
+		Location: "log", Message: "the outcome of the append is not known",
 	}}}
 	if !unknown {
 		p = Publication{State: PublicationRefused, Findings: []configurer.Finding{{
-			Place: "log", Text: "the append failed",
+			Location: "log", Message: "the append failed",
 		}}}
 	}
 	if d.domain != "" {
--- a/dispatcher/request.go
+++ b/dispatcher/request.go
@@ -80,7 +80,7 @@
 	}
 	if provisional {
 		return Publication{State: PublicationRefused, Findings: []configurer.Finding{{
-			Place: "domain/" + domain, Text: "the withdrawal of the domain is not recorded in the log yet",
+			Location: "domain/" + domain, Message: "the withdrawal of the domain is not recorded in the log yet",
 		}}}, nil
 	}
 	return e.publish(ctx, func() (configurer.Note, string) { return e.domainNote(domain, author, true), "" }, false)
@@ -101,7 +101,7 @@
 			}
 			return
 		}
-		if findings := configurer.Check(e.configuration, n); len(findings) > 0 || dryRun {
+		if findings := configurer.CheckNote(e.configuration, n); len(findings) > 0 || dryRun {
 			p := Publication{State: PublicationRefused, Findings: findings}
 			if len(findings) == 0 {
 				p.State = PublicationAccepted
@@ -130,9 +130,9 @@
 const domainChangeComment = "failure domain"
 
 func (e *Entry) domainNote(domain, author string, inForce bool) configurer.Note {
-	s := e.configuration.WithDomainsOut()
+	s := e.configuration.WithDomainsWithdrawn()
 	n := configurer.Note{Base: s.Offset()}
-	if s.DomainInForce(domain) != inForce {
+	if s.DomainInService(domain) != inForce {
 		n = configurer.Diff(s, s.WithDomain(domain, inForce))
 	}
 	n.Author, n.Comment = author, domainChangeComment
--- a/dispatcher/roster.go
+++ b/dispatcher/roster.go
@@ -46,7 +46,7 @@
 	}
 	prev := c.roster
 	c.roster = r
-	self, listed := elector.Find(r, c.self.ID)
+	self, listed := elector.FindEntry(r, c.self.ID)
 	wasJoined := c.joined
 	c.joined = listed && self.Member == c.self
 	if wasJoined && !c.joined && !c.draining || listed && self.Member.Incarnation > c.self.Incarnation {
@@ -56,7 +56,7 @@
 	c.beginTakeover(prev)
 	c.redirectForwards()
 	for m := range c.removalAttempts {
-		if e, ok := elector.Find(r, m.ID); !ok || e.Member != m {
+		if e, ok := elector.FindEntry(r, m.ID); !ok || e.Member != m {
 			delete(c.removalAttempts, m)
 		}
 	}
@@ -83,7 +83,7 @@
 // updatePeerConnections opens connections to new members of the roster and closes those to former members.
 func (c *Core) updatePeerConnections(prev encoder.Roster) {
 	for _, e := range prev.Entries {
-		if current, ok := elector.Find(c.roster, e.Member.ID); !ok || current.Address != e.Address {
+		if current, ok := elector.FindEntry(c.roster, e.Member.ID); !ok || current.Address != e.Address {
 			c.effects = append(c.effects, Effect{Kind: EffectDisconnect, Address: e.Address})
 		}
 	}
@@ -93,7 +93,7 @@
 		}
 		p := c.getOrAddPeer(e.Member.ID)
 		p.address = e.Address
-		if old, ok := elector.Find(prev, e.Member.ID); !ok || old != e {
+		if old, ok := elector.FindEntry(prev, e.Member.ID); !ok || old != e {
 			p.lastHeard = max(p.lastHeard, c.now+firstContactTimeout-peerTimeout)
 			c.effects = append(c.effects, Effect{Kind: EffectDial, Address: e.Address})
 		}
--- a/dispatcher/sidecar.go
+++ b/dispatcher/sidecar.go
@@ -70,7 +70,7 @@
 		distance = 1
 	}
 	c.queue.SetSidecar(scheduler.Sidecar{
-		ID: h.Member.ID, Domain: h.Domain, Slots: h.Slots, MemoryMB: h.MemoryMB, Kinds: h.Kinds, Distance: distance,
+		ID: h.Member.ID, Domain: h.Domain, Slots: h.Slots, MemoryMB: h.MemoryMB, Kinds: h.Kinds, Latency: distance,
 	})
 	c.queue.SetDomain(h.Domain, c.inForce(h.Domain))
 	c.sendCensus(sc)
@@ -171,7 +171,7 @@
 		c.addCredits(sc, m.Credits)
 	case *encoder.Recall:
 		// The sidecar sends no further Recall before it has an answer, so it gets one even if no credits are returned.
-		returned := c.queue.Recall(sc.hello.Member.ID, m.Credits)
+		returned := c.queue.RevokeCredits(sc.hello.Member.ID, m.Credits)
 		sc.credits -= min(returned, sc.credits)
 		c.send(sc.session, &encoder.Release{Credits: returned})
 	case *encoder.CensusReply:
@@ -186,7 +186,7 @@
 func (c *Core) addCredits(sc *sidecar, credits uint32) {
 	if credits > 0 && !sc.leaving {
 		sc.credits += credits
-		c.queue.Grant(sc.hello.Member.ID, credits)
+		c.queue.AddCredits(sc.hello.Member.ID, credits)
 	}
 }
 
@@ -200,7 +200,7 @@
 // sendDemand reports the length of the queue to the sidecars when it has become empty or non-empty, or more than doubled
 // since the last report.
 func (c *Core) sendDemand() {
-	queued := c.queue.Queued()
+	queued := c.queue.QueueLen()
 	if queued == 0 && c.totalReportedDemand == 0 {
 		return
 	}
--- a/dispatcher/simulation_test.go
+++ b/dispatcher/simulation_test.go
@@ -356,7 +356,7 @@
 		roster, _ = elector.Apply(roster, uint64(i), r.change)
 	}
 	for _, n := range sm.entries {
-		listed, _ := elector.Find(roster, n.id)
+		listed, _ := elector.FindEntry(roster, n.id)
 		if !n.alive || n.paused || n.id == excluded || listed.Member != n.core.Self() {
 			continue
 		}
@@ -390,7 +390,7 @@
 		delete(s.started, task)
 		sm.startCounts[task]--
 	}
-	sm.performSidecar(s, s.core.Ended(sm.now, task, starter.Outcome{Status: status, Body: expectedResult(task), Ran: 1}))
+	sm.performSidecar(s, s.core.RunEnded(sm.now, task, starter.Outcome{Status: status, Body: expectedResult(task), RunTime: 1}))
 }
 
 func (sm *simulation) submit(n *simEntry, key string) {
--- a/dispatcher/status.go
+++ b/dispatcher/status.go
@@ -12,38 +12,38 @@
 type (
 	// Status is a snapshot of the state of an entry.
 	Status struct {
-		Entry        encoder.Member
-		Joined       bool
-		Draining     bool
-		LogReachable bool
-		Attests      bool
-		Takeover     string
-		Roster       encoder.Roster
-		ConfigOffset uint64
-		Sidecars     []SidecarStatus
-		Domains      []DomainStatus
-		Queued       int
-		Jobs         int
-		Kept         int
-		KeptBytes    int
-		Lagging      int // processes that are not known to have the configuration
-		Counters     Counters
-		Sent         MessageCounts // to sidecars and entries, without session handshakes
-		Received     MessageCounts // from sidecars
+		Entry             encoder.Member
+		Joined            bool
+		Draining          bool
+		LogReachable      bool
+		AttestsLogOutage  bool
+		Takeover          string
+		Roster            encoder.Roster
+		ConfigOffset      uint64
+		Sidecars          []SidecarStatus
+		Domains           []DomainStatus
+		Queued            int
+		Submissions       int
+		CachedAnswers     int
+		CachedAnswerBytes int
+		Lagging           int // processes that are not known to have the configuration
+		Counters          Counters
+		Sent              MessageCounts // to sidecars and entries, without session handshakes
+		Received          MessageCounts // from sidecars
 	}
 
 	// SidecarStatus describes a sidecar.
 	SidecarStatus struct {
-		Member       encoder.Member
-		Domain       string
-		Worker       string
-		Slots        uint32
-		Running      uint32
-		Credits      uint32
-		ConfigOffset uint64
-		Connected    bool
-		Leaving      bool
-		Silence      timer.Millis // time since the session ended; 0 while connected
+		Member          encoder.Member
+		Domain          string
+		Worker          string
+		Slots           uint32
+		Running         uint32
+		Credits         uint32
+		ConfigOffset    uint64
+		Connected       bool
+		Leaving         bool
+		DisconnectedFor timer.Millis // time since the session ended; 0 while connected
 	}
 
 	// DomainStatus describes a failure domain.
@@ -69,9 +69,9 @@
 func (c *Core) Status(now timer.Millis) Status {
 	c.now = now
 	s := Status{
-		Entry: c.self, Joined: c.joined, Draining: c.draining, LogReachable: c.logReachable(), Attests: c.attestsLogOutage(),
-		Takeover: c.takeover.state, Roster: c.roster, ConfigOffset: c.domainState.offset, Queued: c.queue.Queued(),
-		Jobs: len(c.submissions), Kept: len(c.answerCache.byKey), KeptBytes: c.answerCache.bytes,
+		Entry: c.self, Joined: c.joined, Draining: c.draining, LogReachable: c.logReachable(), AttestsLogOutage: c.attestsLogOutage(),
+		Takeover: c.takeover.state, Roster: c.roster, ConfigOffset: c.domainState.offset, Queued: c.queue.QueueLen(),
+		Submissions: len(c.submissions), CachedAnswers: len(c.answerCache.byKey), CachedAnswerBytes: c.answerCache.bytes,
 		Lagging: c.lagging(c.domainState.offset), Counters: c.counters, Received: c.receivedCounts,
 	}
 	domains := map[string]int{}
@@ -82,7 +82,7 @@
 			Credits: sc.credits, ConfigOffset: sc.configOffset, Connected: sc.session != 0, Leaving: sc.leaving,
 		}
 		if sc.session == 0 {
-			status.Silence = now - sc.disconnectedAt
+			status.DisconnectedFor = now - sc.disconnectedAt
 		}
 		s.Sidecars = append(s.Sidecars, status)
 		domains[h.Domain]++
--- a/dispatcher/submission.go
+++ b/dispatcher/submission.go
@@ -256,7 +256,7 @@
 		s, _ := heap.Pop(&c.byDeadline).(*submission)
 		c.deadlineExceeded(s)
 	}
-	for _, t := range c.queue.Expired(c.now) {
+	for _, t := range c.queue.RemoveExpired(c.now) {
 		if s := c.submissions[t.Key.Job]; s != nil {
 			c.deadlineExceeded(s)
 		}
@@ -326,7 +326,7 @@
 		}
 		if t.state == taskStarted {
 			// A later result will not find the submission, so the scheduler is told of the end now.
-			c.queue.Refused(t.sidecar.hello.Member.ID, c.schedulerTask(s, i), encoder.RefusalCanceled)
+			c.queue.TaskRefused(t.sidecar.hello.Member.ID, c.schedulerTask(s, i), encoder.RefusalCanceled)
 		}
 		c.collected.add(t.sidecar, encoder.TaskKey{Job: s.key, Index: uint32(i)}, c.now+collectDelay)
 	}
--- a/dispatcher/takeover.go
+++ b/dispatcher/takeover.go
@@ -194,7 +194,7 @@
 }
 
 func (c *Core) sendPeerCensus(p *peer) {
-	if _, listed := elector.Find(c.roster, p.member.ID); !listed || !c.joined || p.censusEpoch >= c.roster.Epoch {
+	if _, listed := elector.FindEntry(c.roster, p.member.ID); !listed || !c.joined || p.censusEpoch >= c.roster.Epoch {
 		return
 	}
 	if id := p.session(); id != 0 {
@@ -335,7 +335,7 @@
 	for _, r := range c.takeover.unsettledRosters {
 		rosterLast, incomplete := c.now, len(r.Entries) > 0
 		for _, e := range r.Entries {
-			current, listed := elector.Find(c.roster, e.Member.ID)
+			current, listed := elector.FindEntry(c.roster, e.Member.ID)
 			if !listed || current.Member != e.Member {
 				continue
 			}
@@ -360,7 +360,7 @@
 // last time at which they may have started tasks.
 func (c *Core) mayMissSidecars() (last timer.Millis, ok bool) {
 	for _, r := range c.takeover.unsettledRosters {
-		if self, listed := elector.Find(r, c.self.ID); len(r.Entries) > 0 && (!listed || self.Member != c.self) {
+		if self, listed := elector.FindEntry(r, c.self.ID); len(r.Entries) > 0 && (!listed || self.Member != c.self) {
 			return c.now, true
 		}
 	}
--- a/driver/bench_test.go
+++ b/driver/bench_test.go
@@ -32,7 +32,7 @@
 				return
 			}
 			b.ResetTimer()
-			l := Load{Prefix: "b", Length: timer.Minute, Jobs: b.N, Connections: c.connections, Tasks: 100, Payload: 64, URLs: []string{url}}
+			l := Load{Prefix: "b", TestDuration: timer.Minute, Jobs: b.N, Connections: c.connections, TasksPerJob: 100, PayloadBytes: 64, URLs: []string{url}}
 			if s, err := l.Run(b.Context()); err != nil || s.Failed > 0 {
 				b.Fatal(s.FailureReason, err)
 			}
@@ -60,7 +60,7 @@
 		(&SimulatedSidecar{ID: simulatedSidecarID(i), Slots: 500}).Connect(b.Context(), []string{quicAddress})
 	}
 	for n := 0; ; n++ {
-		warmUp := Load{Seed: uint64(n), Prefix: "w", Length: timer.Minute, Jobs: 8, Connections: 8, Tasks: 100, URLs: []string{httpServer.URL}}
+		warmUp := Load{Seed: uint64(n), Prefix: "w", TestDuration: timer.Minute, Jobs: 8, Connections: 8, TasksPerJob: 100, URLs: []string{httpServer.URL}}
 		if s, err := warmUp.Run(b.Context()); err == nil && s.Failed == 0 {
 			return httpServer.URL
 		}
--- a/driver/driver_test.go
+++ b/driver/driver_test.go
@@ -29,7 +29,7 @@
 	defer s.Close()
 	for _, rate := range []float64{0, 1e6} {
 		clear(keys)
-		l := Load{Seed: 3, Prefix: "k", Length: 60_000, Jobs: 40, Rate: rate, Connections: 4, Tasks: 2, URLs: []string{s.URL}}
+		l := Load{Seed: 3, Prefix: "k", TestDuration: 60_000, Jobs: 40, Rate: rate, Connections: 4, TasksPerJob: 2, URLs: []string{s.URL}}
 		got, err := l.Run(t.Context())
 		if err != nil || len(got.Latencies) != 39 || got.Failed != 1 || got.Dropped != 0 || len(keys) != 40 {
 			t.Errorf("rate %v: got %d complete, %d failed, %d dropped, %d keys, %v; want 39, 1, 0, 40",
@@ -55,13 +55,13 @@
 // TestCheck guards the limits of a plan. All violations must be reported together.
 func TestCheck(t *testing.T) {
 	good := Plan{
-		Load: Load{Length: 1000, Jobs: 1, Connections: 1, Tasks: 1}, Entries: 1, StandIns: 1, Slots: 8,
+		Load: Load{TestDuration: 1000, Jobs: 1, Connections: 1, TasksPerJob: 1}, Entries: 1, SimulatedSidecars: 1, Slots: 8,
 	}
 	if err := good.Check(); err != nil {
 		t.Errorf("got %v, want no error", err)
 	}
 	bad := good
-	bad.Rate, bad.Backends, bad.Connections, bad.RunTime, bad.Other = -1, 1, 5000, 6000, true
+	bad.Rate, bad.Backends, bad.Connections, bad.RunTime, bad.UseNonOwner = -1, 1, 5000, 6000, true
 	err := bad.Check()
 	for _, want := range []string{"rate: got -1", "mixed", "connections: got 5000", "run time: got 6000", "single entry"} {
 		if err == nil || !strings.Contains(err.Error(), want) {
--- a/driver/load.go
+++ b/driver/load.go
@@ -26,16 +26,16 @@
 type (
 	// Load submits identical jobs to one or more entries. Set the fields before Run.
 	Load struct {
-		Seed        uint64
-		Prefix      string // prefix of the submission keys
-		Length      timer.Millis
-		Jobs        int     // maximum number of jobs
-		Rate        float64 // mean arrivals per second, exponentially spaced; 0 runs a closed loop on each connection
-		Connections int
-		Tasks       int          // tasks per job
-		RunTime     timer.Millis // run time of each task
-		Payload     int          // approximate payload size of each task in bytes
-		URLs        []string     // entry URLs, used round-robin
+		Seed         uint64
+		Prefix       string // prefix of the submission keys
+		TestDuration timer.Millis
+		Jobs         int     // maximum number of jobs
+		Rate         float64 // mean arrivals per second, exponentially spaced; 0 runs a closed loop on each connection
+		Connections  int
+		TasksPerJob  int          // tasks per job
+		RunTime      timer.Millis // run time of each task
+		PayloadBytes int          // approximate payload size of each task in bytes
+		URLs         []string     // entry URLs, used round-robin
 	}
 
 	// LoadResult holds the measurements of the HTTP client.
@@ -53,10 +53,10 @@
 	}
 )
 
-// Run submits jobs until Length has passed or Jobs is reached, and waits for the responses.
+// Run submits jobs until TestDuration has passed or Jobs is reached, and waits for the responses.
 func (l Load) Run(ctx context.Context) (LoadResult, error) {
-	payload := fmt.Appendf(nil, `{"runMs":%d,"echo":"%s"}`, l.RunTime, bytes.Repeat([]byte("x"), max(1, l.Payload-payloadOverhead)))
-	j := encoder.Job{Team: "load", Tasks: make([]encoder.JobTask, l.Tasks)}
+	payload := fmt.Appendf(nil, `{"runMs":%d,"echo":"%s"}`, l.RunTime, bytes.Repeat([]byte("x"), max(1, l.PayloadBytes-payloadOverhead)))
+	j := encoder.Job{Team: "load", Tasks: make([]encoder.JobTask, l.TasksPerJob)}
 	for i := range j.Tasks {
 		j.Tasks[i] = encoder.JobTask{Kind: "quote", Payload: payload, RunTime: l.RunTime}
 	}
@@ -100,7 +100,7 @@
 // generateArrivals sends the arrivals to the channel and returns the number dropped because the backlog was full.
 func (l Load) generateArrivals(ctx context.Context, start time.Time, arrivals chan<- arrival) (dropped int) {
 	r := rand.New(rand.NewPCG(l.Seed, 0))
-	end := start.Add(l.Length.Duration())
+	end := start.Add(l.TestDuration.Duration())
 	due := start
 	for n := 0; n < l.Jobs && ctx.Err() == nil; n++ {
 		if l.Rate == 0 {
@@ -131,7 +131,7 @@
 	c := server.Client{URL: l.URLs[a.index%len(l.URLs)], HTTP: httpClient}
 	got, err := c.Submit(ctx, fmt.Sprintf("%s-%d-%d", l.Prefix, l.Seed, a.index), body)
 	latency := time.Since(a.due)
-	if err == nil && got.Status == http.StatusOK && bytes.Count(got.Body, []byte(`{"body":`)) == l.Tasks {
+	if err == nil && got.Status == http.StatusOK && bytes.Count(got.Body, []byte(`{"body":`)) == l.TasksPerJob {
 		result.Latencies = append(result.Latencies, latency)
 		return
 	}
--- a/driver/report.go
+++ b/driver/report.go
@@ -20,14 +20,14 @@
 func (r *Report) String() string {
 	var b strings.Builder
 	p, s := &r.Plan, &r.Result
-	jobs, tasks := len(s.Latencies), len(s.Latencies)*p.Tasks
+	jobs, tasks := len(s.Latencies), len(s.Latencies)*p.TasksPerJob
 	sidecarKind := fmt.Sprintf("%d sidecars with backend servers", p.Backends)
-	if p.StandIns > 0 {
-		sidecarKind = fmt.Sprintf("%d simulated sidecars without backend servers", p.StandIns)
+	if p.SimulatedSidecars > 0 {
+		sidecarKind = fmt.Sprintf("%d simulated sidecars without backend servers", p.SimulatedSidecars)
 	}
 	fmt.Fprintf(&b, "seed %d, %d entries, %s, %d slots each, %d connections\n", p.Seed, p.Entries, sidecarKind, p.Slots, p.Connections)
 	fmt.Fprintf(&b, "jobs: %d complete, %d failed, %d dropped, of %d tasks of %d ms, in %.2f s\n",
-		jobs, s.Failed, s.Dropped, p.Tasks, p.RunTime, s.Elapsed.Seconds())
+		jobs, s.Failed, s.Dropped, p.TasksPerJob, p.RunTime, s.Elapsed.Seconds())
 	if s.FailureReason != "" {
 		fmt.Fprintf(&b, "example failure: %s\n", s.FailureReason)
 	}
--- a/driver/run.go
+++ b/driver/run.go
@@ -32,12 +32,12 @@
 type Plan struct {
 	Load
 
-	Directory string // directory of the built programs
-	Entries   int
-	Backends  int  // number of backend servers, each with a sidecar process
-	StandIns  int  // number of simulated sidecars in this process; must be 0 if Backends is set
-	Slots     int  // slots per sidecar
-	Other     bool // send the jobs to an entry that is not the owner
+	Directory         string // directory of the built programs
+	Entries           int
+	Backends          int  // number of backend servers, each with a sidecar process
+	SimulatedSidecars int  // number of simulated sidecars in this process; must be 0 if Backends is set
+	Slots             int  // slots per sidecar
+	UseNonOwner       bool // send the jobs to an entry that is not the owner
 }
 
 // Check validates the plan and returns all violations in one error.
@@ -49,13 +49,13 @@
 		highest       int
 	}{
 		{"entries", p.Entries, 1, 16},
-		{"backends and stand-ins", p.Backends + p.StandIns, 1, 200},
+		{"backends and stand-ins", p.Backends + p.SimulatedSidecars, 1, 200},
 		{"slots", p.Slots, 1, 10_000},
 		{"connections", p.Connections, 1, 2000},
-		{"tasks", p.Tasks, 1, 1000},
+		{"tasks", p.TasksPerJob, 1, 1000},
 		{"jobs", p.Jobs, 1, 10_000_000},
-		{"payload", p.Payload, 0, 1 << 16},
-		{"time", int(p.Length), 1, int(10 * timer.Minute)},
+		{"payload", p.PayloadBytes, 0, 1 << 16},
+		{"time", int(p.TestDuration), 1, int(10 * timer.Minute)},
 		{"run time", int(p.RunTime), 0, int(5 * timer.Second)},
 	} {
 		if c.value < c.lowest || c.value > c.highest {
@@ -65,10 +65,10 @@
 	if p.Rate < 0 || p.Rate > maxRate {
 		errs = append(errs, trace.BadParameter("rate: got %g, want 0 to %g", p.Rate, float64(maxRate)))
 	}
-	if p.Backends > 0 && p.StandIns > 0 {
+	if p.Backends > 0 && p.SimulatedSidecars > 0 {
 		errs = append(errs, trace.BadParameter("backends and stand-ins cannot be mixed"))
 	}
-	if p.Other && p.Entries == 1 {
+	if p.UseNonOwner && p.Entries == 1 {
 		errs = append(errs, trace.BadParameter("-other needs two or more entries: a single entry owns every key"))
 	}
 	return trace.NewAggregate(errs...)
@@ -81,7 +81,7 @@
 	}
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	f := &launcher.Fleet{Directory: p.Directory, Entries: p.Entries, Backends: p.Backends, Domains: 1, Slots: p.Slots}
+	f := &launcher.Fleet{ProgramDir: p.Directory, Entries: p.Entries, Backends: p.Backends, Domains: 1, Slots: p.Slots}
 	defer f.Close()
 	if err := f.Launch(ctx); err != nil {
 		return nil, err
@@ -98,7 +98,7 @@
 	}
 	r := &Report{Plan: p, Owner: launcher.EntryName(owner)}
 	p.URLs = []string{f.EntryURL(owner)}
-	if p.Other {
+	if p.UseNonOwner {
 		p.URLs[0] = f.EntryURL((owner + 1) % p.Entries)
 	}
 	if p.Backends > 0 {
@@ -126,7 +126,7 @@
 }
 
 func (p Plan) connectSimulatedSidecars(ctx context.Context, f *launcher.Fleet) error {
-	keys, err := f.Keys()
+	keys, err := f.TLSConfig()
 	if err != nil {
 		return err
 	}
@@ -134,7 +134,7 @@
 	for i := range p.Entries {
 		entries = append(entries, f.EntryAddress(i))
 	}
-	for i := range p.StandIns {
+	for i := range p.SimulatedSidecars {
 		s := &SimulatedSidecar{ID: simulatedSidecarID(i), Slots: uint32(p.Slots), RunTime: p.RunTime, TLS: keys}
 		s.Connect(ctx, entries)
 	}
@@ -174,7 +174,7 @@
 		if err != nil {
 			return 0, trace.Wrap(err)
 		}
-		request.Header.Set("Authorization", "Bearer "+launcher.Token)
+		request.Header.Set("Authorization", "Bearer "+launcher.OperatorToken)
 		response, err := http.DefaultClient.Do(request)
 		if err != nil {
 			return 0, trace.Wrap(err)
--- a/driver/simulated_sidecar.go
+++ b/driver/simulated_sidecar.go
@@ -40,7 +40,7 @@
 	s.sessions, s.sessionIDs = map[uint64]*messenger.Session{}, map[*messenger.Session]uint64{}
 	s.core.ID, s.core.Slots = s.ID, s.Slots
 	incarnation := uint64(time.Now().UnixMicro())
-	s.node = messenger.Node{TLS: s.TLS, OnUp: s.sessionOpened, OnDown: s.sessionClosed, OnMessage: s.messageReceived, Hello: func() encoder.Hello {
+	s.node = messenger.Node{TLS: s.TLS, OnConnect: s.sessionOpened, OnDisconnect: s.sessionClosed, OnMessage: s.messageReceived, Hello: func() encoder.Hello {
 		return encoder.Hello{
 			Role: encoder.RoleSidecar, Member: encoder.Member{ID: s.ID, Incarnation: incarnation}, Slots: s.Slots,
 			Domain: "domain-0", Worker: "worker-" + s.ID,
@@ -121,7 +121,7 @@
 }
 
 func (s *SimulatedSidecar) finishTask(r starter.Run) {
-	s.applyEffects(s.core.Ended(s.Clock.Now(), r.Task, starter.Outcome{Status: encoder.StatusDone, Body: r.Payload}))
+	s.applyEffects(s.core.RunEnded(s.Clock.Now(), r.Task, starter.Outcome{Status: encoder.StatusDone, Body: r.Payload}))
 }
 
 func simulatedSidecarID(i int) string { return "stand-in-" + strconv.Itoa(i) }
--- a/elector/apply.go
+++ b/elector/apply.go
@@ -65,11 +65,11 @@
 	if c.Entry.Member.ID == "" {
 		return r, trace.BadParameter("join record at offset %d has no entry identifier", offset)
 	}
-	if old, ok := Find(r, c.Entry.Member.ID); ok && old.Member.Incarnation >= c.Entry.Member.Incarnation {
+	if old, ok := FindEntry(r, c.Entry.Member.ID); ok && old.Member.Incarnation >= c.Entry.Member.Incarnation {
 		return r, trace.CompareFailed("entry %s has already joined with incarnation %d", old.Member.ID, old.Member.Incarnation)
 	}
 	next := withoutEntry(r, c.Entry.Member.ID)
-	if len(next.Entries) >= encoder.MaxRoster {
+	if len(next.Entries) >= encoder.MaxRosterEntries {
 		return r, trace.LimitExceeded("roster is full: it has %d entries", len(next.Entries))
 	}
 	next.Entries = append(next.Entries, c.Entry)
@@ -79,7 +79,7 @@
 }
 
 func applyRemove(r encoder.Roster, offset uint64, c Change) (encoder.Roster, error) {
-	old, ok := Find(r, c.Entry.Member.ID)
+	old, ok := FindEntry(r, c.Entry.Member.ID)
 	if !ok || old.Member.Incarnation != c.Entry.Member.Incarnation {
 		return r, trace.CompareFailed("entry %s is not in the roster with incarnation %d",
 			c.Entry.Member.ID, c.Entry.Member.Incarnation)
--- a/elector/apply_test.go
+++ b/elector/apply_test.go
@@ -122,8 +122,8 @@
 		}
 		first := rapid.IntRange(0, len(records)-1).Draw(t, "first retained")
 		known := rapid.IntRange(0, len(records)).Draw(t, "known offset")
-		p := &Replay{}
-		p.Adopt(states[known], uint64(known))
+		p := &Replayer{}
+		p.InstallSnapshot(states[known], uint64(known))
 		complete := known >= first
 		for i, r := range records[first:] {
 			before, _ := p.Roster()
@@ -147,7 +147,7 @@
 // Guards against rosters that exceed the message size, and against checkpoints and adopted rosters whose epoch is later
 // than their offset.
 func TestRosterBounds(t *testing.T) {
-	r := rosterOf(encoder.MaxRoster)
+	r := rosterOf(encoder.MaxRosterEntries)
 	more := Change{Kind: ChangeJoin, Entry: encoder.RosterEntry{Member: encoder.Member{ID: "more"}}}
 	if got, err := Apply(r, r.Epoch, more); err == nil || !reflect.DeepEqual(got, r) {
 		t.Errorf("got %d entries, error %v", len(got.Entries), err)
@@ -158,25 +158,25 @@
 	if _, err := Apply(r, 300, Change{Kind: ChangeJoin}); err == nil {
 		t.Error("join of an entry without an identifier was accepted")
 	}
-	p := &Replay{}
+	p := &Replayer{}
 	for i, c := range []Change{{Kind: ChangeLeave, Entry: r.Entries[0]}, NewCheckpoint(encoder.Roster{}, 8)} {
 		_ = p.Add(appender.Record{Offset: uint64(5 + i), Body: AppendChange(nil, c)})
 	}
 	if _, ok := p.Roster(); ok || p.Offset() != 0 {
 		t.Errorf("checkpoint with a base after its offset was adopted at offset %d", p.Offset())
 	}
-	p = &Replay{}
+	p = &Replayer{}
 	_ = p.Add(appender.Record{Body: AppendChange(nil, NewCheckpoint(encoder.Roster{}, 0))})
 	_ = p.Add(appender.Record{Offset: 1})
 	if got := p.SinceCheckpoint(); got != 1 || p.Offset() != 2 {
 		t.Errorf("got %d records since the checkpoint at offset %d, want 1 at 2", got, p.Offset())
 	}
-	p = &Replay{}
+	p = &Replayer{}
 	for _, c := range []struct {
 		epoch, offset uint64
 		want          bool
 	}{{2, 1, false}, {2, 3, true}, {1, 4, false}, {2, 3, false}, {2, 4, true}, {5, 6, true}} {
-		if got := p.Adopt(encoder.Roster{Epoch: c.epoch}, c.offset); got != c.want {
+		if got := p.InstallSnapshot(encoder.Roster{Epoch: c.epoch}, c.offset); got != c.want {
 			t.Errorf("epoch %d at offset %d: got adopted %v, want %v", c.epoch, c.offset, got, c.want)
 		}
 	}
--- a/elector/cell.go
+++ b/elector/cell.go
@@ -10,16 +10,16 @@
 // entries have a single owner.
 const spareEntries = 3
 
-// Cells returns the number of cells of r. A cell is a share of the submission keys together with a share of the sidecars,
+// CellCount returns the number of cells of r. A cell is a share of the submission keys together with a share of the sidecars,
 // and has one owner. Sidecars grant credits only to the owner of their cell, so owners never compete for slots.
 // Small rosters have a single cell, because splitting 88 slots between three owners multiplied the 99th percentile of
 // response time by seven (BenchmarkPolicy). Larger rosters need more owners for throughput.
-func Cells(r encoder.Roster) int {
+func CellCount(r encoder.Roster) int {
 	return max(1, len(r.Entries)-spareEntries)
 }
 
-// Home returns the owner of the sidecar's cell. ok is false if r is empty.
-func Home(r encoder.Roster, sidecar string) (owner encoder.RosterEntry, ok bool) {
+// SidecarOwner returns the owner of the sidecar's cell. ok is false if r is empty.
+func SidecarOwner(r encoder.Roster, sidecar string) (owner encoder.RosterEntry, ok bool) {
 	return cellOwner(r, cellForName(r, "sidecar/"+sidecar))
 }
 
@@ -27,7 +27,7 @@
 // existing one, and no other names move.
 func cellForName(r encoder.Roster, name string) int {
 	best, cell := uint64(0), 0
-	for i := range Cells(r) {
+	for i := range CellCount(r) {
 		if w := rendezvousWeight(cellName(i), name); w > best {
 			best, cell = w, i
 		}
--- a/elector/codec.go
+++ b/elector/codec.go
@@ -60,28 +60,28 @@
 		c         Change
 		hasRoster bool
 	)
-	if len(body) > appender.MaxBody {
-		return c, trace.BadParameter("roster record of %d bytes is larger than %d", len(body), appender.MaxBody)
+	if len(body) > appender.MaxBodyLen {
+		return c, trace.BadParameter("roster record of %d bytes is larger than %d", len(body), appender.MaxBodyLen)
 	}
-	err := appender.Fields(body, func(f appender.Field) error {
+	err := appender.RangeFields(body, func(f appender.Field) error {
 		switch f.Tag {
 		case tagKind:
 			var n uint64
-			err := f.Uint(&n)
+			err := f.StoreUint(&n)
 			if n > uint64(ChangeCheckpoint) {
 				return trace.BadParameter("roster record has unknown kind %d", n)
 			}
 			c.Kind = ChangeKind(n)
 			return err
 		case tagBase:
-			return f.Uint(&c.Base)
+			return f.StoreUint(&c.Base)
 		case tagEntry:
 			return decodeEntry(f, &c.Entry)
 		case tagRoster:
 			hasRoster = true
 			return decodeRoster(f, &c.Roster)
 		}
-		return f.Unknown()
+		return f.UnknownFieldError()
 	})
 	if err == nil {
 		err = c.validate(hasRoster)
@@ -106,14 +106,14 @@
 }
 
 // AppendClaims appends a claims record to dst. It panics if there are more than MaxClaims keys, or if a key is empty or
-// longer than encoder.MaxKey, because readers would reject the whole record.
+// longer than encoder.MaxKeyLen, because readers would reject the whole record.
 func AppendClaims(dst []byte, c Claims) []byte {
 	if len(c.Keys) > MaxClaims {
 		panic("claims record has too many keys")
 	}
 	dst = appendMessage(dst, tagClaimant, appendMember(nil, c.Member))
 	for _, k := range c.Keys {
-		if k == "" || len(k) > encoder.MaxKey {
+		if k == "" || len(k) > encoder.MaxKeyLen {
 			panic("claims record has an empty or too long key")
 		}
 		dst = protowire.AppendTag(dst, tagKeys, protowire.BytesType)
@@ -125,10 +125,10 @@
 // DecodeClaims decodes the body of a claims record.
 func DecodeClaims(body []byte) (Claims, error) {
 	var c Claims
-	if len(body) > appender.MaxBody {
-		return c, trace.BadParameter("claims record of %d bytes is larger than %d", len(body), appender.MaxBody)
+	if len(body) > appender.MaxBodyLen {
+		return c, trace.BadParameter("claims record of %d bytes is larger than %d", len(body), appender.MaxBodyLen)
 	}
-	err := appender.Fields(body, func(f appender.Field) error {
+	err := appender.RangeFields(body, func(f appender.Field) error {
 		switch f.Tag {
 		case tagClaimant:
 			return decodeMember(f, &c.Member)
@@ -137,7 +137,7 @@
 				return trace.BadParameter("claims record has more than %d keys", MaxClaims)
 			}
 			var k string
-			if err := f.Text(&k, encoder.MaxKey); err != nil {
+			if err := f.StoreString(&k, encoder.MaxKeyLen); err != nil {
 				return err
 			}
 			if k == "" {
@@ -146,7 +146,7 @@
 			c.Keys = append(c.Keys, k)
 			return nil
 		}
-		return f.Unknown()
+		return f.UnknownFieldError()
 	})
 	if err == nil && c.Member.ID == "" {
 		err = trace.BadParameter("claims record has no member identifier")
@@ -159,26 +159,26 @@
 
 func appendEntry(dst []byte, e encoder.RosterEntry) []byte {
 	dst = appendMessage(dst, tagMember, appendMember(nil, e.Member))
-	return appender.AppendText(dst, tagAddress, e.Address)
+	return appender.AppendString(dst, tagAddress, e.Address)
 }
 
 func appendMember(dst []byte, m encoder.Member) []byte {
-	dst = appender.AppendText(dst, tagMemberID, m.ID)
+	dst = appender.AppendString(dst, tagMemberID, m.ID)
 	return appender.AppendUint(dst, tagIncarnation, m.Incarnation)
 }
 
 func decodeRoster(f appender.Field, r *encoder.Roster) error {
-	b, err := f.Message(appender.MaxBody)
+	b, err := f.BytesValue(appender.MaxBodyLen)
 	if err != nil {
 		return err
 	}
-	err = appender.Fields(b, func(f appender.Field) error {
+	err = appender.RangeFields(b, func(f appender.Field) error {
 		switch f.Tag {
 		case tagEpoch:
-			return f.Uint(&r.Epoch)
+			return f.StoreUint(&r.Epoch)
 		case tagEntries:
-			if len(r.Entries) >= encoder.MaxRoster {
-				return trace.BadParameter("roster has more than %d entries", encoder.MaxRoster)
+			if len(r.Entries) >= encoder.MaxRosterEntries {
+				return trace.BadParameter("roster has more than %d entries", encoder.MaxRosterEntries)
 			}
 			var e encoder.RosterEntry
 			if err := decodeEntry(f, &e); err != nil {
@@ -190,40 +190,40 @@
 			r.Entries = append(r.Entries, e)
 			return nil
 		}
-		return f.Unknown()
+		return f.UnknownFieldError()
 	})
 	return err
 }
 
 func decodeEntry(f appender.Field, e *encoder.RosterEntry) error {
-	b, err := f.Message(4 * encoder.MaxName)
+	b, err := f.BytesValue(4 * encoder.MaxNameLen)
 	if err != nil {
 		return err
 	}
-	return appender.Fields(b, func(f appender.Field) error {
+	return appender.RangeFields(b, func(f appender.Field) error {
 		switch f.Tag {
 		case tagMember:
 			return decodeMember(f, &e.Member)
 		case tagAddress:
-			return f.Text(&e.Address, encoder.MaxName)
+			return f.StoreString(&e.Address, encoder.MaxNameLen)
 		}
-		return f.Unknown()
+		return f.UnknownFieldError()
 	})
 }
 
 func decodeMember(f appender.Field, m *encoder.Member) error {
-	b, err := f.Message(2 * encoder.MaxName)
+	b, err := f.BytesValue(2 * encoder.MaxNameLen)
 	if err != nil {
 		return err
 	}
-	return appender.Fields(b, func(f appender.Field) error {
+	return appender.RangeFields(b, func(f appender.Field) error {
 		switch f.Tag {
 		case tagMemberID:
-			return f.Text(&m.ID, encoder.MaxName)
+			return f.StoreString(&m.ID, encoder.MaxNameLen)
 		case tagIncarnation:
-			return f.Uint(&m.Incarnation)
+			return f.StoreUint(&m.Incarnation)
 		}
-		return f.Unknown()
+		return f.UnknownFieldError()
 	})
 }
 
--- a/elector/codec_test.go
+++ b/elector/codec_test.go
@@ -33,7 +33,7 @@
 		if got, err := DecodeChange(AppendChange(nil, c)); err != nil || !reflect.DeepEqual(got, c) {
 			t.Fatalf("got %+v, error %v, want %+v", got, err, c)
 		}
-		claims := Claims{Member: drawEntry(t).Member, Keys: rapid.SliceOf(rapid.StringN(1, 9, encoder.MaxKey)).Draw(t, "keys")}
+		claims := Claims{Member: drawEntry(t).Member, Keys: rapid.SliceOf(rapid.StringN(1, 9, encoder.MaxKeyLen)).Draw(t, "keys")}
 		got, err := DecodeClaims(AppendClaims(nil, claims))
 		if err != nil || got.Member != claims.Member || strings.Join(got.Keys, "\x00") != strings.Join(claims.Keys, "\x00") {
 			t.Fatalf("got %+v, error %v, want %+v", got, err, claims)
@@ -53,11 +53,11 @@
 		}
 		return AppendChange(nil, NewCheckpoint(r, 1))
 	}
-	large := rosterOf(encoder.MaxRoster)
+	large := rosterOf(encoder.MaxRosterEntries)
 	tooLarge := large
 	tooLarge.Entries = append(slices.Clone(large.Entries), entry("more"))
 	join := AppendChange(nil, Change{Kind: ChangeJoin, Entry: entry("a")})
-	long := strings.Repeat("x", encoder.MaxName+1)
+	long := strings.Repeat("x", encoder.MaxNameLen+1)
 	keys := func(member string, keys ...string) []byte {
 		b := appendMessage(nil, tagClaimant, appendMember(nil, encoder.Member{ID: member}))
 		for _, k := range keys {
@@ -90,13 +90,13 @@
 		{"long identifier", decodeChange, AppendChange(nil, Change{Kind: ChangeJoin, Entry: entry(long)}), false},
 		{"unknown field", decodeChange, append(unknown, join...), false},
 		{"truncated", decodeChange, join[:len(join)-1], false},
-		{"kind as text", decodeChange, appender.AppendText(nil, tagKind, "x"), false},
+		{"kind as text", decodeChange, appender.AppendString(nil, tagKind, "x"), false},
 		{"entry as number", decodeChange, appender.AppendUint(appender.AppendUint(nil, tagKind, 1), tagEntry, 1), false},
 		{"claims", decodeClaims, keys("a", "k", "k"), true},
 		{"claims without member", decodeClaims, keys("", "k"), false},
 		{"empty key", decodeClaims, keys("a", ""), false},
-		{"longest key", decodeClaims, keys("a", strings.Repeat("k", encoder.MaxKey)), true},
-		{"long key", decodeClaims, keys("a", strings.Repeat("k", encoder.MaxKey+1)), false},
+		{"longest key", decodeClaims, keys("a", strings.Repeat("k", encoder.MaxKeyLen)), true},
+		{"long key", decodeClaims, keys("a", strings.Repeat("k", encoder.MaxKeyLen+1)), false},
 		{"most keys", decodeClaims, keys("a", strings.Split(strings.Repeat("k,", MaxClaims-1)+"k", ",")...), true},
 		{"too many keys", decodeClaims, keys("a", strings.Split(strings.Repeat("k,", MaxClaims)+"k", ",")...), false},
 		{"unknown claims field", decodeClaims, append(unknown, keys("a")...), false},
@@ -111,7 +111,7 @@
 
 // Guards against appending a claims record that readers would reject as a whole.
 func TestAppendClaimsPanics(t *testing.T) {
-	for _, keys := range [][]string{{""}, {strings.Repeat("k", encoder.MaxKey+1)}, make([]string, MaxClaims+1)} {
+	for _, keys := range [][]string{{""}, {strings.Repeat("k", encoder.MaxKeyLen+1)}, make([]string, MaxClaims+1)} {
 		func() {
 			defer func() {
 				if recover() == nil {
--- a/elector/owner.go
+++ b/elector/owner.go
@@ -34,8 +34,8 @@
 	return Owner(rest, key)
 }
 
-// Find returns the roster's entry with the given identifier.
-func Find(r encoder.Roster, id string) (entry encoder.RosterEntry, ok bool) {
+// FindEntry returns the roster's entry with the given identifier.
+func FindEntry(r encoder.Roster, id string) (entry encoder.RosterEntry, ok bool) {
 	i := slices.IndexFunc(r.Entries, func(e encoder.RosterEntry) bool { return e.Member.ID == id })
 	if i < 0 {
 		return entry, false
--- a/emulator/backend.go
+++ b/emulator/backend.go
@@ -113,15 +113,15 @@
 	return b.peak
 }
 
-// SetLeaving makes health checks fail. Tasks are still accepted.
-func (b *Backend) SetLeaving(draining bool) {
+// SetDraining makes health checks fail. Tasks are still accepted.
+func (b *Backend) SetDraining(draining bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.draining = draining
 }
 
-// SetTruncated makes responses end before their declared length.
-func (b *Backend) SetTruncated(truncated bool) {
+// SetTruncateResponses makes responses end before their declared length.
+func (b *Backend) SetTruncateResponses(truncated bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.truncated = truncated
@@ -134,8 +134,8 @@
 	b.durationFactor = factor
 }
 
-// SetFrozen blocks all requests until it is called with false.
-func (b *Backend) SetFrozen(unresponsive bool) {
+// SetUnresponsive blocks all requests until it is called with false.
+func (b *Backend) SetUnresponsive(unresponsive bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	switch {
--- a/emulator/log.go
+++ b/emulator/log.go
@@ -47,12 +47,12 @@
 		ReadDelay timer.Millis
 		// Outage rejects every request with status 503; nothing is appended.
 		Outage bool
-		// Silent leaves every request without a response; nothing is appended.
-		Silent bool
-		// LoseNext is the number of following appends that take effect but whose response is dropped.
-		LoseNext int
-		// LoseSilently keeps the connection of a dropped response open instead of closing it.
-		LoseSilently bool
+		// Unresponsive leaves every request without a response; nothing is appended.
+		Unresponsive bool
+		// DropResponses is the number of following appends that take effect but whose response is dropped.
+		DropResponses int
+		// DropSilently keeps the connection of a dropped response open instead of closing it.
+		DropSilently bool
 		// Retention is the number of records retained per stream; 0 means 100,000.
 		Retention int
 		// AppendsPerSecond limits the append rate across all streams; 0 means 500, a negative value means no limit.
@@ -118,8 +118,8 @@
 	return l.settings
 }
 
-// Change changes the settings atomically. It also notifies waiting reads, so that an outage affects them at once.
-func (l *Log) Change(update func(s *LogSettings)) {
+// UpdateSettings changes the settings atomically. It also notifies waiting reads, so that an outage affects them at once.
+func (l *Log) UpdateSettings(update func(s *LogSettings)) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	update(&l.settings)
--- a/emulator/log_control.go
+++ b/emulator/log_control.go
@@ -43,8 +43,8 @@
 	s, c := l.settings, l.counts
 	status := statusWire{
 		Settings: controlWire{
-			AppendDelayMs: (*int64)(&s.AppendDelay), ReadDelayMs: (*int64)(&s.ReadDelay), Outage: &s.Outage, Silent: &s.Silent,
-			LoseNext: &s.LoseNext, LoseSilently: &s.LoseSilently, Retention: &s.Retention, AppendsPerSecond: &s.AppendsPerSecond,
+			AppendDelayMs: (*int64)(&s.AppendDelay), ReadDelayMs: (*int64)(&s.ReadDelay), Outage: &s.Outage, Silent: &s.Unresponsive,
+			LoseNext: &s.DropResponses, LoseSilently: &s.DropSilently, Retention: &s.Retention, AppendsPerSecond: &s.AppendsPerSecond,
 		},
 		Streams:  map[string]streamWire{},
 		Appended: c.Appended, Refused: c.Refused, Lost: c.Lost, Reads: c.Reads,
@@ -71,13 +71,13 @@
 			return
 		}
 	}
-	l.Change(func(s *LogSettings) {
+	l.UpdateSettings(func(s *LogSettings) {
 		setIfPresent(&s.AppendDelay, (*timer.Millis)(c.AppendDelayMs))
 		setIfPresent(&s.ReadDelay, (*timer.Millis)(c.ReadDelayMs))
 		setIfPresent(&s.Outage, c.Outage)
-		setIfPresent(&s.Silent, c.Silent)
-		setIfPresent(&s.LoseNext, c.LoseNext)
-		setIfPresent(&s.LoseSilently, c.LoseSilently)
+		setIfPresent(&s.Unresponsive, c.Silent)
+		setIfPresent(&s.DropResponses, c.LoseNext)
+		setIfPresent(&s.DropSilently, c.LoseSilently)
 		setIfPresent(&s.Retention, c.Retention)
 		setIfPresent(&s.AppendsPerSecond, c.AppendsPerSecond)
 	})
--- a/emulator/log_http.go
+++ b/emulator/log_http.go
@@ -81,7 +81,7 @@
 		return
 	}
 	s := l.Settings()
-	if s.Silent {
+	if s.Unresponsive {
 		l.hang(q)
 	}
 	if s.Outage {
@@ -101,8 +101,8 @@
 		time.Sleep(s.AppendDelay.Duration())
 	}
 	l.mu.Lock()
-	if l.settings.Outage || l.settings.Silent {
-		silent := l.settings.Silent
+	if l.settings.Outage || l.settings.Unresponsive {
+		silent := l.settings.Unresponsive
 		l.mu.Unlock()
 		if silent {
 			l.hang(q)
@@ -111,9 +111,9 @@
 		return
 	}
 	offset, ok := l.appendLocked(stream, r.ID, r.Body)
-	drop, silently := ok && l.settings.LoseNext > 0, l.settings.LoseSilently
+	drop, silently := ok && l.settings.DropResponses > 0, l.settings.DropSilently
 	if drop {
-		l.settings.LoseNext--
+		l.settings.DropResponses--
 		l.counts.Lost++
 	}
 	l.mu.Unlock()
@@ -161,7 +161,7 @@
 		changed := l.nextChange()
 		l.mu.Unlock()
 		switch {
-		case s.Silent:
+		case s.Unresponsive:
 			l.hang(q)
 		case s.Outage:
 			writeJSON(w, http.StatusServiceUnavailable, logErrorWire{Error: "the log is unavailable"})
--- a/emulator/log_test.go
+++ b/emulator/log_test.go
@@ -88,7 +88,7 @@
 		{"no fault", LogSettings{}, []int{200, 200}, 2, 0},
 		{"outage", LogSettings{Outage: true}, []int{503, 503}, 0, 0},
 		{"delay", LogSettings{AppendDelay: 300}, []int{200, 200}, 2, 600},
-		{"lost answers", LogSettings{LoseNext: 2}, []int{0, 0, 200}, 3, 0},
+		{"lost answers", LogSettings{DropResponses: 2}, []int{0, 0, 200}, 3, 0},
 		{"rate, with a burst of a tenth of a second", LogSettings{AppendsPerSecond: 20}, []int{200, 200, 503, 503}, 2, 0},
 		{"rate of slow appends", LogSettings{AppendsPerSecond: 20, AppendDelay: 25}, []int{200, 200, 200, 503, 503}, 3, 75},
 		{"no rate", LogSettings{AppendsPerSecond: -1}, []int{200, 200, 200, 200}, 4, 0},
--- a/emulator/log_transport.go
+++ b/emulator/log_transport.go
@@ -36,8 +36,8 @@
 	}
 )
 
-// Refuse changes which requests are refused.
-func (t *Transport) Refuse(r Refusals) {
+// SetRefusals changes which requests are refused.
+func (t *Transport) SetRefusals(r Refusals) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.refusals = r
--- a/encoder/append.go
+++ b/encoder/append.go
@@ -66,7 +66,7 @@
 func appendPong(b []byte, m *Pong) []byte {
 	b = appendUint(b, 1, m.Sequence)
 	b = appendBool(b, 2, m.Confirmed)
-	b = appendMillis(b, 3, m.Age)
+	b = appendMillis(b, 3, m.ConfirmationAge)
 	b = appendRoster(b, 4, &m.Roster)
 	b = appendUint(b, 5, m.ConfigOffset)
 	b = appendBool(b, 6, m.DomainInForce)
@@ -90,7 +90,7 @@
 	b = appendUint(b, 2, uint64(m.Status))
 	b = appendBytes(b, 3, m.Body)
 	b = appendReason(b, 4, m.Reason)
-	b = appendMillis(b, 5, m.Ran)
+	b = appendMillis(b, 5, m.RunTime)
 	return appendUint(b, 6, uint64(m.Credits))
 }
 
@@ -106,7 +106,7 @@
 	b = appendUint(b, 2, m.Epoch)
 	b = appendUint(b, 3, m.ConfigOffset)
 	b = appendBool(b, 4, m.LogReachable)
-	b = appendStrings(b, 5, m.Domains)
+	b = appendStrings(b, 5, m.WithdrawnDomains)
 	b = appendMembers(b, 6, m.Sidecars)
 	return appendBool(b, 7, m.ConfigConfirmed)
 }
--- a/encoder/codec.go
+++ b/encoder/codec.go
@@ -8,14 +8,14 @@
 )
 
 const (
-	// MaxFrame is the largest encoded message in bytes.
-	MaxFrame = 4 << 20
-	// MaxKey is the longest submission key in bytes.
-	MaxKey = 200
-	// MaxName is the longest name of a process, worker, failure domain, team or kind, and the longest address.
-	MaxName = 255
-	// MaxReason is the longest failure or refusal reason in bytes. Append truncates longer ones.
-	MaxReason = 2048
+	// MaxFrameSize is the largest encoded message in bytes.
+	MaxFrameSize = 4 << 20
+	// MaxKeyLen is the longest submission key in bytes.
+	MaxKeyLen = 200
+	// MaxNameLen is the longest name of a process, worker, failure domain, team or kind, and the longest address.
+	MaxNameLen = 255
+	// MaxReasonLen is the longest failure or refusal reason in bytes. Append truncates longer ones.
+	MaxReasonLen = 2048
 	// MaxTasks is the largest number of tasks in a job, an answer, a Cancel or a Collected. Jobs of up to 880 tasks must
 	// be supported.
 	MaxTasks = 1024
@@ -23,13 +23,13 @@
 	MaxKinds = 256
 	// MaxDomains is the largest number of failure domains in a message.
 	MaxDomains = 256
-	// MaxRoster is the largest number of entries in a roster.
-	MaxRoster = 256
+	// MaxRosterEntries is the largest number of entries in a roster.
+	MaxRosterEntries = 256
 	// MaxSidecars is the largest number of sidecars in a message. At least 1,700 must be supported.
 	MaxSidecars = 8192
-	// MaxRows is the largest number of started tasks or submission keys in one part of a reply. Senders split lists that
-	// are longer or whose encoding exceeds MaxFrame.
-	MaxRows = 16384
+	// MaxRowsPerPart is the largest number of started tasks or submission keys in one part of a reply. Senders split lists that
+	// are longer or whose encoding exceeds MaxFrameSize.
+	MaxRowsPerPart = 16384
 )
 
 // Numbers of the message types on the wire. A number is never reused for another type.
@@ -63,7 +63,7 @@
 )
 
 // Append appends the encoding of m to dst. It panics if m is not a pointer to a message type of this package. It
-// truncates reasons to MaxReason, but does not check the other limits; Decode rejects messages that exceed them.
+// truncates reasons to MaxReasonLen, but does not check the other limits; Decode rejects messages that exceed them.
 func Append(dst []byte, m Message) []byte {
 	switch m := m.(type) {
 	case *Hello:
@@ -143,7 +143,7 @@
 		b := appendJob(append(dst, typeHandover), 1, &m.Job)
 		b = appendStartedTasks(b, 2, m.Started)
 		b = appendAnswer(b, 3, &m.Answer)
-		return appendBool(b, 4, m.Certain)
+		return appendBool(b, 4, m.StartedComplete)
 	}
 	panic(fmt.Sprintf("encoder: unknown message type %T", m))
 }
@@ -152,8 +152,8 @@
 // decoded as nil. An error names the message and the field. It satisfies trace.IsNotImplemented if the message type is
 // unknown, for example because it belongs to a newer version.
 func Decode(frame []byte) (Message, error) {
-	if len(frame) > MaxFrame {
-		return nil, trace.LimitExceeded("frame of %d bytes exceeds %d", len(frame), MaxFrame)
+	if len(frame) > MaxFrameSize {
+		return nil, trace.LimitExceeded("frame of %d bytes exceeds %d", len(frame), MaxFrameSize)
 	}
 	messageType, size := protowire.ConsumeVarint(frame)
 	if size < 0 {
--- a/encoder/codec_test.go
+++ b/encoder/codec_test.go
@@ -20,11 +20,11 @@
 	&Hello{Role: RoleSidecar, Member: Member{"s1", 7}, Address: "10.0.0.1:7", Domain: "a", Worker: "w", Slots: 8, Kinds: []string{"", "x"}},
 	&HelloAck{Member: Member{"e1", 1}, Roster: Roster{3, []RosterEntry{{Member{"e1", 1}, "10.0.0.2:7"}, {}}}},
 	&Ping{Sequence: 1 << 40, Running: 3, Leaving: true, Epoch: 7},
-	&Pong{Sequence: 4, Confirmed: true, Age: -5, Roster: Roster{Epoch: 1}, ConfigOffset: 9, DomainInForce: true, LogReachable: true},
+	&Pong{Sequence: 4, Confirmed: true, ConfirmationAge: -5, Roster: Roster{Epoch: 1}, ConfigOffset: 9, DomainInForce: true, LogReachable: true},
 	&Start{Task: TaskKey{"j", 879}, Epoch: 2, Owner: Member{"e", 1}, Kind: "k", Payload: make([]byte, 300), Deadline: 100, RunLimit: 5, Once: true, Claimed: true},
 	&Claimed{"j"},
 	&Result{TaskKey{"j", 1}, StatusDone, []byte{0}, "r", 17, 2},
-	&Refusal{TaskKey{strings.Repeat("k", MaxKey), 1}, RefusalClaimTimeout, 5, 1},
+	&Refusal{TaskKey{strings.Repeat("k", MaxKeyLen), 1}, RefusalClaimTimeout, 5, 1},
 	&Grant{1}, &Recall{2}, &Release{3}, &Demand{1<<32 - 1},
 	&Cancel{[]TaskKey{{"a", 1}, {"a", 2}, {"b", 0}}},
 	&Collected{[]TaskKey{{}}},
@@ -56,8 +56,8 @@
 			t.Errorf("got type %d %s of %T, want %d", n, n, want, frame[0])
 		}
 	}
-	if len(seen) != MessageTypes || TypeOf(nil) != 0 {
-		t.Errorf("got %d types, want %d", len(seen), MessageTypes)
+	if len(seen) != TypeCount || TypeOf(nil) != 0 {
+		t.Errorf("got %d types, want %d", len(seen), TypeCount)
 	}
 }
 
@@ -90,7 +90,7 @@
 			}
 		}
 	case reflect.String:
-		v.SetString(rapid.StringN(0, -1, MaxKey).Draw(t, "string"))
+		v.SetString(rapid.StringN(0, -1, MaxKeyLen).Draw(t, "string"))
 	case reflect.Bool:
 		v.SetBool(rapid.Bool().Draw(t, "bool"))
 	case reflect.Int64:
@@ -106,7 +106,7 @@
 
 // TestDecodeRefuses guards against unbounded input and against errors that do not name the message and the field.
 func TestDecodeRefuses(t *testing.T) {
-	long := strings.Repeat("x", MaxKey+1)
+	long := strings.Repeat("x", MaxKeyLen+1)
 	tests := []struct {
 		name  string
 		frame []byte
@@ -114,11 +114,11 @@
 	}{
 		{"empty", nil, "no message type"},
 		{"unknown type", []byte{99}, "unknown message type 99"},
-		{"frame too long", make([]byte, MaxFrame+1), "exceeds"},
+		{"frame too long", make([]byte, MaxFrameSize+1), "exceeds"},
 		{"key too long", Append(nil, &Claimed{long}), "Claimed.job: length 201"},
 		{"nested key too long", Append(nil, &Result{Task: TaskKey{Job: long}}), "TaskKey.job"},
 		{"too many tasks", Append(nil, &Cancel{make([]TaskKey, MaxTasks+1)}), "Cancel.tasks: more than 1024"},
-		{"too many jobs", Append(nil, &Witness{make([]string, MaxRows+1)}), "Witness.jobs"},
+		{"too many jobs", Append(nil, &Witness{make([]string, MaxRowsPerPart+1)}), "Witness.jobs"},
 		{"unknown status", Append(nil, &Result{Status: 7}), "Result.status: value 7"},
 		{"number too large", protowire.AppendVarint([]byte{typeGrant, 8}, 1<<32), "Grant.credits"},
 		{"duration too long", Append(nil, &Start{RunLimit: maxMillis + 1}), "Start.runLimit"},
@@ -132,8 +132,8 @@
 			t.Errorf("%s: got %v, want %q", tt.name, err, tt.want)
 		}
 	}
-	m, err := Decode(Append(nil, &Result{Reason: strings.Repeat("r", MaxReason+1)}))
-	if err != nil || len(m.(*Result).Reason) != MaxReason {
+	m, err := Decode(Append(nil, &Result{Reason: strings.Repeat("r", MaxReasonLen+1)}))
+	if err != nil || len(m.(*Result).Reason) != MaxReasonLen {
 		t.Errorf("long reason: got %v, want a truncated reason", err)
 	}
 }
--- a/encoder/decode.go
+++ b/encoder/decode.go
@@ -86,7 +86,7 @@
 	for r.next() {
 		switch r.number {
 		case 1:
-			m.ID = r.string("id", MaxName)
+			m.ID = r.string("id", MaxNameLen)
 		case 2:
 			m.Incarnation = r.uint64("incarnation")
 		}
@@ -101,7 +101,7 @@
 		case 1:
 			m.Epoch = r.uint64("epoch")
 		case 2:
-			if e := appendElement(r, "entries", &m.Entries, MaxRoster); e != nil {
+			if e := appendElement(r, "entries", &m.Entries, MaxRosterEntries); e != nil {
 				r.rosterEntry("entries", e)
 			}
 		}
@@ -116,7 +116,7 @@
 		case 1:
 			r.member("member", &m.Member)
 		case 2:
-			m.Address = r.string("address", MaxName)
+			m.Address = r.string("address", MaxNameLen)
 		}
 	}
 	r.leaveNested(o)
@@ -146,7 +146,7 @@
 		case 3:
 			m.Body = r.bytes("body")
 		case 4:
-			m.Reason = r.string("reason", MaxReason)
+			m.Reason = r.string("reason", MaxReasonLen)
 		}
 	}
 	r.leaveNested(o)
@@ -161,18 +161,18 @@
 		case 2:
 			r.member("member", &m.Member)
 		case 3:
-			m.Address = r.string("address", MaxName)
+			m.Address = r.string("address", MaxNameLen)
 		case 4:
-			m.Domain = r.string("domain", MaxName)
+			m.Domain = r.string("domain", MaxNameLen)
 		case 5:
-			m.Worker = r.string("worker", MaxName)
+			m.Worker = r.string("worker", MaxNameLen)
 		case 6:
 			m.Slots = r.uint32("slots")
 		case 7:
 			m.MemoryMB = r.uint64("memoryMB")
 		case 8:
 			if kind := appendElement(r, "kinds", &m.Kinds, MaxKinds); kind != nil {
-				*kind = r.string("kinds", MaxName)
+				*kind = r.string("kinds", MaxNameLen)
 			}
 		}
 	}
@@ -218,7 +218,7 @@
 		case 2:
 			m.Confirmed = r.bool("confirmed")
 		case 3:
-			m.Age = r.millis("age")
+			m.ConfirmationAge = r.millis("age")
 		case 4:
 			r.roster("roster", &m.Roster)
 		case 5:
@@ -243,7 +243,7 @@
 		case 3:
 			r.member("owner", &m.Owner)
 		case 4:
-			m.Kind = r.string("kind", MaxName)
+			m.Kind = r.string("kind", MaxNameLen)
 		case 5:
 			m.Payload = r.bytes("payload")
 		case 6:
@@ -270,9 +270,9 @@
 		case 3:
 			m.Body = r.bytes("body")
 		case 4:
-			m.Reason = r.string("reason", MaxReason)
+			m.Reason = r.string("reason", MaxReasonLen)
 		case 5:
-			m.Ran = r.millis("ran")
+			m.RunTime = r.millis("ran")
 		case 6:
 			m.Credits = r.uint32("credits")
 		}
@@ -304,7 +304,7 @@
 		case 1:
 			m.Epoch = r.uint64("epoch")
 		case 2:
-			if s := appendElement(r, "started", &m.Started, MaxRows); s != nil {
+			if s := appendElement(r, "started", &m.Started, MaxRowsPerPart); s != nil {
 				r.startedTask("started", s)
 			}
 		case 3:
--- a/encoder/decode_peer.go
+++ b/encoder/decode_peer.go
@@ -48,8 +48,8 @@
 		case 4:
 			m.LogReachable = r.bool("logReachable")
 		case 5:
-			if domain := appendElement(r, "domains", &m.Domains, MaxDomains); domain != nil {
-				*domain = r.string("domains", MaxName)
+			if domain := appendElement(r, "domains", &m.WithdrawnDomains, MaxDomains); domain != nil {
+				*domain = r.string("domains", MaxNameLen)
 			}
 		case 6:
 			r.sidecars(&m.Sidecars)
@@ -115,7 +115,7 @@
 		case 1:
 			m.Epoch = r.uint64("epoch")
 		case 2:
-			if j := appendElement(r, "jobs", &m.Jobs, MaxRows); j != nil {
+			if j := appendElement(r, "jobs", &m.Jobs, MaxRowsPerPart); j != nil {
 				r.knownJob(j)
 			}
 		case 3:
@@ -134,7 +134,7 @@
 	for r.next() {
 		switch r.number {
 		case 1:
-			m.Key = r.string("key", MaxKey)
+			m.Key = r.string("key", MaxKeyLen)
 		case 2:
 			m.Age = r.millis("age")
 		}
@@ -172,21 +172,21 @@
 		case 1:
 			r.job("job", &m.Job)
 		case 2:
-			if s := appendElement(r, "started", &m.Started, MaxRows); s != nil {
+			if s := appendElement(r, "started", &m.Started, MaxRowsPerPart); s != nil {
 				r.startedTask("started", s)
 			}
 		case 3:
 			r.answer("answer", &m.Answer)
 		case 4:
-			m.Certain = r.bool("certain")
+			m.StartedComplete = r.bool("certain")
 		}
 	}
 	return m
 }
 
 func (r *reader) jobKeys(list *[]string) {
-	if job := appendElement(r, "jobs", list, MaxRows); job != nil {
-		*job = r.string("jobs", MaxKey)
+	if job := appendElement(r, "jobs", list, MaxRowsPerPart); job != nil {
+		*job = r.string("jobs", MaxKeyLen)
 	}
 }
 
@@ -203,7 +203,7 @@
 		case 1:
 			m.Key = r.jobKey("key")
 		case 2:
-			m.Team = r.string("team", MaxName)
+			m.Team = r.string("team", MaxNameLen)
 		case 3:
 			if t := appendElement(r, "tasks", &m.Tasks, MaxTasks); t != nil {
 				r.jobTask("tasks", t)
@@ -222,7 +222,7 @@
 	for r.next() {
 		switch r.number {
 		case 1:
-			m.Kind = r.string("kind", MaxName)
+			m.Kind = r.string("kind", MaxNameLen)
 		case 2:
 			m.Payload = r.bytes("payload")
 		case 3:
@@ -247,7 +247,7 @@
 		case 4:
 			m.Code = enumValue[FailureCode](r, "code", failureCodeNames)
 		case 5:
-			m.Reason = r.string("reason", MaxReason)
+			m.Reason = r.string("reason", MaxReasonLen)
 		case 6:
 			if t := appendElement(r, "results", &m.Results, MaxTasks); t != nil {
 				r.taskResult("results", t)
--- a/encoder/messages.go
+++ b/encoder/messages.go
@@ -18,9 +18,9 @@
 	// StatusRunning means that the task was started and has not ended, or, in a Handover, that it may have been
 	// started. It occurs in CensusReply and Handover only.
 	StatusRunning
-	// StatusKept means that the task ended and the sidecar still stores its result, which it returns when the start is
+	// StatusRetained means that the task ended and the sidecar still stores its result, which it returns when the start is
 	// sent again. It occurs in CensusReply only.
-	StatusKept
+	StatusRetained
 )
 
 const (
@@ -121,17 +121,17 @@
 		Epoch    uint64
 	}
 
-	// Pong answers a Ping and renews the sidecar's freshness lease. Age is the time since the entry sent the log request
+	// Pong answers a Ping and renews the sidecar's freshness lease. ConfirmationAge is the time since the entry sent the log request
 	// that confirmed Roster and ConfigOffset. Roster has no entries if the Ping carried the same epoch. Confirmed is
 	// false if the entry has no confirmed state to report; the lease is then not renewed.
 	Pong struct {
-		Sequence      uint64
-		Confirmed     bool
-		Age           timer.Millis
-		Roster        Roster
-		ConfigOffset  uint64
-		DomainInForce bool
-		LogReachable  bool
+		Sequence        uint64
+		Confirmed       bool
+		ConfirmationAge timer.Millis
+		Roster          Roster
+		ConfigOffset    uint64
+		DomainInForce   bool
+		LogReachable    bool
 	}
 
 	// Start asks a sidecar to start one task. It consumes one credit. Once marks a non-repeatable submission, and Claimed
@@ -157,7 +157,7 @@
 		Status  Status
 		Body    []byte
 		Reason  string
-		Ran     timer.Millis
+		RunTime timer.Millis
 		Credits uint32
 	}
 
@@ -209,15 +209,15 @@
 	// Leaving notifies entries that the sidecar starts no more tasks. All credits for it become invalid.
 	Leaving struct{}
 
-	// PeerPing is the heartbeat between entries. Domains lists the failure domains that are provisionally withdrawn.
+	// PeerPing is the heartbeat between entries. WithdrawnDomains lists the failure domains that are provisionally withdrawn.
 	PeerPing struct {
-		Sequence        uint64
-		Epoch           uint64
-		ConfigOffset    uint64
-		LogReachable    bool
-		Domains         []string
-		Sidecars        []Member
-		ConfigConfirmed bool
+		Sequence         uint64
+		Epoch            uint64
+		ConfigOffset     uint64
+		LogReachable     bool
+		WithdrawnDomains []string
+		Sidecars         []Member
+		ConfigConfirmed  bool
 	}
 
 	// PeerPong answers a PeerPing and carries the sender's own state.
@@ -321,12 +321,12 @@
 	PeerConfiguration struct{ Checkpoint []byte }
 
 	// Handover transfers a submission of a leaving entry to its next owner. Started lists the tasks that are done, and, with
-	// StatusRunning, those that may have been started. Certain means that no other task of the job was started.
+	// StatusRunning, those that may have been started. StartedComplete means that no other task of the job was started.
 	Handover struct {
-		Job     Job
-		Started []StartedTask
-		Answer  Answer
-		Certain bool
+		Job             Job
+		Started         []StartedTask
+		Answer          Answer
+		StartedComplete bool
 	}
 )
 
@@ -358,8 +358,8 @@
 )
 
 const (
-	// CodeTask means that a task ran and failed.
-	CodeTask FailureCode = iota + 1
+	// CodeTaskFailed means that a task ran and failed.
+	CodeTaskFailed FailureCode = iota + 1
 	// CodeUnknown means that the record of whether a task ran is lost.
 	CodeUnknown
 	// CodeDeadline means that the deadline passed.
--- a/encoder/type.go
+++ b/encoder/type.go
@@ -1,7 +1,7 @@
 package encoder
 
-// MessageTypes is the length of an array indexed by Type.
-const MessageTypes = len(typeNames)
+// TypeCount is the length of an array indexed by Type.
+const TypeCount = len(typeNames)
 
 // Type is the number of a message type on the wire. 0 is not a message type.
 type Type uint8
--- a/encoder/wire.go
+++ b/encoder/wire.go
@@ -58,9 +58,9 @@
 	return protowire.AppendString(protowire.AppendTag(b, n, protowire.BytesType), v)
 }
 
-// appendReason appends a text for humans. It truncates the text to MaxReason, because the receiver rejects longer ones.
+// appendReason appends a text for humans. It truncates the text to MaxReasonLen, because the receiver rejects longer ones.
 func appendReason(b []byte, n protowire.Number, v string) []byte {
-	return appendString(b, n, v[:min(len(v), MaxReason)])
+	return appendString(b, n, v[:min(len(v), MaxReasonLen)])
 }
 
 func appendBytes(b []byte, n protowire.Number, v []byte) []byte {
@@ -174,7 +174,7 @@
 func (r *reader) string(field string, limit int) string { return string(r.limitedBytes(field, limit)) }
 
 func (r *reader) jobKey(field string) string {
-	raw := r.limitedBytes(field, MaxKey)
+	raw := r.limitedBytes(field, MaxKeyLen)
 	if string(raw) != r.lastJob {
 		r.lastJob = string(raw)
 	}
@@ -182,7 +182,7 @@
 }
 
 func (r *reader) bytes(field string) []byte {
-	raw := r.limitedBytes(field, MaxFrame)
+	raw := r.limitedBytes(field, MaxFrameSize)
 	if len(raw) == 0 {
 		return nil
 	}
@@ -193,7 +193,7 @@
 // return to the enclosing message.
 func (r *reader) enterNested(field, message string) enclosing {
 	o := enclosing{r.rest, r.message}
-	r.rest = r.limitedBytes(field, MaxFrame)
+	r.rest = r.limitedBytes(field, MaxFrameSize)
 	r.message = message
 	return o
 }
--- a/injector/callers.go
+++ b/injector/callers.go
@@ -63,7 +63,7 @@
 	if err != nil {
 		panic(err) // a generated job can always be encoded
 	}
-	for end := time.Now().Add(u.plan.Patience.Duration()); time.Now().Before(end) && ctx.Err() == nil; {
+	for end := time.Now().Add(u.plan.ResubmitTimeout.Duration()); time.Now().Before(end) && ctx.Err() == nil; {
 		entry := r.IntN(u.fleet.Entries)
 		client := server.Client{URL: u.fleet.EntryURL(entry), HTTP: u.http}
 		callCtx, cancel := context.WithTimeout(ctx, callTimeout)
--- a/injector/faults.go
+++ b/injector/faults.go
@@ -40,7 +40,7 @@
 // injectFaults injects faults until ctx is canceled. Faults may overlap: each runs in its own goroutine.
 func (u *run) injectFaults(ctx context.Context, r *rand.Rand) {
 	for {
-		wait := time.Duration(float64(u.plan.FaultEvery.Duration()) * (0.3 + 1.4*r.Float64()))
+		wait := time.Duration(float64(u.plan.FaultInterval.Duration()) * (0.3 + 1.4*r.Float64()))
 		if !sleep(ctx, wait) {
 			return
 		}
@@ -166,7 +166,7 @@
 	attempts int,
 ) bool {
 	for i := range attempts {
-		got, err := publish(server.Client{URL: u.fleet.EntryURL((entry + i) % u.fleet.Entries), Token: launcher.Token, HTTP: u.http})
+		got, err := publish(server.Client{URL: u.fleet.EntryURL((entry + i) % u.fleet.Entries), Token: launcher.OperatorToken, HTTP: u.http})
 		if err == nil {
 			if p, err := server.DecodePublication(got.Body); err == nil && got.Status < 300 && p.Accepted {
 				return true
--- a/injector/run.go
+++ b/injector/run.go
@@ -26,14 +26,14 @@
 type (
 	// Plan configures a run. A zero value selects the default of the field.
 	Plan struct {
-		Directory     string // directory of the built programs
-		Seed          uint64
-		Length        timer.Millis // time during which jobs are submitted and faults injected; default 30 s
-		JobsPerSecond int          // default 20
-		FaultEvery    timer.Millis // mean time between faults; default 1 s
-		Faults        []string     // names of the faults to select from; default all
-		Patience      timer.Millis // time for which callers resubmit a job; default 40 s
-		Logs          string       // directory for the output of the processes; not written if empty
+		ProgramDir      string // directory of the built programs
+		Seed            uint64
+		Duration        timer.Millis // time during which jobs are submitted and faults injected; default 30 s
+		JobsPerSecond   int          // default 20
+		FaultInterval   timer.Millis // mean time between faults; default 1 s
+		Faults          []string     // names of the faults to select from; default all
+		ResubmitTimeout timer.Millis // time for which callers resubmit a job; default 40 s
+		LogDir          string       // directory for the output of the processes; not written if empty
 	}
 
 	run struct {
@@ -58,7 +58,7 @@
 	defer cancel()
 	u := &run{
 		plan:  p,
-		fleet: &launcher.Fleet{Directory: p.Directory, Entries: 3, Backends: 6, Domains: 3, Slots: 4},
+		fleet: &launcher.Fleet{ProgramDir: p.ProgramDir, Entries: 3, Backends: 6, Domains: 3, Slots: 4},
 		http:  &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 64}},
 		report: Report{
 			Seed: p.Seed, Faults: map[string]int{}, Reasons: map[string]int{},
@@ -71,8 +71,8 @@
 	}
 	u.runWorkload(ctx)
 	u.check()
-	if p.Logs != "" {
-		if err := u.fleet.WriteLogs(p.Logs); err != nil {
+	if p.LogDir != "" {
+		if err := u.fleet.WriteLogs(p.LogDir); err != nil {
 			return nil, err
 		}
 	}
@@ -80,17 +80,17 @@
 }
 
 func (p Plan) withDefaults() Plan {
-	if p.Length == 0 {
-		p.Length = 30 * timer.Second
+	if p.Duration == 0 {
+		p.Duration = 30 * timer.Second
 	}
 	if p.JobsPerSecond == 0 {
 		p.JobsPerSecond = 20
 	}
-	if p.Patience == 0 {
-		p.Patience = defaultResubmitTimeout
+	if p.ResubmitTimeout == 0 {
+		p.ResubmitTimeout = defaultResubmitTimeout
 	}
-	if p.FaultEvery == 0 {
-		p.FaultEvery = timer.Second
+	if p.FaultInterval == 0 {
+		p.FaultInterval = timer.Second
 	}
 	return p
 }
@@ -99,7 +99,7 @@
 // the callers to finish.
 func (u *run) runWorkload(ctx context.Context) {
 	r := rand.New(rand.NewPCG(u.plan.Seed, 7))
-	faultCtx, stopFaults := context.WithTimeout(ctx, u.plan.Length.Duration())
+	faultCtx, stopFaults := context.WithTimeout(ctx, u.plan.Duration.Duration())
 	defer stopFaults()
 	u.faultGroup.Add(1)
 	go func() {
--- a/injector/run_test.go
+++ b/injector/run_test.go
@@ -19,7 +19,7 @@
 	if err := launcher.Build(ctx, directory); err != nil {
 		t.Fatal(err)
 	}
-	report, err := Run(ctx, Plan{Directory: directory, Seed: 1, Length: 8 * timer.Second, FaultEvery: 700})
+	report, err := Run(ctx, Plan{ProgramDir: directory, Seed: 1, Duration: 8 * timer.Second, FaultInterval: 700})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/launcher/fleet.go
+++ b/launcher/fleet.go
@@ -24,8 +24,8 @@
 
 const (
 	secret = "a secret for one run on loopback only"
-	// Token is the token with which operators authenticate to the fleet.
-	Token = "operator-token-of-the-fleet"
+	// OperatorToken is the token with which operators authenticate to the fleet.
+	OperatorToken = "operator-token-of-the-fleet"
 )
 
 type (
@@ -38,7 +38,7 @@
 
 	// Fleet is a set of processes. Set the directory and the sizes before calling Launch.
 	Fleet struct {
-		Directory  string // directory of the built programs
+		ProgramDir string // directory of the built programs
 		Entries    int
 		Backends   int
 		Domains    int
@@ -156,7 +156,7 @@
 func (f *Fleet) StartEntry(i int) error {
 	args := []string{
 		"entry", "-id", EntryName(i), "-httpAddress", f.httpAddresses[i], "-address", f.sessionAddresses[i],
-		"-logUrl", f.logURL, "-secret", secret, "-token", Token,
+		"-logUrl", f.logURL, "-secret", secret, "-token", OperatorToken,
 	}
 	if f.Membership {
 		args = append(args, f.membershipArgs(f.memberAddresses[i])...)
@@ -217,8 +217,8 @@
 // EntryAddress returns the address to which sidecars connect at entry i.
 func (f *Fleet) EntryAddress(i int) string { return f.sessionAddresses[i] }
 
-// Keys returns the TLS configuration of the sessions between processes.
-func (f *Fleet) Keys() (*tls.Config, error) { return messenger.Keys(secret) }
+// TLSConfig returns the TLS configuration of the sessions between processes.
+func (f *Fleet) TLSConfig() (*tls.Config, error) { return messenger.NewTLSConfig(secret) }
 
 // BackendURL returns the base URL of backend server i.
 func (f *Fleet) BackendURL(i int) string { return f.backendURLs[i] }
@@ -261,7 +261,7 @@
 }
 
 func (f *Fleet) start(name string, onLine func(string), program string, args ...string) error {
-	p, err := startProcess(f.ctx, name, onLine, filepath.Join(f.Directory, program), args...)
+	p, err := startProcess(f.ctx, name, onLine, filepath.Join(f.ProgramDir, program), args...)
 	if err != nil {
 		return err
 	}
--- a/launcher/path_test.go
+++ b/launcher/path_test.go
@@ -26,7 +26,7 @@
 	if err := launcher.Build(ctx, directory); err != nil {
 		t.Fatal(err)
 	}
-	f := &launcher.Fleet{Directory: directory, Entries: 3, Backends: 4, Domains: 2, Slots: 4}
+	f := &launcher.Fleet{ProgramDir: directory, Entries: 3, Backends: 4, Domains: 2, Slots: 4}
 	defer f.Close()
 	if err := f.Launch(ctx); err != nil {
 		t.Fatal(err)
--- a/loader/report.go
+++ b/loader/report.go
@@ -30,8 +30,8 @@
 	}
 
 	findingJSON struct {
-		Place  string `json:"place"`
-		Reason string `json:"reason"`
+		Location string `json:"place"`
+		Reason   string `json:"reason"`
 	}
 
 	checkJSON struct {
@@ -56,7 +56,7 @@
 		if setting.Min != 0 || setting.Max != 0 {
 			value += ", " + formatNumber(setting.Min) + ".." + formatNumber(setting.Max)
 		}
-		_, _ = fmt.Fprintf(w, "  -%s\t%s\t%s\t%s\t%s\n", setting.Name, setting.Unit, value, setting.Variable(), setting.Meaning)
+		_, _ = fmt.Fprintf(w, "  -%s\t%s\t%s\t%s\t%s\n", setting.Name, setting.Unit, value, setting.Variable(), setting.Description)
 	}
 	_ = w.Flush()
 	return b.String()
@@ -67,7 +67,7 @@
 	rows := make([]settingJSON, 0, len(s.Settings))
 	for _, setting := range s.Settings {
 		rows = append(rows, settingJSON{
-			Name: setting.Name, Variable: setting.Variable(), Unit: setting.Unit.String(), Default: setting.Default, Meaning: setting.Meaning,
+			Name: setting.Name, Variable: setting.Variable(), Unit: setting.Unit.String(), Default: setting.Default, Meaning: setting.Description,
 			Min: setting.Min, Max: setting.Max, Required: setting.Required, Secret: setting.Secret,
 		})
 	}
--- a/loader/set.go
+++ b/loader/set.go
@@ -12,16 +12,16 @@
 type (
 	// Finding is a problem with a setting.
 	Finding struct {
-		Place  string // flag, variable or declaration
-		Reason string
+		Location string // flag, variable or declaration
+		Reason   string
 	}
 
 	// Set holds the settings of one subcommand.
 	Set struct {
 		Settings []Setting
-		// Known lists settings of other subcommands. Their environment variables are ignored, not reported.
-		Known []Setting
-		Rules []Rule
+		// OtherSettings lists settings of other subcommands. Their environment variables are ignored, not reported.
+		OtherSettings []Setting
+		Rules         []Rule
 	}
 
 	// Rule validates several values together. It is skipped if one of the named values is invalid by itself, so that
@@ -48,7 +48,7 @@
 )
 
 // String returns the finding as one line.
-func (f Finding) String() string { return f.Place + ": " + f.Reason }
+func (f Finding) String() string { return f.Location + ": " + f.Reason }
 
 // String implements flag.Value.
 func (f *recordedFlag) String() string { return strings.Join(f.values, " ") }
@@ -65,7 +65,7 @@
 // Load parses args and environ (NAME=value pairs). Flags override variables, and variables override defaults. It reports
 // all findings, not only the first.
 func (s Set) Load(args, environ []string) LoadResult {
-	result := LoadResult{Findings: s.Declared()}
+	result := LoadResult{Findings: s.CheckDeclarations()}
 	if len(result.Findings) > 0 {
 		return result
 	}
@@ -73,9 +73,9 @@
 	fs := flag.NewFlagSet("", flag.ContinueOnError)
 	fs.SetOutput(io.Discard)
 	for _, setting := range s.Settings {
-		recorded := &recordedFlag{isBool: setting.Unit == UnitSwitch}
+		recorded := &recordedFlag{isBool: setting.Unit == UnitBool}
 		flags[setting.Name] = recorded
-		fs.Var(recorded, setting.Name, setting.Meaning)
+		fs.Var(recorded, setting.Name, setting.Description)
 	}
 	result.parse(fs, args)
 	variables := s.variables(&result, environ)
@@ -110,8 +110,8 @@
 	return result
 }
 
-// Declared validates the declarations: duplicate or malformed names and missing descriptions.
-func (s Set) Declared() []Finding {
+// CheckDeclarations validates the declarations: duplicate or malformed names and missing descriptions.
+func (s Set) CheckDeclarations() []Finding {
 	var result LoadResult
 	seen := map[string]bool{}
 	for _, setting := range s.Settings {
@@ -123,7 +123,7 @@
 			result.addFinding(place, "the name is declared more than once")
 		}
 		seen[setting.Variable()] = true
-		if setting.Meaning == "" {
+		if setting.Description == "" {
 			result.addFinding(place, "the description is missing")
 		}
 	}
@@ -133,7 +133,7 @@
 // variables returns the values of the set's environment variables and reports unknown ones.
 func (s Set) variables(result *LoadResult, environ []string) map[string]string {
 	known := map[string]bool{}
-	for _, setting := range slices.Concat(s.Settings, s.Known) {
+	for _, setting := range slices.Concat(s.Settings, s.OtherSettings) {
 		known[setting.Variable()] = true
 	}
 	found := map[string]string{}
@@ -194,5 +194,5 @@
 }
 
 func (l *LoadResult) addFinding(place, format string, args ...any) {
-	l.Findings = append(l.Findings, Finding{Place: place, Reason: fmt.Sprintf(format, args...)})
+	l.Findings = append(l.Findings, Finding{Location: place, Reason: fmt.Sprintf(format, args...)})
 }
--- a/loader/set_test.go
+++ b/loader/set_test.go
@@ -10,21 +10,21 @@
 
 var sample = Set{
 	Settings: []Setting{
-		{Name: "drainMs", Unit: UnitMillis, Default: "30000", Min: 0, Max: 60_000, Meaning: "drain"},
-		{Name: "slots", Unit: UnitCount, Default: "8", Min: 1, Max: 64, Meaning: "slots"},
-		{Name: "target", Unit: UnitShare, Default: "0.99", Meaning: "target"},
-		{Name: "ratio", Unit: UnitRatio, Default: "1.1", Meaning: "ratio"},
-		{Name: "address", Unit: UnitAddress, Default: "127.0.0.1:1", Meaning: "address"},
-		{Name: "entries", Unit: UnitAddresses, Meaning: "entries"},
-		{Name: "logUrl", Unit: UnitURL, Required: true, Default: "http://127.0.0.1:2", Meaning: "log"},
-		{Name: "kinds", Unit: UnitList, Meaning: "kinds"},
-		{Name: "json", Unit: UnitSwitch, Default: "false", Meaning: "json"},
-		{Name: "secret", Secret: true, Meaning: "secret"},
+		{Name: "drainMs", Unit: UnitMillis, Default: "30000", Min: 0, Max: 60_000, Description: "drain"},
+		{Name: "slots", Unit: UnitCount, Default: "8", Min: 1, Max: 64, Description: "slots"},
+		{Name: "target", Unit: UnitShare, Default: "0.99", Description: "target"},
+		{Name: "ratio", Unit: UnitRatio, Default: "1.1", Description: "ratio"},
+		{Name: "address", Unit: UnitAddress, Default: "127.0.0.1:1", Description: "address"},
+		{Name: "entries", Unit: UnitAddresses, Description: "entries"},
+		{Name: "logUrl", Unit: UnitURL, Required: true, Default: "http://127.0.0.1:2", Description: "log"},
+		{Name: "kinds", Unit: UnitList, Description: "kinds"},
+		{Name: "json", Unit: UnitBool, Default: "false", Description: "json"},
+		{Name: "secret", Secret: true, Description: "secret"},
 	},
-	Known: []Setting{{Name: "elsewhere", Meaning: "of another subcommand"}},
+	OtherSettings: []Setting{{Name: "elsewhere", Description: "of another subcommand"}},
 	Rules: []Rule{{Names: []string{"slots", "drainMs"}, Check: func(v Values) []Finding {
 		if v.Count("slots") == 64 && v.Millis("drainMs") == 0 {
-			return []Finding{{Place: "-slots", Reason: "needs -drainMs"}}
+			return []Finding{{Location: "-slots", Reason: "needs -drainMs"}}
 		}
 		return nil
 	}}},
@@ -79,7 +79,7 @@
 		t.Run(tc.name, func(t *testing.T) {
 			var got []string
 			for _, f := range sample.Load(strings.Fields(tc.args), tc.environ).Findings {
-				got = append(got, f.Place)
+				got = append(got, f.Location)
 			}
 			if strings.Join(got, " ") != strings.Join(tc.want, " ") {
 				t.Errorf("got findings at %q, want %q", got, tc.want)
@@ -98,7 +98,7 @@
 	if got, want := strings.Join(l.Args, " "), "first second -third"; got != want {
 		t.Errorf("got arguments %q, want %q", got, want)
 	}
-	if v.Millis("drainMs") != 1500*timer.Millis(1) || v.Count("slots") != 9 || !v.Switch("json") || len(v.List("kinds")) != 2 {
+	if v.Millis("drainMs") != 1500*timer.Millis(1) || v.Count("slots") != 9 || !v.Bool("json") || len(v.List("kinds")) != 2 {
 		t.Errorf("got %v, want drainMs 1500, slots 9, json true and two kinds", v.values)
 	}
 	for name, want := range map[string]string{"drainMs": "-drainMs", "slots": "CROCUSLB_SLOTS", "target": "default"} {
@@ -115,9 +115,9 @@
 		settings []Setting
 		want     int
 	}{
-		{"valid", []Setting{{Name: "aB", Meaning: "m"}}, 0},
-		{"duplicate", []Setting{{Name: "aB", Meaning: "m"}, {Name: "aB", Meaning: "m"}}, 1},
-		{"not camelCase", []Setting{{Name: "a-b", Meaning: "m"}}, 1},
+		{"valid", []Setting{{Name: "aB", Description: "m"}}, 0},
+		{"duplicate", []Setting{{Name: "aB", Description: "m"}, {Name: "aB", Description: "m"}}, 1},
+		{"not camelCase", []Setting{{Name: "a-b", Description: "m"}}, 1},
 		{"no description", []Setting{{Name: "a"}}, 1},
 	}
 	for _, tc := range tests {
--- a/loader/setting.go
+++ b/loader/setting.go
@@ -39,8 +39,8 @@
 	UnitURL
 	// UnitList is a comma-separated list of words.
 	UnitList
-	// UnitSwitch is a Boolean; a flag without a value means true.
-	UnitSwitch
+	// UnitBool is a Boolean; a flag without a value means true.
+	UnitBool
 )
 
 const (
@@ -54,13 +54,13 @@
 
 	// Setting declares a setting. Min and Max limit numbers and durations (in ms); they are ignored if both are 0.
 	Setting struct {
-		Name     string // name of the flag in camelCase
-		Unit     Unit
-		Default  string
-		Meaning  string
-		Min, Max float64
-		Secret   bool // the value is never printed
-		Required bool // an empty value is a finding
+		Name        string // name of the flag in camelCase
+		Unit        Unit
+		Default     string
+		Description string
+		Min, Max    float64
+		Secret      bool // the value is never printed
+		Required    bool // an empty value is a finding
 		// Check validates a value that satisfies the unit and the bounds. It may be nil.
 		Check func(value string) error
 	}
@@ -162,7 +162,7 @@
 			}
 			seen[w] = true
 		}
-	case UnitSwitch:
+	case UnitBool:
 		if _, err := strconv.ParseBool(text); err != nil {
 			return trace.BadParameter("%s is neither true nor false", quoteTruncated(text))
 		}
--- a/loader/values.go
+++ b/loader/values.go
@@ -53,8 +53,8 @@
 	return f
 }
 
-// Switch returns the value of a Boolean setting.
-func (v Values) Switch(name string) bool {
+// Bool returns the value of a Boolean setting.
+func (v Values) Bool(name string) bool {
 	b, err := strconv.ParseBool(v.Text(name))
 	return err == nil && b
 }
@@ -62,8 +62,8 @@
 // List returns the items of a list setting; an empty setting has no items.
 func (v Values) List(name string) []string { return splitList(v.Text(name)) }
 
-// Loopback reports whether the address in a setting is empty or a loopback address.
-func (v Values) Loopback(name string) bool {
+// IsLoopback reports whether the address in a setting is empty or a loopback address.
+func (v Values) IsLoopback(name string) bool {
 	if v.Text(name) == "" {
 		return true
 	}
--- a/marshaler/append.go
+++ b/marshaler/append.go
@@ -43,10 +43,10 @@
 	switch m := m.(type) {
 	case *Hello:
 		dst = appender.AppendUint(append(dst, kindHello), 1, uint64(m.Role))
-		dst = appender.AppendText(dst, 2, m.Name)
+		dst = appender.AppendString(dst, 2, m.Name)
 		dst = appender.AppendUint(dst, 3, m.Incarnation)
-		dst = appender.AppendText(dst, 4, m.Domain)
-		dst = appender.AppendText(dst, 5, m.Address)
+		dst = appender.AppendString(dst, 4, m.Domain)
+		dst = appender.AppendString(dst, 5, m.Address)
 		dst = appender.AppendUint(dst, 6, m.Weight)
 		return appender.AppendUint(dst, 7, m.Session)
 	case *Heartbeat:
@@ -83,9 +83,9 @@
 func appendPlacement(dst []byte, m Message) []byte {
 	switch m := m.(type) {
 	case *Backend:
-		dst = appender.AppendText(append(dst, kindBackend), 1, m.ID)
+		dst = appender.AppendString(append(dst, kindBackend), 1, m.ID)
 		dst = appender.AppendUint(dst, 2, m.StartTime)
-		dst = appender.AppendText(dst, 3, m.Service)
+		dst = appender.AppendString(dst, 3, m.Service)
 		for _, l := range m.Labels {
 			dst = appendBytes(dst, 4, []byte(l))
 		}
@@ -95,17 +95,17 @@
 	case *ResourceRequest:
 		return appendResourceRequest(append(dst, kindResourceRequest), m)
 	case *CancelResourceRequest:
-		dst = appender.AppendText(append(dst, kindCancelResourceRequest), 1, m.Job)
+		dst = appender.AppendString(append(dst, kindCancelResourceRequest), 1, m.Job)
 		return appender.AppendUint(dst, 2, m.Step)
 	case *Grant:
-		dst = appender.AppendText(append(dst, kindGrant), 1, m.Job)
+		dst = appender.AppendString(append(dst, kindGrant), 1, m.Job)
 		for _, s := range m.Sidecars {
 			dst = appendBytes(dst, 2, []byte(s))
 		}
 		return appender.AppendUint(dst, 3, m.Step)
 	case *Reject:
-		dst = appender.AppendText(append(dst, kindReject), 1, m.Job)
-		dst = appender.AppendText(dst, 2, m.Reason)
+		dst = appender.AppendString(append(dst, kindReject), 1, m.Job)
+		dst = appender.AppendString(dst, 2, m.Reason)
 		dst = appendZigZag(dst, 3, int64(m.RetryAfter))
 		return appender.AppendUint(dst, 4, m.Step)
 	}
@@ -115,7 +115,7 @@
 func appendOutcome(dst []byte, m *Outcome) []byte {
 	dst = appendRunKey(dst, 1, &m.Run)
 	dst = appender.AppendUint(dst, 2, uint64(m.Status))
-	dst = appender.AppendText(dst, 3, m.Reason)
+	dst = appender.AppendString(dst, 3, m.Reason)
 	dst = appendZigZag(dst, 4, int64(m.RunTime))
 	dst = appender.AppendUint(dst, 5, m.Number)
 	return appendBool(dst, 6, m.Stale)
@@ -123,7 +123,7 @@
 
 func appendStart(dst []byte, m *Start) []byte {
 	dst = appendRunKey(dst, 1, &m.Run)
-	dst = appender.AppendText(dst, 2, m.Spec)
+	dst = appender.AppendString(dst, 2, m.Spec)
 	dst = appendResources(dst, 3, m.Resources)
 	dst = appendZigZag(dst, 4, int64(m.Estimate))
 	dst = appendZigZag(dst, 5, m.NotAfter)
@@ -131,9 +131,9 @@
 }
 
 func appendResourceRequest(dst []byte, m *ResourceRequest) []byte {
-	dst = appender.AppendText(dst, 1, m.Job)
-	dst = appender.AppendText(dst, 2, m.Service)
-	dst = appender.AppendText(dst, 3, m.Queue)
+	dst = appender.AppendString(dst, 1, m.Job)
+	dst = appender.AppendString(dst, 2, m.Service)
+	dst = appender.AppendString(dst, 3, m.Queue)
 	dst = appender.AppendUint(dst, 4, m.Tasks)
 	dst = appendResources(dst, 5, m.Resources)
 	dst = appendZigZag(dst, 6, int64(m.Estimate))
@@ -144,8 +144,8 @@
 		dst = appendBytes(dst, 10, []byte(name))
 	}
 	dst = appender.AppendUint(dst, 11, m.Step)
-	dst = appender.AppendText(dst, 12, m.Label)
-	dst = appender.AppendText(dst, 13, m.Rack)
+	dst = appender.AppendString(dst, 12, m.Label)
+	dst = appender.AppendString(dst, 13, m.Rack)
 	dst = appender.AppendUint(dst, 14, m.MaxPerServer)
 	for _, name := range m.Placed {
 		dst = appendBytes(dst, 15, []byte(name))
@@ -165,7 +165,7 @@
 	for i := range m.CompletedRuns {
 		s := &m.CompletedRuns[i]
 		dst = appendNested(dst, 7, func(b []byte) []byte {
-			b = appender.AppendText(b, 1, s.Job)
+			b = appender.AppendString(b, 1, s.Job)
 			b = appender.AppendUint(b, 2, uint64(s.Status))
 			b = appendZigZag(b, 3, int64(s.RunTime))
 			b = appendZigZag(b, 4, int64(s.Estimate))
@@ -176,14 +176,14 @@
 }
 
 func appendPeer(b []byte, p *Peer) []byte {
-	b = appender.AppendText(b, 1, p.Name)
-	b = appender.AppendText(b, 2, p.Address)
+	b = appender.AppendString(b, 1, p.Name)
+	b = appender.AppendString(b, 2, p.Address)
 	return appender.AppendUint(b, 3, p.Incarnation)
 }
 
 func appendRunKey(dst []byte, tag protowire.Number, r *RunKey) []byte {
 	return appendNested(dst, tag, func(b []byte) []byte {
-		b = appender.AppendText(b, 1, r.Job)
+		b = appender.AppendString(b, 1, r.Job)
 		b = appender.AppendUint(b, 2, r.Index)
 		return appender.AppendUint(b, 3, r.Attempt)
 	})
--- a/marshaler/decode.go
+++ b/marshaler/decode.go
@@ -18,7 +18,7 @@
 	if m == nil {
 		return nil, trace.NotImplemented("unknown message type %d", frame[0])
 	}
-	if err := appender.Fields(frame[1:], visit); err != nil {
+	if err := appender.RangeFields(frame[1:], visit); err != nil {
 		return nil, trace.BadParameter("%T: %v", m, err)
 	}
 	return m, nil
@@ -82,17 +82,17 @@
 	case 1:
 		return setUint8(f, &m.Role)
 	case 2:
-		return f.Text(&m.Name, MaxNameLen)
+		return f.StoreString(&m.Name, MaxNameLen)
 	case 3:
-		return f.Uint(&m.Incarnation)
+		return f.StoreUint(&m.Incarnation)
 	case 4:
-		return f.Text(&m.Domain, MaxNameLen)
+		return f.StoreString(&m.Domain, MaxNameLen)
 	case 5:
-		return f.Text(&m.Address, MaxNameLen)
+		return f.StoreString(&m.Address, MaxNameLen)
 	case 6:
-		return f.Uint(&m.Weight)
+		return f.StoreUint(&m.Weight)
 	case 7:
-		return f.Uint(&m.Session)
+		return f.StoreUint(&m.Session)
 	}
 	return nil
 }
@@ -100,7 +100,7 @@
 func (m *Heartbeat) setField(f appender.Field) error {
 	switch f.Tag {
 	case 1:
-		return f.Uint(&m.Offset)
+		return f.StoreUint(&m.Offset)
 	case 2:
 		return setBool(f, &m.Leaving)
 	case 3:
@@ -120,11 +120,11 @@
 	return decodeNested(f, func(f appender.Field) error {
 		switch f.Tag {
 		case 1:
-			return f.Text(&p.Name, MaxNameLen)
+			return f.StoreString(&p.Name, MaxNameLen)
 		case 2:
-			return f.Text(&p.Address, MaxNameLen)
+			return f.StoreString(&p.Address, MaxNameLen)
 		case 3:
-			return f.Uint(&p.Incarnation)
+			return f.StoreUint(&p.Incarnation)
 		}
 		return nil
 	})
@@ -134,7 +134,7 @@
 	if f.Tag != 1 {
 		return nil
 	}
-	b, err := f.Message(maxNestedLen)
+	b, err := f.BytesValue(maxNestedLen)
 	m.Body = append([]byte(nil), b...)
 	return err
 }
@@ -142,11 +142,11 @@
 func (m *Backend) setField(f appender.Field) error {
 	switch f.Tag {
 	case 1:
-		return f.Text(&m.ID, MaxNameLen)
+		return f.StoreString(&m.ID, MaxNameLen)
 	case 2:
-		return f.Uint(&m.StartTime)
+		return f.StoreUint(&m.StartTime)
 	case 3:
-		return f.Text(&m.Service, MaxNameLen)
+		return f.StoreString(&m.Service, MaxNameLen)
 	case 4:
 		return appendDecodedText(f, &m.Labels)
 	case 5:
@@ -158,7 +158,7 @@
 func (m *Load) setField(f appender.Field) error {
 	switch f.Tag {
 	case 1:
-		return f.Uint(&m.Offset)
+		return f.StoreUint(&m.Offset)
 	case 2:
 		return setBool(f, &m.Accepting)
 	case 3:
@@ -166,7 +166,7 @@
 	case 4:
 		return setZigZag(f, &m.Clock)
 	case 5:
-		return f.Uint(&m.Speed)
+		return f.StoreUint(&m.Speed)
 	case 6:
 		return appendDecodedText(f, &m.HandledStarts)
 	case 7:
@@ -182,7 +182,7 @@
 func (s *CompletedRun) setField(f appender.Field) error {
 	switch f.Tag {
 	case 1:
-		return f.Text(&s.Job, MaxNameLen)
+		return f.StoreString(&s.Job, MaxNameLen)
 	case 2:
 		return setUint8(f, &s.Status)
 	case 3:
@@ -200,7 +200,7 @@
 	case 1:
 		return setRunKey(f, &m.Run)
 	case 2:
-		return f.Text(&m.Spec, MaxSpecLen)
+		return f.StoreString(&m.Spec, MaxSpecLen)
 	case 3:
 		return setResources(f, &m.Resources)
 	case 4:
@@ -208,7 +208,7 @@
 	case 5:
 		return setZigZag(f, &m.NotAfter)
 	case 6:
-		return f.Uint(&m.Epoch)
+		return f.StoreUint(&m.Epoch)
 	}
 	return nil
 }
@@ -220,11 +220,11 @@
 	case 2:
 		return setUint8(f, &m.Status)
 	case 3:
-		return f.Text(&m.Reason, MaxNameLen)
+		return f.StoreString(&m.Reason, MaxNameLen)
 	case 4:
 		return setMillis(f, &m.RunTime)
 	case 5:
-		return f.Uint(&m.Number)
+		return f.StoreUint(&m.Number)
 	case 6:
 		return setBool(f, &m.Stale)
 	}
@@ -245,13 +245,13 @@
 func (m *ResourceRequest) setField(f appender.Field) error {
 	switch f.Tag {
 	case 1:
-		return f.Text(&m.Job, MaxNameLen)
+		return f.StoreString(&m.Job, MaxNameLen)
 	case 2:
-		return f.Text(&m.Service, MaxNameLen)
+		return f.StoreString(&m.Service, MaxNameLen)
 	case 3:
-		return f.Text(&m.Queue, MaxNameLen)
+		return f.StoreString(&m.Queue, MaxNameLen)
 	case 4:
-		return f.Uint(&m.Tasks)
+		return f.StoreUint(&m.Tasks)
 	case 5:
 		return setResources(f, &m.Resources)
 	case 6:
@@ -259,19 +259,19 @@
 	case 7:
 		return setMillis(f, &m.Slack)
 	case 8:
-		return f.Uint(&m.Priority)
+		return f.StoreUint(&m.Priority)
 	case 9:
 		return setBool(f, &m.Started)
 	case 10:
 		return appendDecodedText(f, &m.Avoid)
 	case 11:
-		return f.Uint(&m.Step)
+		return f.StoreUint(&m.Step)
 	case 12:
-		return f.Text(&m.Label, MaxNameLen)
+		return f.StoreString(&m.Label, MaxNameLen)
 	case 13:
-		return f.Text(&m.Rack, MaxNameLen)
+		return f.StoreString(&m.Rack, MaxNameLen)
 	case 14:
-		return f.Uint(&m.MaxPerServer)
+		return f.StoreUint(&m.MaxPerServer)
 	case 15:
 		return appendDecodedText(f, &m.Placed)
 	case 16:
@@ -283,9 +283,9 @@
 func (m *CancelResourceRequest) setField(f appender.Field) error {
 	switch f.Tag {
 	case 1:
-		return f.Text(&m.Job, MaxNameLen)
+		return f.StoreString(&m.Job, MaxNameLen)
 	case 2:
-		return f.Uint(&m.Step)
+		return f.StoreUint(&m.Step)
 	}
 	return nil
 }
@@ -293,11 +293,11 @@
 func (m *Grant) setField(f appender.Field) error {
 	switch f.Tag {
 	case 1:
-		return f.Text(&m.Job, MaxNameLen)
+		return f.StoreString(&m.Job, MaxNameLen)
 	case 2:
 		return appendDecodedText(f, &m.Sidecars)
 	case 3:
-		return f.Uint(&m.Step)
+		return f.StoreUint(&m.Step)
 	}
 	return nil
 }
@@ -305,13 +305,13 @@
 func (m *Reject) setField(f appender.Field) error {
 	switch f.Tag {
 	case 1:
-		return f.Text(&m.Job, MaxNameLen)
+		return f.StoreString(&m.Job, MaxNameLen)
 	case 2:
-		return f.Text(&m.Reason, MaxNameLen)
+		return f.StoreString(&m.Reason, MaxNameLen)
 	case 3:
 		return setMillis(f, &m.RetryAfter)
 	case 4:
-		return f.Uint(&m.Step)
+		return f.StoreUint(&m.Step)
 	}
 	return nil
 }
@@ -320,22 +320,22 @@
 const maxNestedLen = 4 << 20
 
 func decodeNested(f appender.Field, visit func(f appender.Field) error) error {
-	b, err := f.Message(maxNestedLen)
+	b, err := f.BytesValue(maxNestedLen)
 	if err != nil {
 		return err
 	}
-	return appender.Fields(b, visit)
+	return appender.RangeFields(b, visit)
 }
 
 func setRunKey(f appender.Field, r *RunKey) error {
 	return decodeNested(f, func(f appender.Field) error {
 		switch f.Tag {
 		case 1:
-			return f.Text(&r.Job, MaxNameLen)
+			return f.StoreString(&r.Job, MaxNameLen)
 		case 2:
-			return f.Uint(&r.Index)
+			return f.StoreUint(&r.Index)
 		case 3:
-			return f.Uint(&r.Attempt)
+			return f.StoreUint(&r.Attempt)
 		}
 		return nil
 	})
@@ -357,7 +357,7 @@
 
 func setZigZag(f appender.Field, dst *int64) error {
 	var v uint64
-	err := f.Uint(&v)
+	err := f.StoreUint(&v)
 	*dst = protowire.DecodeZigZag(v)
 	return err
 }
@@ -371,14 +371,14 @@
 
 func setBool(f appender.Field, dst *bool) error {
 	var v uint64
-	err := f.Uint(&v)
+	err := f.StoreUint(&v)
 	*dst = v != 0
 	return err
 }
 
 func setUint8[T ~uint8](f appender.Field, dst *T) error {
 	var v uint64
-	if err := f.Uint(&v); err != nil {
+	if err := f.StoreUint(&v); err != nil {
 		return err
 	}
 	if v > 255 {
@@ -393,7 +393,7 @@
 	if err != nil {
 		return err
 	}
-	return f.Text(s, MaxNameLen)
+	return f.StoreString(s, MaxNameLen)
 }
 
 // appendZero appends a zero element, which the caller decodes into.
--- a/marshaler/durablecodec.go
+++ b/marshaler/durablecodec.go
@@ -19,7 +19,7 @@
 	case *OwnerRecord:
 		return appender.AppendUint(append(dst, kindOwnerRecord), 1, m.Epoch)
 	case *CancelRecord:
-		return appender.AppendText(append(dst, kindCancelRecord), 1, m.Job)
+		return appender.AppendString(append(dst, kindCancelRecord), 1, m.Job)
 	case *OwnedPartitions:
 		return appendPartitions(append(dst, kindOwnedPartitions), m.Partitions)
 	case *Claim:
@@ -41,28 +41,28 @@
 	case *Call:
 		dst = appender.AppendUint(append(dst, kindCall), 1, m.Number)
 		dst = appender.AppendUint(dst, 2, uint64(m.Verb))
-		dst = appender.AppendText(dst, 3, m.Job)
-		dst = appender.AppendText(dst, 4, m.Queue)
+		dst = appender.AppendString(dst, 3, m.Job)
+		dst = appender.AppendString(dst, 4, m.Queue)
 		return appendBytes(dst, 5, m.Body)
 	case *Reply:
 		dst = appender.AppendUint(append(dst, kindReply), 1, m.Number)
 		dst = appender.AppendUint(dst, 2, uint64(m.Kind))
-		dst = appender.AppendText(dst, 3, m.Reason)
+		dst = appender.AppendString(dst, 3, m.Reason)
 		return appendZigZag(dst, 4, int64(m.RetryAfter))
 	case *QueueBacklog:
-		dst = appender.AppendText(append(dst, kindQueueBacklog), 1, m.Queue)
+		dst = appender.AppendString(append(dst, kindQueueBacklog), 1, m.Queue)
 		return appender.AppendUint(dst, 2, m.Jobs)
 	}
 	panic(fmt.Sprintf("marshaler: unknown message type %T", m))
 }
 
 func appendJobRecord(dst []byte, m *JobRecord) []byte {
-	dst = appender.AppendText(dst, 1, m.ID)
-	dst = appender.AppendText(dst, 2, m.Queue)
-	dst = appender.AppendText(dst, 3, m.Service)
+	dst = appender.AppendString(dst, 1, m.ID)
+	dst = appender.AppendString(dst, 2, m.Queue)
+	dst = appender.AppendString(dst, 3, m.Service)
 	dst = appender.AppendUint(dst, 4, m.Attempts)
 	dst = appender.AppendUint(dst, 5, m.Priority)
-	dst = appender.AppendText(dst, 6, m.Spec)
+	dst = appender.AppendString(dst, 6, m.Spec)
 	for i := range m.Steps {
 		dst = appendNested(dst, 7, func(b []byte) []byte { return appendStep(b, &m.Steps[i]) })
 	}
@@ -85,8 +85,8 @@
 	for _, n := range s.After {
 		b = protowire.AppendVarint(protowire.AppendTag(b, 4, protowire.VarintType), n)
 	}
-	b = appender.AppendText(b, 5, s.Label)
-	b = appender.AppendText(b, 6, s.Rack)
+	b = appender.AppendString(b, 5, s.Label)
+	b = appender.AppendString(b, 6, s.Rack)
 	return appender.AppendUint(b, 7, s.MaxPerServer)
 }
 
@@ -127,7 +127,7 @@
 		return m, m.setField
 	case kindCancelRecord:
 		m := &CancelRecord{}
-		return m, func(f appender.Field) error { return f.Text(&m.Job, MaxNameLen) }
+		return m, func(f appender.Field) error { return f.StoreString(&m.Job, MaxNameLen) }
 	case kindOwnedPartitions:
 		m := &OwnedPartitions{}
 		return m, func(f appender.Field) error { return appendDecodedPartition(f, &m.Partitions) }
@@ -154,7 +154,7 @@
 		return m, m.setField
 	case kindOwnerRecord:
 		m := &OwnerRecord{}
-		return m, func(f appender.Field) error { return f.Uint(&m.Epoch) }
+		return m, func(f appender.Field) error { return f.StoreUint(&m.Epoch) }
 	case kindQueueBacklog:
 		m := &QueueBacklog{}
 		return m, m.setField
@@ -165,17 +165,17 @@
 func (m *JobRecord) setField(f appender.Field) error {
 	switch f.Tag {
 	case 1:
-		return f.Text(&m.ID, MaxNameLen)
+		return f.StoreString(&m.ID, MaxNameLen)
 	case 2:
-		return f.Text(&m.Queue, MaxNameLen)
+		return f.StoreString(&m.Queue, MaxNameLen)
 	case 3:
-		return f.Text(&m.Service, MaxNameLen)
+		return f.StoreString(&m.Service, MaxNameLen)
 	case 4:
-		return f.Uint(&m.Attempts)
+		return f.StoreUint(&m.Attempts)
 	case 5:
-		return f.Uint(&m.Priority)
+		return f.StoreUint(&m.Priority)
 	case 6:
-		return f.Text(&m.Spec, MaxSpecLen)
+		return f.StoreString(&m.Spec, MaxSpecLen)
 	case 7:
 		s, err := appendZero(&m.Steps)
 		if err != nil {
@@ -197,7 +197,7 @@
 func (s *Step) setField(f appender.Field) error {
 	switch f.Tag {
 	case 1:
-		return f.Uint(&s.Tasks)
+		return f.StoreUint(&s.Tasks)
 	case 2:
 		return setResources(f, &s.Resources)
 	case 3:
@@ -207,13 +207,13 @@
 		if err != nil {
 			return err
 		}
-		return f.Uint(n)
+		return f.StoreUint(n)
 	case 5:
-		return f.Text(&s.Label, MaxNameLen)
+		return f.StoreString(&s.Label, MaxNameLen)
 	case 6:
-		return f.Text(&s.Rack, MaxNameLen)
+		return f.StoreString(&s.Rack, MaxNameLen)
 	case 7:
-		return f.Uint(&s.MaxPerServer)
+		return f.StoreUint(&s.MaxPerServer)
 	}
 	return nil
 }
@@ -221,11 +221,11 @@
 func (t *TaskRecord) setField(f appender.Field) error {
 	switch f.Tag {
 	case 1:
-		return f.Uint(&t.Index)
+		return f.StoreUint(&t.Index)
 	case 2:
-		return f.Uint(&t.Attempt)
+		return f.StoreUint(&t.Attempt)
 	case 3:
-		return f.Uint(&t.Failures)
+		return f.StoreUint(&t.Failures)
 	case 4:
 		return setBool(f, &t.Done)
 	}
@@ -245,11 +245,11 @@
 func (p *Partition) setField(f appender.Field) error {
 	switch f.Tag {
 	case 1:
-		return f.Uint(&p.Number)
+		return f.StoreUint(&p.Number)
 	case 2:
-		return f.Uint(&p.Epoch)
+		return f.StoreUint(&p.Epoch)
 	case 3:
-		return f.Uint(&p.Previous)
+		return f.StoreUint(&p.Previous)
 	}
 	return nil
 }
@@ -299,7 +299,7 @@
 func (m *OutcomeAck) setField(f appender.Field) error {
 	switch f.Tag {
 	case 1:
-		return f.Uint(&m.Number)
+		return f.StoreUint(&m.Number)
 	case 2:
 		return setRunKey(f, &m.Run)
 	case 3:
@@ -311,15 +311,15 @@
 func (m *Call) setField(f appender.Field) error {
 	switch f.Tag {
 	case 1:
-		return f.Uint(&m.Number)
+		return f.StoreUint(&m.Number)
 	case 2:
 		return setUint8(f, &m.Verb)
 	case 3:
-		return f.Text(&m.Job, MaxNameLen)
+		return f.StoreString(&m.Job, MaxNameLen)
 	case 4:
-		return f.Text(&m.Queue, MaxNameLen)
+		return f.StoreString(&m.Queue, MaxNameLen)
 	case 5:
-		b, err := f.Message(maxNestedLen)
+		b, err := f.BytesValue(maxNestedLen)
 		m.Body = append([]byte(nil), b...)
 		return err
 	}
@@ -329,11 +329,11 @@
 func (m *Reply) setField(f appender.Field) error {
 	switch f.Tag {
 	case 1:
-		return f.Uint(&m.Number)
+		return f.StoreUint(&m.Number)
 	case 2:
 		return setUint8(f, &m.Kind)
 	case 3:
-		return f.Text(&m.Reason, MaxNameLen)
+		return f.StoreString(&m.Reason, MaxNameLen)
 	case 4:
 		return setMillis(f, &m.RetryAfter)
 	}
@@ -343,9 +343,9 @@
 func (m *QueueBacklog) setField(f appender.Field) error {
 	switch f.Tag {
 	case 1:
-		return f.Text(&m.Queue, MaxNameLen)
+		return f.StoreString(&m.Queue, MaxNameLen)
 	case 2:
-		return f.Uint(&m.Jobs)
+		return f.StoreUint(&m.Jobs)
 	}
 	return nil
 }
--- a/messenger/bench_test.go
+++ b/messenger/bench_test.go
@@ -67,16 +67,16 @@
 	const sessions, outstanding = 200, 50
 	a := newTestNode("a")
 	var lost atomic.Int64
-	a.OnUp = nil // its channel holds fewer sessions
+	a.OnConnect = nil // its channel holds fewer sessions
 	a.OnMessage = func(s *Session, _ encoder.Message) { s.Send(&encoder.Pong{}) }
 	address := a.listen(b.Context(), b)
 	up, answered := make(chan *Session), make(chan bool, outstanding)
 	var list []*Session
 	for range sessions {
 		c := &Node{
-			OnUp:      func(s *Session) { up <- s },
-			OnMessage: func(*Session, encoder.Message) { answered <- true },
-			OnDown:    func(*Session, error) { lost.Add(1) },
+			OnConnect:    func(s *Session) { up <- s },
+			OnMessage:    func(*Session, encoder.Message) { answered <- true },
+			OnDisconnect: func(*Session, error) { lost.Add(1) },
 		}
 		c.Connect(b.Context(), address)
 		list = append(list, receive(b, up, "session"))
@@ -110,7 +110,7 @@
 	const sessions = 300
 	a := newTestNode("a")
 	var lost atomic.Int64
-	a.OnUp = nil // its channel holds fewer sessions
+	a.OnConnect = nil // its channel holds fewer sessions
 	address := a.listen(b.Context(), b)
 	up := make(chan bool)
 	measure := func() (m runtime.MemStats) {
@@ -121,7 +121,7 @@
 	}
 	before := measure()
 	for range sessions {
-		c := &Node{OnUp: func(*Session) { up <- true }, OnDown: func(*Session, error) { lost.Add(1) }}
+		c := &Node{OnConnect: func(*Session) { up <- true }, OnDisconnect: func(*Session, error) { lost.Add(1) }}
 		c.Connect(b.Context(), address)
 		receive(b, up, "session")
 	}
--- a/messenger/connect.go
+++ b/messenger/connect.go
@@ -79,7 +79,7 @@
 		release()
 		return err
 	}
-	// Session.run may return up to Node.Grace later than this function.
+	// Session.run may return up to Node.GracePeriod later than this function.
 	n.goroutines.Go(func() {
 		stop := context.AfterFunc(ctx, s.Close)
 		defer stop()
--- a/messenger/fault_test.go
+++ b/messenger/fault_test.go
@@ -31,7 +31,7 @@
 		t.Run(tt.name, func(t *testing.T) {
 			ctx, cancel := context.WithCancel(t.Context())
 			a, b := newTestNode("a"), newTestNode("b")
-			a.Heartbeat, a.Silence, b.Heartbeat, b.Silence = 50, 250, 50, 250
+			a.HeartbeatInterval, a.IdleTimeout, b.HeartbeatInterval, b.IdleTimeout = 50, 250, 50, 250
 			r := newRelay(t, a.listen(ctx, t))
 			b.Connect(ctx, r.address())
 			old := receive(t, b.connected, "session").session
@@ -54,8 +54,8 @@
 func TestGrace(t *testing.T) {
 	ctx, cancel := context.WithCancel(t.Context())
 	a, b := newTestNode("a"), newTestNode("b")
-	b.Heartbeat, b.Silence, b.Grace = 50, 250, 60*timer.Second
-	a.Grace = b.Grace
+	b.HeartbeatInterval, b.IdleTimeout, b.GracePeriod = 50, 250, 60*timer.Second
+	a.GracePeriod = b.GracePeriod
 	r := newRelay(t, a.listen(ctx, t))
 	b.Connect(ctx, r.address())
 	old, server := receive(t, b.connected, "session").session, receive(t, a.connected, "session").session
@@ -97,7 +97,7 @@
 // TestRefusedSessions guards against sessions that open without a valid certificate, against the decision of Accept or
 // above the limit, and against refusals whose reason does not reach the peer.
 func TestRefusedSessions(t *testing.T) {
-	secret := strings.Repeat("s", MinSecret)
+	secret := strings.Repeat("s", MinSecretLen)
 	tests := []struct {
 		name             string
 		change           func(a, b testNode)
@@ -155,7 +155,7 @@
 	if err := receive(t, n.failures, "failure"); !strings.Contains(err.Error(), "secret") {
 		t.Errorf("connect: got %v, want an error that asks for a secret", err)
 	}
-	if _, err := Keys("short"); err == nil {
+	if _, err := NewTLSConfig("short"); err == nil {
 		t.Error("a short secret was accepted")
 	}
 }
@@ -168,12 +168,12 @@
 		bytes []byte
 		want  string
 	}{
-		{"oversized first frame", header(encoder.MaxFrame + 1), "out of range"},
-		{"oversized fragments", slices.Concat(hello, header(fragmentFlag|encoder.MaxFrame), make([]byte, encoder.MaxFrame), header(fragmentFlag|1)), "out of range"},
+		{"oversized first frame", header(encoder.MaxFrameSize + 1), "out of range"},
+		{"oversized fragments", slices.Concat(hello, header(fragmentFlag|encoder.MaxFrameSize), make([]byte, encoder.MaxFrameSize), header(fragmentFlag|1)), "out of range"},
 		{"empty first frame", header(0), "out of range"},
 		{"first message is not Hello", withHeader(encoder.Append(nil, &encoder.Leaving{})), "want Hello"},
 		{"Hello is garbage", withHeader([]byte{1, 8, 99}), "Hello.role"},
-		{"oversized frame", slices.Concat(hello, header(encoder.MaxFrame+1)), "out of range"},
+		{"oversized frame", slices.Concat(hello, header(encoder.MaxFrameSize+1)), "out of range"},
 		{"truncated frame", slices.Concat(hello, header(1000)), "within a frame"},
 		{"truncated message", slices.Concat(hello, header(fragmentFlag|1), []byte{0}), "within a frame"},
 		{"truncated header", slices.Concat(hello, []byte{0, 0}), "within a frame"},
@@ -230,7 +230,7 @@
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			a, b := newTestNode("a"), newTestNode("b")
-			a.Silence, b.Silence = 60*timer.Second, 60*timer.Second
+			a.IdleTimeout, b.IdleTimeout = 60*timer.Second, 60*timer.Second
 			r := newRelay(t, a.listen(t.Context(), t))
 			b.Connect(t.Context(), r.address())
 			s := receive(t, b.connected, "session").session
@@ -241,7 +241,7 @@
 					t.Fatalf("%d messages were queued, want at most %d", sent, tt.limit)
 				}
 			}
-			if s.Send(&encoder.Result{Body: make([]byte, encoder.MaxFrame)}) {
+			if s.Send(&encoder.Result{Body: make([]byte, encoder.MaxFrameSize)}) {
 				t.Error("a message above MaxFrame was queued")
 			}
 			r.drop(false, false)
@@ -261,18 +261,18 @@
 // TestLongResult guards against a long result that delays the messages queued after it.
 func TestLongResult(t *testing.T) {
 	a, b := newTestNode("a"), newTestNode("b")
-	a.Silence, b.Silence = 60*timer.Second, 60*timer.Second
+	a.IdleTimeout, b.IdleTimeout = 60*timer.Second, 60*timer.Second
 	r := newRelay(t, a.listen(t.Context(), t))
 	b.Connect(t.Context(), r.address())
 	s := receive(t, b.connected, "session").session
 	r.drop(true, true)
-	s.Send(&encoder.Result{Body: make([]byte, encoder.MaxFrame/2)})
+	s.Send(&encoder.Result{Body: make([]byte, encoder.MaxFrameSize/2)})
 	s.Send(&encoder.Claimed{Job: "short"})
 	r.drop(false, false)
 	if got, ok := receive(t, a.messages, "short message").message.(*encoder.Claimed); !ok {
 		t.Errorf("got %T first, want the short message", got)
 	}
-	if got, ok := receive(t, a.messages, "result").message.(*encoder.Result); !ok || len(got.Body) != encoder.MaxFrame/2 {
+	if got, ok := receive(t, a.messages, "result").message.(*encoder.Result); !ok || len(got.Body) != encoder.MaxFrameSize/2 {
 		t.Errorf("got %T, want the whole result", got)
 	}
 }
@@ -281,7 +281,7 @@
 // taken for an idle peer.
 func TestTicks(t *testing.T) {
 	a, b := newTestNode("a"), newTestNode("b")
-	a.Heartbeat, a.Silence, b.Heartbeat = timer.Minute, 3*timer.Minute, timer.Minute
+	a.HeartbeatInterval, a.IdleTimeout, b.HeartbeatInterval = timer.Minute, 3*timer.Minute, timer.Minute
 	handlerEntered, handlerRelease := make(chan bool), make(chan bool)
 	a.OnMessage = func(*Session, encoder.Message) { handlerEntered <- true; <-handlerRelease }
 	b.Connect(t.Context(), a.listen(t.Context(), t))
--- a/messenger/keys.go
+++ b/messenger/keys.go
@@ -16,8 +16,8 @@
 )
 
 const (
-	// MinSecret is the shortest secret in bytes.
-	MinSecret = 32
+	// MinSecretLen is the shortest secret in bytes.
+	MinSecretLen = 32
 
 	protocol   = "crocuslb/1"
 	serverName = "crocuslb.invalid"
@@ -40,14 +40,14 @@
 	}
 )
 
-var developmentTLSConfig = sync.OnceValues(func() (*tls.Config, error) { return Keys(developmentSecret) })
+var developmentTLSConfig = sync.OnceValues(func() (*tls.Config, error) { return NewTLSConfig(developmentSecret) })
 
-// Keys returns the TLS configuration of a process for dialing and accepting sessions. Each process issues its own
+// NewTLSConfig returns the TLS configuration of a process for dialing and accepting sessions. Each process issues its own
 // short-lived certificate in memory, signed with a key that is derived from the secret, and accepts certificates signed
-// with the same key. The secret must have at least MinSecret bytes and should be random.
-func Keys(secret string) (*tls.Config, error) {
-	if len(secret) < MinSecret {
-		return nil, trace.BadParameter("the secret has %d bytes, at least %d are required", len(secret), MinSecret)
+// with the same key. The secret must have at least MinSecretLen bytes and should be random.
+func NewTLSConfig(secret string) (*tls.Config, error) {
+	if len(secret) < MinSecretLen {
+		return nil, trace.BadParameter("the secret has %d bytes, at least %d are required", len(secret), MinSecretLen)
 	}
 	i, err := newIssuer(secret)
 	if err != nil {
--- a/messenger/node.go
+++ b/messenger/node.go
@@ -47,20 +47,20 @@
 		// Accept returns the answer to the Hello of an incoming session. If it returns an error, the session is refused
 		// and the text of the error is sent to the dialing end.
 		Accept    func(h *encoder.Hello) (encoder.HelloAck, error)
-		OnUp      func(s *Session)
+		OnConnect func(s *Session)
 		OnMessage func(s *Session, m encoder.Message)
-		// OnDown is called exactly once for each session for which OnUp was called. The cause is never nil.
-		OnDown func(s *Session, cause error)
-		// OnFail is called when a session could not be opened or accepted, with the remote address, and when a listener
+		// OnDisconnect is called exactly once for each session for which OnConnect was called. The cause is never nil.
+		OnDisconnect func(s *Session, cause error)
+		// OnConnectError is called when a session could not be opened or accepted, with the remote address, and when a listener
 		// fails, with its own address.
-		OnFail func(address string, err error)
-		// TLS is a result of Keys. If it is nil, the node uses a publicly known secret and accepts loopback addresses
+		OnConnectError func(address string, err error)
+		// TLS is a result of NewTLSConfig. If it is nil, the node uses a publicly known secret and accepts loopback addresses
 		// only.
-		TLS         *tls.Config
-		Heartbeat   timer.Millis // interval of heartbeats; 0 means 250
-		Silence     timer.Millis // time without received data after which a session ends; 0 means 1000
-		Grace       timer.Millis // time after OnDown in which a timed-out session still delivers messages
-		MaxSessions int          // maximum number of accepted sessions, including handshakes; 0 means 8192
+		TLS               *tls.Config
+		HeartbeatInterval timer.Millis // interval of heartbeats; 0 means 250
+		IdleTimeout       timer.Millis // time without received data after which a session ends; 0 means 1000
+		GracePeriod       timer.Millis // time after OnDisconnect in which a timed-out session still delivers messages
+		MaxSessions       int          // maximum number of accepted sessions, including handshakes; 0 means 8192
 
 		goroutines        sync.WaitGroup
 		acceptedConns     atomic.Int64
@@ -189,8 +189,8 @@
 }
 
 func (n *Node) reportFailure(address string, err error) {
-	if n.OnFail != nil {
-		n.OnFail(address, err)
+	if n.OnConnectError != nil {
+		n.OnConnectError(address, err)
 	}
 }
 
@@ -199,27 +199,27 @@
 		HandshakeIdleTimeout: n.handshakeTimeout().Duration(),
 		// The heartbeats detect an unresponsive peer earlier; this timeout only covers sessions whose heartbeat timer
 		// does not run.
-		MaxIdleTimeout:        (10*n.idleTimeout() + n.Grace).Duration(),
+		MaxIdleTimeout:        (10*n.idleTimeout() + n.GracePeriod).Duration(),
 		MaxIncomingStreams:    streams,
 		MaxIncomingUniStreams: -1,
-		// One message of encoder.MaxFrame bytes can be in flight.
+		// One message of encoder.MaxFrameSize bytes can be in flight.
 		InitialStreamReceiveWindow:     256 << 10,
-		MaxStreamReceiveWindow:         encoder.MaxFrame + encoder.MaxFrame/2,
+		MaxStreamReceiveWindow:         encoder.MaxFrameSize + encoder.MaxFrameSize/2,
 		InitialConnectionReceiveWindow: 512 << 10,
-		MaxConnectionReceiveWindow:     2 * encoder.MaxFrame,
+		MaxConnectionReceiveWindow:     2 * encoder.MaxFrameSize,
 	}
 }
 
 func (n *Node) heartbeatInterval() timer.Millis {
-	if n.Heartbeat > 0 {
-		return n.Heartbeat
+	if n.HeartbeatInterval > 0 {
+		return n.HeartbeatInterval
 	}
 	return defaultHeartbeatInterval
 }
 
 func (n *Node) idleTimeout() timer.Millis {
-	if n.Silence > 0 {
-		return n.Silence
+	if n.IdleTimeout > 0 {
+		return n.IdleTimeout
 	}
 	return defaultIdleTimeout
 }
--- a/messenger/node_test.go
+++ b/messenger/node_test.go
@@ -31,10 +31,10 @@
 	tn.Accept = func(*encoder.Hello) (encoder.HelloAck, error) {
 		return encoder.HelloAck{Member: encoder.Member{ID: id}}, nil
 	}
-	tn.OnUp = func(s *Session) { tn.connected <- event{session: s} }
-	tn.OnDown = func(s *Session, cause error) { tn.disconnected <- event{session: s, cause: cause} }
+	tn.OnConnect = func(s *Session) { tn.connected <- event{session: s} }
+	tn.OnDisconnect = func(s *Session, cause error) { tn.disconnected <- event{session: s, cause: cause} }
 	tn.OnMessage = func(s *Session, m encoder.Message) { tn.messages <- event{session: s, message: m} }
-	tn.OnFail = func(_ string, err error) {
+	tn.OnConnectError = func(_ string, err error) {
 		select {
 		case tn.failures <- err:
 		default:
@@ -81,7 +81,7 @@
 			t.Fatalf("message %d was refused", i)
 		}
 	}
-	if !serverSession.Send(&encoder.Result{Body: make([]byte, encoder.MaxFrame-100)}) {
+	if !serverSession.Send(&encoder.Result{Body: make([]byte, encoder.MaxFrameSize-100)}) {
 		t.Error("a large message was refused")
 	}
 	clientSession.Close()
@@ -90,8 +90,8 @@
 			t.Fatalf("got message %d, want %d", got, i)
 		}
 	}
-	if got := receive(t, b.messages, "large message").message.(*encoder.Result); len(got.Body) != encoder.MaxFrame-100 {
-		t.Errorf("got %d bytes, want %d", len(got.Body), encoder.MaxFrame-100)
+	if got := receive(t, b.messages, "large message").message.(*encoder.Result); len(got.Body) != encoder.MaxFrameSize-100 {
+		t.Errorf("got %d bytes, want %d", len(got.Body), encoder.MaxFrameSize-100)
 	}
 	receive(t, a.disconnected, "end")
 	receive(t, b.disconnected, "end")
@@ -106,7 +106,7 @@
 
 func mustKeys(t testing.TB, secret string) *tls.Config {
 	t.Helper()
-	keys, err := Keys(secret)
+	keys, err := NewTLSConfig(secret)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/messenger/reader.go
+++ b/messenger/reader.go
@@ -61,7 +61,7 @@
 	if header&fragmentFlag != 0 {
 		length &^= fragmentFlag | lastFragmentFlag
 	}
-	if length == 0 || length > encoder.MaxFrame || header&fragmentFlag != 0 && len(r.fragments)+int(length) > encoder.MaxFrame {
+	if length == 0 || length > encoder.MaxFrameSize || header&fragmentFlag != 0 && len(r.fragments)+int(length) > encoder.MaxFrameSize {
 		return nil, 0, trace.Wrap(errInvalidFrame, "frame length %d is out of range", length)
 	}
 	size := headerSize + int(length)
--- a/messenger/session.go
+++ b/messenger/session.go
@@ -19,7 +19,7 @@
 const (
 	// maxQueuedBytes bounds the encoded messages in a session's send queue. Two messages of the largest size fit. The
 	// batch that is being written does not count.
-	maxQueuedBytes = 2*encoder.MaxFrame + 1<<10
+	maxQueuedBytes = 2*encoder.MaxFrameSize + 1<<10
 	// maxQueuedMessages bounds the number of messages that are queued or being written.
 	maxQueuedMessages = 1 << 16
 	// fragmentSize is the encoded size above which results are split, and the size of their fragments. On a loaded
@@ -44,7 +44,7 @@
 		reader frameReader
 		peer   encoder.Hello
 		ack    encoder.HelloAck
-		done   chan struct{} // closed after OnDown returned
+		done   chan struct{} // closed after OnDisconnect returned
 
 		received       atomic.Bool // data was received since the last tick
 		handling       atomic.Bool // OnMessage is running
@@ -82,11 +82,11 @@
 // Ack returns the HelloAck of the accepting end.
 func (s *Session) Ack() encoder.HelloAck { return s.ack }
 
-// Done returns a channel that is closed after OnDown returned.
+// Done returns a channel that is closed after OnDisconnect returned.
 func (s *Session) Done() <-chan struct{} { return s.done }
 
 // Send queues m for the peer without blocking. It returns false if the session is closed, its queue is full or m is
-// longer than encoder.MaxFrame; the message is then never sent. True does not guarantee delivery.
+// longer than encoder.MaxFrameSize; the message is then never sent. True does not guarantee delivery.
 //
 // Messages are delivered in the order of the calls, with one exception: a Result or ForwardAnswer longer than 32 KiB is
 // sent in fragments interleaved with other messages, and may be delivered after messages that were queued later.
@@ -102,7 +102,7 @@
 	}
 	encoded := encoder.Append(append(s.queue, 0, 0, 0, 0), m)
 	size := len(encoded) - start - headerSize
-	if size > encoder.MaxFrame || len(encoded)+s.longBytes > maxQueuedBytes {
+	if size > encoder.MaxFrameSize || len(encoded)+s.longBytes > maxQueuedBytes {
 		return false
 	}
 	if size > fragmentSize && isReorderable(m) {
@@ -270,11 +270,11 @@
 	return m, s.stream.SetReadDeadline(time.Time{})
 }
 
-// run reads until the session ends, and calls OnUp and OnDown.
+// run reads until the session ends, and calls OnConnect and OnDisconnect.
 func (s *Session) run() {
 	n := s.node
-	if n.OnUp != nil {
-		n.OnUp(s)
+	if n.OnConnect != nil {
+		n.OnConnect(s)
 	}
 	s.mu.Lock()
 	s.heartbeatTimer = time.AfterFunc(n.jitteredHeartbeatInterval(), s.tick)
@@ -288,18 +288,18 @@
 	s.heartbeatTimer.Stop()
 	s.mu.Unlock()
 
-	inGracePeriod := code == codeIdleTimeout && n.Grace > 0
+	inGracePeriod := code == codeIdleTimeout && n.GracePeriod > 0
 	if !inGracePeriod {
 		_ = s.conn.CloseWithError(code, closeReason(cause))
 	}
-	if n.OnDown != nil {
-		n.OnDown(s, cause)
+	if n.OnDisconnect != nil {
+		n.OnDisconnect(s, cause)
 	}
 	close(s.done)
 	if inGracePeriod {
 		s.mu.Lock()
 		if !s.closeCalled {
-			_ = s.stream.SetReadDeadline(time.Now().Add(n.Grace.Duration()))
+			_ = s.stream.SetReadDeadline(time.Now().Add(n.GracePeriod.Duration()))
 		}
 		s.mu.Unlock()
 		_, _ = s.read()
--- a/archiver/archiver.go
+++ b/projector/projector.go
@@ -1,6 +1,6 @@
-// Package archiver folds the records of the durable jobs in one partition of the store into the current state of the
+// Package projector folds the records of the durable jobs in one partition of the store into the current state of the
 // jobs. It has no side effects.
-package archiver
+package projector
 
 import (
 	"cmp"
@@ -25,16 +25,16 @@
 	Cancelled
 )
 
-// Archive contains the durable jobs of one partition. The zero value is empty and ready to use.
-type Archive struct {
+// Projection contains the durable jobs of one partition. The zero value is empty and ready to use.
+type Projection struct {
 	jobs                 map[string]*marshaler.JobRecord
 	epoch, previousEpoch uint64 // epochs of the latest owner and the one before it
 }
 
-// Add applies the next record. Records of unknown jobs are ignored: the record of the job itself has expired, or the
-// record comes from another writer. If the record cannot be decoded or has an unexpected type, Add returns an error and
+// Apply applies the next record. Records of unknown jobs are ignored: the record of the job itself has expired, or the
+// record comes from another writer. If the record cannot be decoded or has an unexpected type, Apply returns an error and
 // leaves the archive unchanged.
-func (a *Archive) Add(body []byte) error {
+func (a *Projection) Apply(body []byte) error {
 	m, err := marshaler.Decode(body)
 	if err != nil {
 		return trace.BadParameter("durable job record: %v", err)
@@ -47,7 +47,7 @@
 		a.jobs[m.ID] = m
 	case *marshaler.EndRecord:
 		if j := a.jobs[m.Run.Job]; j != nil {
-			AddEnd(j, m)
+			ApplyEnd(j, m)
 		}
 	case *marshaler.OwnerRecord:
 		if m.Epoch != a.epoch {
@@ -63,11 +63,11 @@
 	return nil
 }
 
-// Previous returns the epoch of the owner before the latest one, or 0 if unknown.
-func (a *Archive) Previous() uint64 { return a.previousEpoch }
+// PreviousEpoch returns the epoch of the owner before the latest one, or 0 if unknown.
+func (a *Projection) PreviousEpoch() uint64 { return a.previousEpoch }
 
 // Jobs returns the jobs sorted by identifier.
-func (a *Archive) Jobs() []*marshaler.JobRecord {
+func (a *Projection) Jobs() []*marshaler.JobRecord {
 	var jobs []*marshaler.JobRecord
 	for _, j := range marshaler.SortedByKey(a.jobs) {
 		jobs = append(jobs, j)
@@ -75,9 +75,9 @@
 	return jobs
 }
 
-// AddEnd applies the end of a run to its job. It ignores ends of tasks that have already succeeded and of attempts that
+// ApplyEnd applies the end of a run to its job. It ignores ends of tasks that have already succeeded and of attempts that
 // are not later than the last recorded one.
-func AddEnd(j *marshaler.JobRecord, e *marshaler.EndRecord) {
+func ApplyEnd(j *marshaler.JobRecord, e *marshaler.EndRecord) {
 	i, ok := slices.BinarySearchFunc(j.Tasks, e.Run.Index, func(t marshaler.TaskRecord, index uint64) int {
 		return cmp.Compare(t.Index, index)
 	})
--- a/archiver/archiver_test.go
+++ b/projector/projector_test.go
@@ -1,4 +1,4 @@
-package archiver
+package projector
 
 import (
 	"testing"
@@ -43,9 +43,9 @@
 		{"records of an unknown job", []marshaler.Message{end(0, 0, 1, done), &marshaler.CancelRecord{Job: "job"}, job(1)}, Open, 0},
 	}
 	for _, c := range cases {
-		var a Archive
+		var a Projection
 		for _, m := range c.records {
-			if err := a.Add(marshaler.Append(nil, m)); err != nil {
+			if err := a.Apply(marshaler.Append(nil, m)); err != nil {
 				t.Fatalf("%s: %v", c.name, err)
 			}
 		}
@@ -70,13 +70,13 @@
 		{nil, 0}, {[]uint64{3}, 0}, {[]uint64{3, 5}, 3}, {[]uint64{3, 5, 9}, 5}, {[]uint64{3, 5, 5}, 3},
 	}
 	for _, c := range cases {
-		var a Archive
+		var a Projection
 		for _, epoch := range c.epochs {
-			if err := a.Add(marshaler.Append(nil, &marshaler.OwnerRecord{Epoch: epoch})); err != nil {
+			if err := a.Apply(marshaler.Append(nil, &marshaler.OwnerRecord{Epoch: epoch})); err != nil {
 				t.Fatal(err)
 			}
 		}
-		if got := a.Previous(); got != c.want {
+		if got := a.PreviousEpoch(); got != c.want {
 			t.Errorf("owners %v: got %d, want %d", c.epochs, got, c.want)
 		}
 	}
@@ -85,8 +85,8 @@
 // TestUnexpectedRecords checks that records of other writers are rejected and leave the archive unchanged.
 func TestUnexpectedRecords(t *testing.T) {
 	for _, body := range [][]byte{nil, {0xff}, []byte("text"), marshaler.Append(nil, &marshaler.Heartbeat{})} {
-		var a Archive
-		if err := a.Add(body); err == nil || len(a.Jobs()) != 0 {
+		var a Projection
+		if err := a.Apply(body); err == nil || len(a.Jobs()) != 0 {
 			t.Errorf("%q: got error %v, %d jobs, want an error and none", body, err, len(a.Jobs()))
 		}
 	}
