--- a/recorder/recorder.go
+++ b/recorder/recorder.go
@@ -26,12 +26,12 @@
 	flushDelay = 20 * time.Millisecond
 )
 
-// Recorder is a log handler. Its exported fields must be set before Run is called. If Buffer and Rate are zero, they
+// Handler is a log handler. Its exported fields must be set before Run is called. If BufferSize and RateLimit are zero, they
 // default to 256 KiB and 4,000 lines per second.
-type Recorder struct {
-	Writer io.Writer
-	Buffer int // bytes
-	Rate   int // lines per second
+type Handler struct {
+	Writer     io.Writer
+	BufferSize int // bytes
+	RateLimit  int // lines per second
 
 	mu         sync.Mutex
 	pending    []byte
@@ -43,7 +43,7 @@
 }
 
 // HandleLog implements log.Handler. It never waits for the writer.
-func (r *Recorder) HandleLog(e *log.Entry) error {
+func (r *Handler) HandleLog(e *log.Entry) error {
 	line := encode(e)
 	r.mu.Lock()
 	if !r.allow(e.Timestamp, len(line)) {
@@ -63,10 +63,10 @@
 	return nil
 }
 
-// allow takes a token from a token bucket to which Rate tokens are added per second. It reports whether the line fits
+// allow takes a token from a token bucket to which RateLimit tokens are added per second. It reports whether the line fits
 // the rate limit and the buffer.
-func (r *Recorder) allow(now time.Time, lineSize int) bool {
-	rate, bufferSize := float64(r.Rate), r.Buffer
+func (r *Handler) allow(now time.Time, lineSize int) bool {
+	rate, bufferSize := float64(r.RateLimit), r.BufferSize
 	if rate <= 0 {
 		rate = defaultRate
 	}
@@ -87,10 +87,10 @@
 }
 
 // Dropped returns the number of lines that were dropped.
-func (r *Recorder) Dropped() uint64 { return r.dropped.Load() }
+func (r *Handler) Dropped() uint64 { return r.dropped.Load() }
 
 // Run writes lines until done is closed, and then writes the remaining ones.
-func (r *Recorder) Run(done <-chan struct{}) {
+func (r *Handler) Run(done <-chan struct{}) {
 	for {
 		select {
 		case <-r.wakeupChan():
@@ -103,7 +103,7 @@
 	}
 }
 
-func (r *Recorder) flush() {
+func (r *Handler) flush() {
 	r.mu.Lock()
 	batch := r.pending
 	r.pending = nil
@@ -116,7 +116,7 @@
 	}
 }
 
-func (r *Recorder) wakeupChan() chan struct{} {
+func (r *Handler) wakeupChan() chan struct{} {
 	r.wakeupOnce.Do(func() { r.wakeup = make(chan struct{}, 1) })
 	return r.wakeup
 }
--- a/recorder/recorder_test.go
+++ b/recorder/recorder_test.go
@@ -16,7 +16,7 @@
 func TestBlockedWriter(t *testing.T) {
 	reader, writer := io.Pipe()
 	defer func() { _ = reader.Close() }()
-	r := &Recorder{Writer: writer, Buffer: 10_000, Rate: 1_000_000}
+	r := &Handler{Writer: writer, BufferSize: 10_000, RateLimit: 1_000_000}
 	done := make(chan struct{})
 	go r.Run(done)
 	defer close(done)
@@ -41,7 +41,7 @@
 // TestRateLimit checks that the volume of the log is limited and does not grow with the load.
 func TestRateLimit(t *testing.T) {
 	var out bytes.Buffer
-	r := &Recorder{Writer: &out, Rate: 100}
+	r := &Handler{Writer: &out, RateLimit: 100}
 	logger := &log.Logger{Handler: r, Level: log.InfoLevel}
 	for range 10_000 {
 		logger.Info("entry: answer")
@@ -63,7 +63,7 @@
 	}
 	for _, fields := range cases {
 		var out bytes.Buffer
-		r := &Recorder{Writer: &out}
+		r := &Handler{Writer: &out}
 		(&log.Logger{Handler: r, Level: log.InfoLevel}).WithFields(fields).Info("part: text")
 		r.flush()
 		var got map[string]any
--- a/reporter/metrics.go
+++ b/reporter/metrics.go
@@ -17,8 +17,8 @@
 	set  *metrics.Set
 }
 
-// CountCall records an HTTP request with its status and duration.
-func (m *Metrics) CountCall(call string, status int, duration timer.Millis) {
+// CountRequest records an HTTP request with its status and duration.
+func (m *Metrics) CountRequest(call string, status int, duration timer.Millis) {
 	s := m.init()
 	s.GetOrCreateCounter(fmt.Sprintf(`crocuslb_http_requests_total{call=%q,status="%d"}`, call, status)).Inc()
 	s.GetOrCreateHistogram(fmt.Sprintf(`crocuslb_http_request_duration_seconds{call=%q}`, call)).Update(duration.Duration().Seconds())
@@ -42,25 +42,27 @@
 	m.init().GetOrCreateHistogram(name).Update(duration.Duration().Seconds())
 }
 
-// Gauge registers a gauge whose value is read at each Write. The name must have the unit as its suffix and may include
+// AddGauge registers a gauge whose value is read at each Write. The name must have the unit as its suffix and may include
 // labels. If the name is already registered, the existing gauge is kept.
-func (m *Metrics) Gauge(name string, read func() float64) { m.init().GetOrCreateGauge(name, read) }
+func (m *Metrics) AddGauge(name string, read func() float64) { m.init().GetOrCreateGauge(name, read) }
 
-// Set sets a gauge that was not registered with Gauge.
-func (m *Metrics) Set(name string, value float64) { m.init().GetOrCreateGauge(name, nil).Set(value) }
+// SetGauge sets a gauge that was not registered with AddGauge.
+func (m *Metrics) SetGauge(name string, value float64) {
+	m.init().GetOrCreateGauge(name, nil).Set(value)
+}
 
 // SetTotal sets a counter to a total that is counted elsewhere. The name must end in _total.
 func (m *Metrics) SetTotal(name string, total uint64) { m.init().GetOrCreateCounter(name).Set(total) }
 
-// Burn registers gauges for the burn rates and remaining error budgets of r.
-func (m *Metrics) Burn(r *Reporter, c timer.Clock) {
-	for i, row := range r.Report(c.Now()).Rows {
+// AddBurnRates registers gauges for the burn rates and remaining error budgets of r.
+func (m *Metrics) AddBurnRates(r *Reporter, c timer.Clock) {
+	for i, row := range r.Report(c.Now()).Objectives {
 		read := func(selectValue func(ObjectiveStatus) float64) func() float64 {
-			return func() float64 { return selectValue(r.Report(c.Now()).Rows[i]) }
+			return func() float64 { return selectValue(r.Report(c.Now()).Objectives[i]) }
 		}
-		m.Gauge(fmt.Sprintf(`crocuslb_burn_ratio{objective=%q,window="short"}`, row.Name), read(func(w ObjectiveStatus) float64 { return w.BurnShort }))
-		m.Gauge(fmt.Sprintf(`crocuslb_burn_ratio{objective=%q,window="long"}`, row.Name), read(func(w ObjectiveStatus) float64 { return w.BurnLong }))
-		m.Gauge(fmt.Sprintf(`crocuslb_budget_left_ratio{objective=%q}`, row.Name), read(func(w ObjectiveStatus) float64 { return w.BudgetLeft }))
+		m.AddGauge(fmt.Sprintf(`crocuslb_burn_ratio{objective=%q,window="short"}`, row.Name), read(func(w ObjectiveStatus) float64 { return w.BurnShort }))
+		m.AddGauge(fmt.Sprintf(`crocuslb_burn_ratio{objective=%q,window="long"}`, row.Name), read(func(w ObjectiveStatus) float64 { return w.BurnLong }))
+		m.AddGauge(fmt.Sprintf(`crocuslb_budget_left_ratio{objective=%q}`, row.Name), read(func(w ObjectiveStatus) float64 { return w.BudgetLeft }))
 	}
 }
 
--- a/reporter/render.go
+++ b/reporter/render.go
@@ -63,12 +63,12 @@
 	var b bytes.Buffer
 	t := tabwriter.NewWriter(&b, 0, 4, 2, ' ', 0)
 	_, _ = fmt.Fprintf(t, "objective\ttarget\tburn %v\tburn %v\tbudget left\tbad of all\n", p.Short.Duration(), p.Long.Duration())
-	for _, r := range p.Rows {
+	for _, r := range p.Objectives {
 		_, _ = fmt.Fprintf(t, "%s\t%.4g\t%.2f\t%.2f\t%.1f%%\t%d of %d\n",
 			r.Name, r.Target, r.BurnShort, r.BurnLong, 100*r.BudgetLeft, r.Bad, r.Total)
 	}
 	_ = t.Flush()
-	for _, r := range p.Rows {
+	for _, r := range p.Objectives {
 		for _, c := range r.Domains {
 			_, _ = fmt.Fprintf(&b, "%s: budget used by failure domain %s: %.0f%% (%d bad of %d)\n", r.Name, c.Name, 100*c.Share, c.Bad, c.Total)
 		}
@@ -82,7 +82,7 @@
 
 func (p Report) writeJSON(w io.Writer) error {
 	out := reportJSON{ShortMs: int64(p.Short), LongMs: int64(p.Long), Objectives: []objectiveJSON{}}
-	for _, r := range p.Rows {
+	for _, r := range p.Objectives {
 		row := objectiveJSON{
 			Name: r.Name, Meaning: r.Description, Target: r.Target, Total: r.Total, Bad: r.Bad, BurnShort: r.BurnShort,
 			BurnLong: r.BurnLong, BudgetLeft: r.BudgetLeft, Domains: contributorsJSON(r.Domains), Workers: contributorsJSON(r.Workers),
@@ -111,7 +111,7 @@
 		"<body><h1>Error budget burn rates</h1>\n")
 	_, _ = fmt.Fprintf(&b, "<table><tr><th>objective</th><th>target</th><th>burn %v</th><th>burn %v</th><th>budget left</th><th>bad of all</th><th>budget used by</th></tr>\n",
 		p.Short.Duration(), p.Long.Duration())
-	for _, r := range p.Rows {
+	for _, r := range p.Objectives {
 		_, _ = fmt.Fprintf(&b, "<tr><td title=\"%s\">%s</td><td>%.4g</td><td>%.2f</td><td>%.2f</td><td>%.1f%%</td><td>%d of %d</td><td>",
 			html.EscapeString(r.Description), html.EscapeString(r.Name), r.Target, r.BurnShort, r.BurnLong, 100*r.BudgetLeft, r.Bad, r.Total)
 		for _, c := range append(r.Domains[:len(r.Domains):len(r.Domains)], r.Workers...) {
@@ -132,7 +132,7 @@
 func (p Report) writeChart(w io.Writer) error {
 	highest := 1.0
 	var series []chart.Series
-	for _, r := range p.Rows {
+	for _, r := range p.Objectives {
 		s := chart.ContinuousSeries{Name: r.Name}
 		for _, q := range r.Series {
 			s.XValues = append(s.XValues, -q.Age.Duration().Minutes())
--- a/reporter/report.go
+++ b/reporter/report.go
@@ -13,7 +13,7 @@
 	// Report is the state of all objectives at a point in time.
 	Report struct {
 		Short, Long timer.Millis
-		Rows        []ObjectiveStatus
+		Objectives  []ObjectiveStatus
 	}
 
 	// ObjectiveStatus is the state of an objective. A burn rate of 1 consumes the error budget exactly by the end of the
@@ -64,7 +64,7 @@
 		row.Domains = r.contributors(objective, r.domains.names, domainTallies)
 		row.Workers = r.contributors(objective, r.workers.names, workerTallies)
 		row.Series = r.burnSeries(objective, row.Target, width)
-		out.Rows = append(out.Rows, row)
+		out.Objectives = append(out.Objectives, row)
 	}
 	return out
 }
--- a/reporter/reporter_test.go
+++ b/reporter/reporter_test.go
@@ -52,7 +52,7 @@
 		t.Run(tc.name, func(t *testing.T) {
 			var r Reporter
 			tc.setUp(&r)
-			got := r.Report(tc.now).Rows[tc.row]
+			got := r.Report(tc.now).Objectives[tc.row]
 			if got.Total != tc.total || got.Bad != tc.bad || !approxEqual(got.BurnShort, tc.short) || !approxEqual(got.BurnLong, tc.long) || !approxEqual(got.BudgetLeft, 1-tc.long) {
 				t.Errorf("got %d of %d bad, burn %v and %v, left %v; want %d of %d, %v and %v, left %v",
 					got.Bad, got.Total, got.BurnShort, got.BurnLong, got.BudgetLeft, tc.bad, tc.total, tc.short, tc.long, 1-tc.long)
@@ -67,7 +67,7 @@
 	observeN(&r, 0, 3, Observation{Domain: "a", Worker: "w1", Failed: true})
 	observeN(&r, 0, 1, Observation{Domain: "b", Worker: "w2", Failed: true})
 	observeN(&r, 0, 9, Observation{Domain: "c", Worker: "w3"})
-	row := r.Report(0).Rows[successObjective]
+	row := r.Report(0).Objectives[successObjective]
 	if got, want := fmt.Sprint(row.Domains, row.Workers), "[{a 3 3 0.75} {b 1 1 0.25}] [{w1 3 3 0.75} {w2 1 1 0.25}]"; got != want {
 		t.Errorf("got %s, want %s", got, want)
 	}
@@ -82,7 +82,7 @@
 		for i := range maxWorkers {
 			r.Observe(at, Observation{Worker: fmt.Sprintf("w%d-%d", hour, i), Failed: i == 7})
 		}
-		row := r.Report(at).Rows[successObjective]
+		row := r.Report(at).Objectives[successObjective]
 		if want := fmt.Sprintf("w%d-7", hour); len(r.workers.names) > maxWorkers || len(row.Workers) != 1 || row.Workers[0].Name != want {
 			t.Fatalf("hour %d: got %d names and %v, want at most %d names and %s", hour, len(r.workers.names), row.Workers, maxWorkers, want)
 		}
@@ -107,8 +107,8 @@
 		t.Error("got no error for an unknown format")
 	}
 	var m Metrics
-	m.Burn(&r, timer.Clock{NowFunc: func() timer.Millis { return 0 }})
-	m.CountCall("submit", 200, 5)
+	m.AddBurnRates(&r, timer.Clock{NowFunc: func() timer.Millis { return 0 }})
+	m.CountRequest("submit", 200, 5)
 	var b bytes.Buffer
 	m.Write(&b)
 	for _, want := range []string{`crocuslb_burn_ratio{objective="success",window="long"}`, `crocuslb_http_requests_total{call="submit",status="200"} 1`} {
--- a/router/codec.go
+++ b/router/codec.go
@@ -18,14 +18,14 @@
 func (s *Snapshot) Append(b []byte) []byte {
 	b = appender.AppendUint(b, 1, s.Offset)
 	b = appender.AppendUint(b, 2, s.Version)
-	b = appender.AppendUint(b, 3, s.Limits.HeaderBytes)
-	b = appender.AppendUint(b, 4, s.Limits.BodyBytes)
+	b = appender.AppendUint(b, 3, s.Limits.MaxHeaderBytes)
+	b = appender.AppendUint(b, 4, s.Limits.MaxBodyBytes)
 	for i := range s.queues {
 		b = appendMessage(b, 5, s.queues[i].append(nil))
 	}
 	for _, v := range s.services {
-		body := appender.AppendText(nil, 1, v.Name)
-		body = appender.AppendUint(body, 2, protowire.EncodeBool(v.Guarded))
+		body := appender.AppendString(nil, 1, v.Name)
+		body = appender.AppendUint(body, 2, protowire.EncodeBool(v.AdmissionControl))
 		body = appender.AppendUint(body, 3, protowire.EncodeBool(v.Standby))
 		b = appendMessage(b, 6, body)
 	}
@@ -42,16 +42,16 @@
 		queues   []Queue
 		services []Service
 	)
-	err := appender.Fields(b, func(f appender.Field) error {
+	err := appender.RangeFields(b, func(f appender.Field) error {
 		switch f.Tag {
 		case 1:
-			return f.Uint(&s.Offset)
+			return f.StoreUint(&s.Offset)
 		case 2:
-			return f.Uint(&s.Version)
+			return f.StoreUint(&s.Version)
 		case 3:
-			return f.Uint(&s.Limits.HeaderBytes)
+			return f.StoreUint(&s.Limits.MaxHeaderBytes)
 		case 4:
-			return f.Uint(&s.Limits.BodyBytes)
+			return f.StoreUint(&s.Limits.MaxBodyBytes)
 		case 5:
 			q, err := decodeQueue(f)
 			queues = append(queues, q)
@@ -62,7 +62,7 @@
 			return err
 		case 7:
 			var domain string
-			err := f.Text(&domain, maxTextLen)
+			err := f.StoreString(&domain, maxTextLen)
 			s = s.WithDomain(domain, true)
 			return err
 		}
@@ -75,68 +75,68 @@
 }
 
 func (q *Queue) append(b []byte) []byte {
-	b = appender.AppendText(b, 1, q.Name)
-	b = appender.AppendText(b, 2, q.Host)
-	b = appender.AppendText(b, 3, q.Prefix)
-	b = appender.AppendText(b, 4, q.Service)
+	b = appender.AppendString(b, 1, q.Name)
+	b = appender.AppendString(b, 2, q.Host)
+	b = appender.AppendString(b, 3, q.PathPrefix)
+	b = appender.AppendString(b, 4, q.Service)
 	b = appender.AppendUint(b, 5, q.Priority)
-	b = appender.AppendUint(b, 6, q.Attempts)
+	b = appender.AppendUint(b, 6, q.MaxAttempts)
 	b = appender.AppendUint(b, 7, math.Float64bits(q.Stretch))
-	b = appender.AppendUint(b, 8, uint64(q.Target))
-	return appender.AppendUint(b, 9, protowire.EncodeBool(q.Advised))
+	b = appender.AppendUint(b, 8, uint64(q.TargetRuntime))
+	return appender.AppendUint(b, 9, protowire.EncodeBool(q.UsesAdvice))
 }
 
 func decodeQueue(f appender.Field) (q Queue, err error) {
-	body, err := f.Message(maxMessageLen)
+	body, err := f.BytesValue(maxMessageLen)
 	if err != nil {
 		return q, err
 	}
 	var stretch, target, advised uint64
-	err = appender.Fields(body, func(f appender.Field) error {
+	err = appender.RangeFields(body, func(f appender.Field) error {
 		switch f.Tag {
 		case 1:
-			return f.Text(&q.Name, maxTextLen)
+			return f.StoreString(&q.Name, maxTextLen)
 		case 2:
-			return f.Text(&q.Host, maxTextLen)
+			return f.StoreString(&q.Host, maxTextLen)
 		case 3:
-			return f.Text(&q.Prefix, maxTextLen)
+			return f.StoreString(&q.PathPrefix, maxTextLen)
 		case 4:
-			return f.Text(&q.Service, maxTextLen)
+			return f.StoreString(&q.Service, maxTextLen)
 		case 5:
-			return f.Uint(&q.Priority)
+			return f.StoreUint(&q.Priority)
 		case 6:
-			return f.Uint(&q.Attempts)
+			return f.StoreUint(&q.MaxAttempts)
 		case 7:
-			return f.Uint(&stretch)
+			return f.StoreUint(&stretch)
 		case 8:
-			return f.Uint(&target)
+			return f.StoreUint(&target)
 		case 9:
-			return f.Uint(&advised)
+			return f.StoreUint(&advised)
 		}
 		return nil
 	})
-	q.Stretch, q.Target, q.Advised = math.Float64frombits(stretch), timer.Millis(target), advised != 0
+	q.Stretch, q.TargetRuntime, q.UsesAdvice = math.Float64frombits(stretch), timer.Millis(target), advised != 0
 	return q, err
 }
 
 func decodeService(f appender.Field) (v Service, err error) {
-	body, err := f.Message(maxMessageLen)
+	body, err := f.BytesValue(maxMessageLen)
 	if err != nil {
 		return v, err
 	}
 	var guarded, standby uint64
-	err = appender.Fields(body, func(f appender.Field) error {
+	err = appender.RangeFields(body, func(f appender.Field) error {
 		switch f.Tag {
 		case 1:
-			return f.Text(&v.Name, maxTextLen)
+			return f.StoreString(&v.Name, maxTextLen)
 		case 2:
-			return f.Uint(&guarded)
+			return f.StoreUint(&guarded)
 		case 3:
-			return f.Uint(&standby)
+			return f.StoreUint(&standby)
 		}
 		return nil
 	})
-	v.Guarded, v.Standby = guarded != 0, standby != 0
+	v.AdmissionControl, v.Standby = guarded != 0, standby != 0
 	return v, err
 }
 
--- a/router/relay.go
+++ b/router/relay.go
@@ -27,11 +27,11 @@
 	sentAt          map[string]timer.Millis
 }
 
-// Changed records that this process's configuration changed.
-func (r *Relay) Changed(now timer.Millis) { r.changedAt, r.sentAt = now, nil }
+// OnConfigurationChanged records that this process's configuration changed.
+func (r *Relay) OnConfigurationChanged(now timer.Millis) { r.changedAt, r.sentAt = now, nil }
 
-// Up records that a session with another process was opened.
-func (r *Relay) Up(now timer.Millis, peer string) {
+// OnConnect records that a session with another process was opened.
+func (r *Relay) OnConnect(now timer.Millis, peer string) {
 	if r.sessionOpenedAt == nil {
 		r.sessionOpenedAt = map[string]timer.Millis{}
 	}
@@ -39,15 +39,15 @@
 	delete(r.sentAt, peer)
 }
 
-// Down removes a process whose session was closed.
-func (r *Relay) Down(peer string) {
+// OnDisconnect removes a process whose session was closed.
+func (r *Relay) OnDisconnect(peer string) {
 	delete(r.sessionOpenedAt, peer)
 	delete(r.sentAt, peer)
 }
 
-// Due reports whether the process named self should now send its configuration to a peer with an older one, and records
+// ShouldSend reports whether the process named self should now send its configuration to a peer with an older one, and records
 // that it was sent. unconfigured is set if the peer has no configuration yet.
-func (r *Relay) Due(now timer.Millis, self, peer string, unconfigured bool) bool {
+func (r *Relay) ShouldSend(now timer.Millis, self, peer string, unconfigured bool) bool {
 	delay := relayDelay
 	if unconfigured {
 		delay = initialRelayDelay
--- a/router/relay_test.go
+++ b/router/relay_test.go
@@ -31,10 +31,10 @@
 		relays := make([]Relay, c.senders)
 		for i := range relays {
 			if c.changedAt > 0 {
-				relays[i].Up(0, "other")
-				relays[i].Changed(c.changedAt)
+				relays[i].OnConnect(0, "other")
+				relays[i].OnConfigurationChanged(c.changedAt)
 			} else {
-				relays[i].Up(c.sessionOpenedAt, "other")
+				relays[i].OnConnect(c.sessionOpenedAt, "other")
 			}
 		}
 		for now := timer.Millis(1000); now < 3000; now += 25 {
@@ -42,7 +42,7 @@
 				if c.updatedAt > 0 && now >= c.updatedAt {
 					continue
 				}
-				if relays[i].Due(now, fmt.Sprint("self-", i), "other", c.unconfigured) {
+				if relays[i].ShouldSend(now, fmt.Sprint("self-", i), "other", c.unconfigured) {
 					if sent++; first == 0 {
 						first = now
 					}
--- a/router/snapshot.go
+++ b/router/snapshot.go
@@ -21,34 +21,34 @@
 type (
 	// Queue is a route for jobs: requests to a host with a path prefix, and the service that runs their tasks.
 	Queue struct {
-		Name     string
-		Host     string
-		Prefix   string // path prefix, ends in a slash
-		Service  string
-		Priority uint64 // 0 is the highest priority
-		Attempts uint64 // number of failed attempts of one task after which the job fails; 0 means 1
-		// Stretch and Target determine the response time that callers expect: Stretch times the duration of the
-		// critical path, plus Target.
-		Stretch float64
-		Target  timer.Millis
-		// Advised is set if an advice service selects the backend servers that may run a step. Such queues are not
+		Name        string
+		Host        string
+		PathPrefix  string // path prefix, ends in a slash
+		Service     string
+		Priority    uint64 // 0 is the highest priority
+		MaxAttempts uint64 // number of failed attempts of one task after which the job fails; 0 means 1
+		// Stretch and TargetRuntime determine the response time that callers expect: Stretch times the duration of the
+		// critical path, plus TargetRuntime.
+		Stretch       float64
+		TargetRuntime timer.Millis
+		// UsesAdvice is set if an advice service selects the backend servers that may run a step. Such queues are not
 		// supported.
-		Advised bool
+		UsesAdvice bool
 	}
 
 	// Service is a group of equivalent backend servers.
 	Service struct {
 		Name string
-		// Guarded is set if the backend servers reject requests that exceed their capacity.
-		Guarded bool
+		// AdmissionControl is set if the backend servers reject requests that exceed their capacity.
+		AdmissionControl bool
 		// Standby is set if the backend servers are switched off.
 		Standby bool
 	}
 
 	// Limits are the maximum sizes of callers' requests.
 	Limits struct {
-		HeaderBytes uint64
-		BodyBytes   uint64
+		MaxHeaderBytes uint64
+		MaxBodyBytes   uint64
 	}
 
 	// Snapshot is the configuration at an offset of the store. The zero value has no configuration.
@@ -77,8 +77,8 @@
 	return v, ok
 }
 
-// Withdrawn reports whether a failure domain is withdrawn, so that no new tasks are assigned to it.
-func (s *Snapshot) Withdrawn(domain string) bool { return s.withdrawn[domain] }
+// DomainWithdrawn reports whether a failure domain is withdrawn, so that no new tasks are assigned to it.
+func (s *Snapshot) DomainWithdrawn(domain string) bool { return s.withdrawn[domain] }
 
 // WithdrawnDomains returns the withdrawn failure domains in sorted order.
 func (s *Snapshot) WithdrawnDomains() []string { return slices.Sorted(maps.Keys(s.withdrawn)) }
@@ -86,8 +86,8 @@
 // Match returns the queue of the host with the longest matching path prefix, and the rest of the path.
 func (s *Snapshot) Match(host, path string) (q Queue, rest string, ok bool) {
 	for i := range s.queues {
-		if s.queues[i].Host == host && strings.HasPrefix(path, s.queues[i].Prefix) {
-			return s.queues[i], path[len(s.queues[i].Prefix):], true
+		if s.queues[i].Host == host && strings.HasPrefix(path, s.queues[i].PathPrefix) {
+			return s.queues[i], path[len(s.queues[i].PathPrefix):], true
 		}
 	}
 	return q, "", false
@@ -103,15 +103,15 @@
 	s.queues = slices.Clone(queues)
 	for i := range s.queues {
 		q := &s.queues[i]
-		if q.Attempts == 0 {
-			q.Attempts = defaultAttempts
+		if q.MaxAttempts == 0 {
+			q.MaxAttempts = defaultAttempts
 		}
 		if q.Stretch <= 0 {
 			q.Stretch = defaultStretch
 		}
 	}
 	// Sorted by descending length, so that the first match has the longest prefix.
-	slices.SortStableFunc(s.queues, func(a, b Queue) int { return len(b.Prefix) - len(a.Prefix) })
+	slices.SortStableFunc(s.queues, func(a, b Queue) int { return len(b.PathPrefix) - len(a.PathPrefix) })
 	s.services = make(map[string]Service, len(services))
 	for _, v := range services {
 		s.services[v.Name] = v
@@ -142,8 +142,8 @@
 	return s
 }
 
-// Since returns the differences between the queues of an older snapshot and those of s.
-func (s *Snapshot) Since(older *Snapshot) Change {
+// ChangesSince returns the differences between the queues of an older snapshot and those of s.
+func (s *Snapshot) ChangesSince(older *Snapshot) Change {
 	var c Change
 	before := map[string]Queue{}
 	for _, q := range older.queues {
--- a/runner/configuration.go
+++ b/runner/configuration.go
@@ -84,7 +84,7 @@
 // sendIfOutdated sends the configuration to a process that has lagged behind for a while, for example because it
 // started while the store was unavailable.
 func (c *configuration) sendIfOutdated(now timer.Millis, link *marshaler.Link, offset uint64) {
-	if offset < c.active.Offset && c.relay.Due(now, c.processName, link.Remote.Name, offset == 0) {
+	if offset < c.active.Offset && c.relay.ShouldSend(now, c.processName, link.Remote.Name, offset == 0) {
 		link.Send(&marshaler.Configuration{Body: c.active.Append(nil)})
 	}
 }
@@ -94,14 +94,14 @@
 	if s.Offset <= c.active.Offset || s.Version < c.active.Version {
 		return
 	}
-	change := s.Since(&c.active)
+	change := s.ChangesSince(&c.active)
 	c.logger.WithFields(log.Fields{
 		"version": s.Version, "offset": s.Offset, "source": source, "added": len(change.Added), "changed": change.Changed,
 		"withdrawn": change.Withdrawn, "domainsOut": s.WithdrawnDomains(),
 	}).Info("config: in force")
 	first := c.available != nil && c.active.Version == 0 && s.Version > 0
 	c.active = s
-	c.relay.Changed(now)
+	c.relay.OnConfigurationChanged(now)
 	c.published.Store(&s)
 	if first {
 		close(c.available)
--- a/runner/owner.go
+++ b/runner/owner.go
@@ -10,8 +10,8 @@
 	"github.com/apex/log"
 	"github.com/gravitational/trace"
 
-	"github.com/crocuslb/crocuslb/archiver"
 	"github.com/crocuslb/crocuslb/platform"
+	"github.com/crocuslb/crocuslb/projector"
 	"github.com/crocuslb/crocuslb/recoverer"
 	"github.com/crocuslb/crocuslb/submitter"
 	"github.com/crocuslb/crocuslb/timer"
@@ -255,8 +255,8 @@
 }
 
 // replay reads all records of a partition. Records that cannot be decoded are logged and skipped.
-func (o *partitionOwner) replay(ctx context.Context, partition uint64) (archiver.Archive, error) {
-	var archive archiver.Archive
+func (o *partitionOwner) replay(ctx context.Context, partition uint64) (projector.Projection, error) {
+	var archive projector.Projection
 	for from := uint64(0); ; {
 		page, err := o.store.ReadPartition(ctx, partition, from)
 		if err != nil {
@@ -264,7 +264,7 @@
 		}
 		for i, body := range page.Bodies {
 			var err error
-			if panicked := recoverer.Call(func() { err = archive.Add(body) }); panicked != nil {
+			if panicked := recoverer.Call(func() { err = archive.Apply(body) }); panicked != nil {
 				err = panicked
 			}
 			if err != nil {
--- a/runner/path_test.go
+++ b/runner/path_test.go
@@ -108,7 +108,7 @@
 }
 
 func (tc *testCluster) options(name, domain string, host int) Options {
-	r := &recorder.Recorder{Writer: tc.logs}
+	r := &recorder.Handler{Writer: tc.logs}
 	go r.Run(tc.ctx.Done())
 	return Options{
 		Name: name, Domain: domain, Address: tc.address(host, 7720), StoreAddress: tc.address(250, 7000), DrainTime: 3 * timer.Second, Weight: 400, Seeds: tc.seeds, Partitions: 12, WritesPerSecond: 800,
--- a/runner/program.go
+++ b/runner/program.go
@@ -29,7 +29,7 @@
 
 // Run runs the role named by the first argument until ctx is canceled, and returns the exit status.
 func (p *Program) Run(ctx context.Context) int {
-	rec := &recorder.Recorder{Writer: p.Stdout}
+	rec := &recorder.Handler{Writer: p.Stdout}
 	logger := &log.Logger{Handler: rec, Level: log.InfoLevel}
 	stopRecorder, recorderDone := make(chan struct{}), make(chan struct{})
 	go func() {
@@ -55,7 +55,7 @@
 		logger.WithError(err).Error("settings: cannot start")
 		return exitUsage
 	}
-	rec.Rate = logRate
+	rec.RateLimit = logRate
 	options.Logger, options.DroppedLogLines = logger, rec.Dropped
 	go p.watchHangups(ctx, logger, role, args)
 	if role == roleEntry {
--- a/runner/sidecar.go
+++ b/runner/sidecar.go
@@ -71,7 +71,7 @@
 		HoldNow: func() { s.pollRuns(runCtx) },
 	}
 	s.config = configuration{logger: s.Logger, processName: s.Name, onChange: func(now timer.Millis, c router.Snapshot) {
-		s.core.SetOffset(now, c.Offset, c.Withdrawn(s.Domain))
+		s.core.SetOffset(now, c.Offset, c.DomainWithdrawn(s.Domain))
 	}}
 	s.node = connector.Node{
 		Hello: func() marshaler.Hello {
@@ -121,12 +121,12 @@
 		loop: s.loop, config: &s.config, directory: &s.directory, onPanic: s.monitor.reportPanic,
 		onUp: func(now timer.Millis, link *marshaler.Link) {
 			s.Logger.WithField("entry", link.Remote.Name).Info("sidecar: entry connected")
-			s.config.relay.Up(now, link.Remote.Name)
+			s.config.relay.OnConnect(now, link.Remote.Name)
 			s.core.OnConnect(now, link)
 		},
 		onDown: func(_ timer.Millis, link *marshaler.Link, cause error) {
 			s.Logger.WithError(cause).WithField("entry", link.Remote.Name).Info("sidecar: entry disconnected")
-			s.config.relay.Down(link.Remote.Name)
+			s.config.relay.OnDisconnect(link.Remote.Name)
 			s.core.OnDisconnect(link)
 		},
 		onMessage: func(now timer.Millis, link *marshaler.Link, m marshaler.Message) {
--- a/runner/writer.go
+++ b/runner/writer.go
@@ -97,7 +97,7 @@
 	for ctx.Err() == nil {
 		archive, err := w.owner.replay(ctx, w.partition)
 		if err == nil {
-			partition, jobs := marshaler.Partition{Number: w.partition, Epoch: w.epoch, Previous: archive.Previous()}, archive.Jobs()
+			partition, jobs := marshaler.Partition{Number: w.partition, Epoch: w.epoch, Previous: archive.PreviousEpoch()}, archive.Jobs()
 			w.owner.loop.post(ctx, func(now timer.Millis) {
 				if ctx.Err() == nil {
 					w.owner.core.AcquirePartition(now, partition, jobs)
--- a/scheduler/admission.go
+++ b/scheduler/admission.go
@@ -32,7 +32,7 @@
 	if a := s.checkPlaceable(tasks); a.Code != 0 {
 		return a
 	}
-	wait := s.Wait()
+	wait := s.ExpectedWait()
 	wait += timer.Millis(float64(wait) * waitMargin)
 	if wait == 0 {
 		return Admission{}
@@ -54,9 +54,9 @@
 	}
 }
 
-// Wait returns the expected time until all queued tasks are placed, from the estimated run times and the slots of failure
+// ExpectedWait returns the expected time until all queued tasks are placed, from the estimated run times and the slots of failure
 // domains that are not withdrawn.
-func (s *Scheduler) Wait() timer.Millis {
+func (s *Scheduler) ExpectedWait() timer.Millis {
 	if s.fleet.activeSlots == 0 {
 		return 0
 	}
--- a/scheduler/fleet.go
+++ b/scheduler/fleet.go
@@ -92,7 +92,7 @@
 	sc.domain = f.domain(d.Domain)
 	sc.shape = f.shape(d)
 	sc.shape.sidecarCount++
-	sc.shape.freeList(sc.domain).distance = d.Distance
+	sc.shape.freeList(sc.domain).distance = d.Latency
 	f.countSlots(sc, 1)
 	f.update(sc)
 }
--- a/scheduler/policies_test.go
+++ b/scheduler/policies_test.go
@@ -120,12 +120,12 @@
 		for h := range sim.hosts {
 			id := fmt.Sprint(h)
 			o.scheduler.SetSidecar(scheduler.Sidecar{ID: id, Domain: fmt.Sprint(sim.hosts[h].domain), Slots: slots,
-				Distance: timer.Millis(sim.delay(sim.entryDomain(i), sim.hosts[h].domain) / 100)})
+				Latency: timer.Millis(sim.delay(sim.entryDomain(i), sim.hosts[h].domain) / 100)})
 			share := (slots + extraCredits) / owners
 			if (h+i)%owners < (slots+extraCredits)%owners {
 				share++
 			}
-			o.scheduler.Grant(id, uint32(share))
+			o.scheduler.AddCredits(id, uint32(share))
 		}
 	}
 	sim.onDomainChange(propagationDelay, func(withdrawn bool) {
@@ -161,7 +161,7 @@
 	for i, r := range j.runs {
 		k := encoder.TaskKey{Job: j.key, Index: uint32(i)}
 		o.tasks[k] = simulatedTask{j, r, uint32(answerDelay)}
-		tasks[i] = scheduler.Task{Key: k, Kind: "quote", Arrived: o.now(), JobLeft: uint32(j.remaining),
+		tasks[i] = scheduler.Task{Key: k, Kind: "quote", Arrived: o.now(), JobRemaining: uint32(j.remaining),
 			RunTime: o.declaredRunTime(i, r)}
 		if o.sim.fault.deadline != 0 {
 			tasks[i].Deadline = timer.Millis((j.arrival + o.sim.fault.deadline) / 1000)
@@ -198,7 +198,7 @@
 }
 
 func (o *simulatedOwner) place() {
-	for _, t := range o.scheduler.Expired(o.now()) {
+	for _, t := range o.scheduler.RemoveExpired(o.now()) {
 		o.failJob(o.tasks[t.Key].job)
 		o.sim.taskEnded(o.tasks[t.Key].job, 0, false, 0)
 	}
@@ -237,8 +237,8 @@
 			if !ok {
 				status = encoder.StatusFailed
 			}
-			o.scheduler.Finished(p.Sidecar, p.Task, status, ran)
-			o.scheduler.Grant(p.Sidecar, 1)
+			o.scheduler.TaskFinished(p.Sidecar, p.Task, status, ran)
+			o.scheduler.AddCredits(p.Sidecar, 1)
 			sim.taskEnded(x.job, x.runTime, ok, int64(x.answerDelay))
 			if x.job.failed {
 				o.failJob(x.job)
--- a/scheduler/queue.go
+++ b/scheduler/queue.go
@@ -132,7 +132,7 @@
 		}
 	}
 	j := &job{key: t.Key.Job, runTime: runTime, rank: rank(t, runTime), queue: q.teamQueue(c, tm)}
-	j.tasks = make([]Task, 0, min(max(t.JobLeft, 1), maxPreallocatedTasks)) // all tasks of a job are usually queued together
+	j.tasks = make([]Task, 0, min(max(t.JobRemaining, 1), maxPreallocatedTasks)) // all tasks of a job are usually queued together
 	q.jobs[t.Key.Job] = append(q.jobs[t.Key.Job], j)
 	heap.Push(&j.queue.jobs, j)
 	j.queue.reposition()
--- a/scheduler/scheduler.go
+++ b/scheduler/scheduler.go
@@ -15,19 +15,19 @@
 		Slots    uint32
 		MemoryMB uint64
 		Kinds    []string     // kinds of task that it can run; empty for all
-		Distance timer.Millis // one-way delay from this entry
+		Latency  timer.Millis // one-way delay from this entry
 	}
 
 	// Task is a queued task.
 	Task struct {
-		Key      encoder.TaskKey
-		Team     string
-		Kind     string
-		MemoryMB uint64
-		RunTime  timer.Millis // declared by the caller, a hint; 0 if unknown
-		Arrived  timer.Millis // arrival time of the job
-		Deadline timer.Millis // absolute time; 0 for none
-		JobLeft  uint32       // unfinished tasks of the job
+		Key          encoder.TaskKey
+		Team         string
+		Kind         string
+		MemoryMB     uint64
+		RunTime      timer.Millis // declared by the caller, a hint; 0 if unknown
+		Arrived      timer.Millis // arrival time of the job
+		Deadline     timer.Millis // absolute time; 0 for none
+		JobRemaining uint32       // unfinished tasks of the job
 	}
 
 	// Placement is the decision to start a task on a sidecar.
@@ -72,16 +72,16 @@
 // quota of 0 means no limit.
 func (s *Scheduler) SetTeam(name string, weight, quota uint32) { s.queue.setTeam(name, weight, quota) }
 
-// Grant adds credits granted by a sidecar. Credits of unknown and leaving sidecars are ignored.
-func (s *Scheduler) Grant(id string, credits uint32) {
+// AddCredits adds credits granted by a sidecar. Credits of unknown and leaving sidecars are ignored.
+func (s *Scheduler) AddCredits(id string, credits uint32) {
 	if sc := s.fleet.byID[id]; sc != nil && !sc.leaving {
 		sc.credits += credits
 		s.fleet.update(sc)
 	}
 }
 
-// Recall removes up to the given number of unspent credits of a sidecar and returns how many it removed.
-func (s *Scheduler) Recall(id string, credits uint32) uint32 {
+// RevokeCredits removes up to the given number of unspent credits of a sidecar and returns how many it removed.
+func (s *Scheduler) RevokeCredits(id string, credits uint32) uint32 {
 	sc := s.fleet.byID[id]
 	if sc == nil {
 		return 0
@@ -98,8 +98,8 @@
 	s.queue.push(t, estimate, s.fleet.classOf(t.Kind, t.MemoryMB))
 }
 
-// Queued returns the number of queued tasks.
-func (s *Scheduler) Queued() int { return s.queue.length }
+// QueueLen returns the number of queued tasks.
+func (s *Scheduler) QueueLen() int { return s.queue.length }
 
 // Next removes the next task that can be placed at now from the queue. ok is false if there is none.
 func (s *Scheduler) Next(now timer.Millis) (p Placement, ok bool) {
@@ -108,7 +108,7 @@
 		return p, false
 	}
 	s.fleet.resumeSuspended(now)
-	j, sc := s.queue.selectNext(&s.fleet, now, s.Wait())
+	j, sc := s.queue.selectNext(&s.fleet, now, s.ExpectedWait())
 	if sc == nil {
 		return p, false
 	}
@@ -121,8 +121,8 @@
 	return Placement{Task: t, Sidecar: sc.ID}, true
 }
 
-// Finished records the end of a placed task with its status and run time.
-func (s *Scheduler) Finished(id string, t Task, status encoder.Status, elapsed timer.Millis) {
+// TaskFinished records the end of a placed task with its status and run time.
+func (s *Scheduler) TaskFinished(id string, t Task, status encoder.Status, elapsed timer.Millis) {
 	s.queue.taskEnded(t.Team)
 	sc := s.fleet.byID[id]
 	if sc != nil && sc.running > 0 {
@@ -140,18 +140,18 @@
 	}
 }
 
-// Expected returns the longest run time to expect of a task: the declared run time, else the observed run time that one in
+// ExpectedRunTime returns the longest run time to expect of a task: the declared run time, else the observed run time that one in
 // eight tasks of the kind exceeds, else 0. With the mean, two in five tasks of a kind would count as slow.
-func (s *Scheduler) Expected(kind string, declared timer.Millis) timer.Millis {
+func (s *Scheduler) ExpectedRunTime(kind string, declared timer.Millis) timer.Millis {
 	if declared > 0 || !s.estimates.known(kind) {
 		return declared
 	}
 	return s.estimates.longest(kind, 0, 1)
 }
 
-// Refused records that the sidecar did not start a placed task. The caller pushes the task again if it may still run. A
+// TaskRefused records that the sidecar did not start a placed task. The caller pushes the task again if it may still run. A
 // sidecar that cannot start any task at present is suspended, so that the task is not placed on it again at once.
-func (s *Scheduler) Refused(id string, t Task, reason encoder.RefusalReason) {
+func (s *Scheduler) TaskRefused(id string, t Task, reason encoder.RefusalReason) {
 	s.queue.taskEnded(t.Team)
 	backoff := s.retries.spend()
 	sc := s.fleet.byID[id]
@@ -172,8 +172,8 @@
 // CancelJob removes the queued tasks of a job and returns them.
 func (s *Scheduler) CancelJob(job string) []Task { return s.queue.cancelJob(job) }
 
-// Expired removes the queued tasks of jobs whose deadline has passed at now and returns them.
-func (s *Scheduler) Expired(now timer.Millis) []Task {
+// RemoveExpired removes the queued tasks of jobs whose deadline has passed at now and returns them.
+func (s *Scheduler) RemoveExpired(now timer.Millis) []Task {
 	s.now = now
 	return s.queue.removeExpired(now)
 }
--- a/scheduler/scheduler_test.go
+++ b/scheduler/scheduler_test.go
@@ -21,8 +21,8 @@
 func addSidecars(s *Scheduler, sidecars, slots int) {
 	for i := range sidecars {
 		id := fmt.Sprintf("s%d", i)
-		s.SetSidecar(Sidecar{ID: id, Domain: fmt.Sprintf("d%d", i%4), Slots: uint32(slots), Distance: timer.Millis(i % 4)})
-		s.Grant(id, uint32(slots))
+		s.SetSidecar(Sidecar{ID: id, Domain: fmt.Sprintf("d%d", i%4), Slots: uint32(slots), Latency: timer.Millis(i % 4)})
+		s.AddCredits(id, uint32(slots))
 	}
 }
 
@@ -134,8 +134,8 @@
 		if p.Sidecar == "s0" {
 			status, failed = encoder.StatusFailed, failed+1
 		}
-		s.Finished(p.Sidecar, p.Task, status, 10)
-		s.Grant(p.Sidecar, 1)
+		s.TaskFinished(p.Sidecar, p.Task, status, 10)
+		s.AddCredits(p.Sidecar, 1)
 	}
 	if failed > failureThreshold+2 {
 		t.Errorf("got %d failures, want at most %d with probes over 2 s", failed, failureThreshold+2)
@@ -198,16 +198,16 @@
 				}
 				switch rapid.IntRange(0, 2).Draw(t, "how") {
 				case 0:
-					s.Finished(p.Sidecar, p.Task, encoder.StatusDone, 50)
+					s.TaskFinished(p.Sidecar, p.Task, encoder.StatusDone, 50)
 				case 1:
-					s.Finished(p.Sidecar, p.Task, encoder.StatusFailed, 50)
+					s.TaskFinished(p.Sidecar, p.Task, encoder.StatusFailed, 50)
 				case 2:
-					s.Refused(p.Sidecar, p.Task, encoder.RefusalLeaseExpired)
+					s.TaskRefused(p.Sidecar, p.Task, encoder.RefusalLeaseExpired)
 					s.Push(p.Task)
 					queued[p.Task.Key] = true
 				}
 				if !leaving[p.Sidecar] {
-					s.Grant(p.Sidecar, 1)
+					s.AddCredits(p.Sidecar, 1)
 					credits[p.Sidecar]++
 				}
 			},
@@ -223,7 +223,7 @@
 			},
 			"recall": func(t *rapid.T) {
 				i := id.Draw(t, "id")
-				credits[i] -= s.Recall(i, 1)
+				credits[i] -= s.RevokeCredits(i, 1)
 			},
 			"cancel": func(t *rapid.T) {
 				for _, x := range s.CancelJob(fmt.Sprint(rapid.IntRange(0, 6).Draw(t, "job"))) {
@@ -231,12 +231,12 @@
 				}
 			},
 			"expire": func(_ *rapid.T) {
-				for _, x := range s.Expired(now) {
+				for _, x := range s.RemoveExpired(now) {
 					delete(queued, x.Key)
 				}
 			},
 			"": func(t *rapid.T) {
-				if got, want := s.Queued(), len(queued); got != want {
+				if got, want := s.QueueLen(), len(queued); got != want {
 					t.Fatalf("got %d queued tasks, want %d", got, want)
 				}
 				if (len(queued) == 0) != (s.queue.queuedWork == 0) {
@@ -265,8 +265,8 @@
 				if !ok {
 					b.Fatal("nothing placed")
 				}
-				s.Finished(p.Sidecar, p.Task, encoder.StatusDone, 300)
-				s.Grant(p.Sidecar, 1)
+				s.TaskFinished(p.Sidecar, p.Task, encoder.StatusDone, 300)
+				s.AddCredits(p.Sidecar, 1)
 				s.Push(p.Task)
 			}
 		})
--- a/server/client.go
+++ b/server/client.go
@@ -186,7 +186,7 @@
 	p := Publication{
 		ID: w.ID, DryRun: w.State == "dryRun", Accepted: w.State == "accepted", Recorded: w.State == "recorded",
 		Provisional: w.State == "provisional", Refused: w.State == "refused", Unknown: w.State == unknown,
-		Lagging: w.Lagging, Domain: w.Domain, Took: timer.Millis(w.TookMs), InForce: timer.Millis(w.InForceMs),
+		Lagging: w.Lagging, Domain: w.Domain, Elapsed: timer.Millis(w.TookMs), PropagationTime: timer.Millis(w.InForceMs),
 	}
 	if w.Sidecars != nil {
 		p.Sidecars = *w.Sidecars
@@ -204,18 +204,18 @@
 }
 
 // DecodeHistory decodes the response to History.
-func DecodeHistory(body []byte) ([]Record, error) {
+func DecodeHistory(body []byte) ([]HistoryRecord, error) {
 	var records []recordWire
 	if err := json.Unmarshal(body, &records); err != nil {
 		return nil, trace.BadParameter("the history is not valid JSON: %v", err)
 	}
-	decoded := make([]Record, 0, len(records))
+	decoded := make([]HistoryRecord, 0, len(records))
 	for _, r := range records {
 		n, findings := configurer.ParseNote(r.Note)
 		if len(findings) > 0 {
 			return nil, trace.BadParameter("the note at offset %d is not valid: %s", r.Offset, findings[0])
 		}
-		decoded = append(decoded, Record{Offset: r.Offset, Refused: r.Refused, Note: n})
+		decoded = append(decoded, HistoryRecord{Offset: r.Offset, Refused: r.Refused, Note: n})
 	}
 	return decoded, nil
 }
@@ -237,7 +237,7 @@
 	for _, c := range w.Sidecars {
 		s.Sidecars = append(s.Sidecars, SidecarState{
 			ID: c.ID, Domain: c.Domain, Worker: c.Worker, Slots: c.Slots, Credits: c.Credits, Running: c.Running,
-			Connected: c.Connected, Leaving: c.Leaving, Silent: timer.Millis(c.SilentMs),
+			Connected: c.Connected, Leaving: c.Leaving, DisconnectedFor: timer.Millis(c.SilentMs),
 		})
 	}
 	for _, d := range w.Domains {
--- a/server/job.go
+++ b/server/job.go
@@ -26,7 +26,7 @@
 	maxWait             = timer.Minute
 	defaultWait         = 30 * timer.Second
 	maxFindings         = 50
-	maxJobSize          = encoder.MaxFrame - 64<<10 // largest job that fits into one message with its envelope
+	maxJobSize          = encoder.MaxFrameSize - 64<<10 // largest job that fits into one message with its envelope
 )
 
 const (
@@ -36,8 +36,8 @@
 )
 
 type (
-	// Request is a decoded submission. Wait is the time for which the caller waits for the answer.
-	Request struct {
+	// SubmitRequest is a decoded submission. Wait is the time for which the caller waits for the answer.
+	SubmitRequest struct {
 		Job  encoder.Job
 		Wait timer.Millis
 	}
@@ -75,9 +75,9 @@
 
 // DecodeJob decodes the body of a submission. It returns at most maxFindings findings; the request is valid only if
 // there are none. A payload is either the UTF-8 text of the JSON string payload or the decoded base64 of payloadBase64.
-func DecodeJob(key string, body []byte) (Request, []Finding) {
+func DecodeJob(key string, body []byte) (SubmitRequest, []Finding) {
 	r := newJSONReader(body)
-	req := Request{Job: encoder.Job{Key: key}, Wait: defaultWait}
+	req := SubmitRequest{Job: encoder.Job{Key: key}, Wait: defaultWait}
 	checkKey(r, &fieldPath{name: "Idempotency-Key"}, key)
 	hasTasks := false
 	r.readObject(nil, func(name string, at *fieldPath) bool {
@@ -180,10 +180,10 @@
 	return size
 }
 
-// Status returns the HTTP status of an answer. Of the statuses that imply that no task ran (4xx, 503), those but 404 and
+// HTTPStatus returns the HTTP status of an answer. Of the statuses that imply that no task ran (4xx, 503), those but 404 and
 // 409 are used only for answers with the outcome "not run". An entry gives 409 only with that outcome; 404 means that the
 // key is not known, and the outcome may be unknown.
-func Status(a encoder.Answer) int {
+func HTTPStatus(a encoder.Answer) int {
 	switch a.State {
 	case encoder.JobComplete:
 		return http.StatusOK
--- a/server/listener.go
+++ b/server/listener.go
@@ -29,14 +29,14 @@
 	// Listener serves HTTP connections with a handler. Only Handler is required.
 	Listener struct {
 		Handler http.Handler
-		// Connections limits the number of open connections; 0 means 4,096.
-		Connections int
-		// Report is called with the error log lines of the HTTP server, such as those about panics in handlers. It may
+		// MaxConnections limits the number of open connections; 0 means 4,096.
+		MaxConnections int
+		// OnError is called with the error log lines of the HTTP server, such as those about panics in handlers. It may
 		// be nil.
-		Report func(text string)
-		// Guarded is set if the process has a secret and an operator token. Otherwise only loopback addresses are
+		OnError func(text string)
+		// AllowNonLoopback is set if the process has a secret and an operator token. Otherwise only loopback addresses are
 		// accepted.
-		Guarded bool
+		AllowNonLoopback bool
 
 		server   *http.Server
 		listener net.Listener
@@ -52,7 +52,7 @@
 	if err != nil {
 		return "", trace.BadParameter("listener address %q is not an IP address with a port", address)
 	}
-	if !l.Guarded && !a.Addr().Unmap().IsLoopback() {
+	if !l.AllowNonLoopback && !a.Addr().Unmap().IsLoopback() {
 		return "", trace.AccessDenied("listening on %s, which is not a loopback address, requires a secret and an operator token", address)
 	}
 	var lc net.ListenConfig
@@ -60,7 +60,7 @@
 	if err != nil {
 		return "", trace.Wrap(err, "listen on %s", address)
 	}
-	limit := l.Connections
+	limit := l.MaxConnections
 	if limit <= 0 {
 		limit = defaultMaxConnections
 	}
@@ -75,8 +75,8 @@
 }
 
 func (l *Listener) logError(text string) {
-	if l.Report != nil {
-		l.Report(text)
+	if l.OnError != nil {
+		l.OnError(text)
 	}
 }
 
--- a/server/note.go
+++ b/server/note.go
@@ -17,26 +17,26 @@
 	// Publication is the result of publishing a note, or of withdrawing or returning a failure domain. Exactly one of
 	// Accepted, Recorded, Provisional, Refused, Unknown and DryRun is set; a dry run with findings is Refused.
 	Publication struct {
-		ID          string
-		Offset      uint64       // offset of the log record, when Accepted or Recorded
-		DryRun      bool         // the note is valid and was not published
-		Accepted    bool         // it is in the log and at least half of the roster reported having read it
-		Recorded    bool         // it is in the log
-		Provisional bool         // it is applied although it is not in the log yet
-		Refused     bool         // it is not in effect and will not be
-		Unknown     bool         // it may be in the log or may still be appended
-		Lagging     int          // number of processes that are not known to have applied it
-		Domain      string       // the withdrawn or returned failure domain; empty for a note
-		Sidecars    int          // number of known sidecars in Domain
-		Took        timer.Millis // time until the outcome was known
-		InForce     timer.Millis // time until every known process had applied it; 0 if that was not awaited or did not happen in time
-		Findings    []Finding
-		Differences []Difference
+		ID              string
+		Offset          uint64       // offset of the log record, when Accepted or Recorded
+		DryRun          bool         // the note is valid and was not published
+		Accepted        bool         // it is in the log and at least half of the roster reported having read it
+		Recorded        bool         // it is in the log
+		Provisional     bool         // it is applied although it is not in the log yet
+		Refused         bool         // it is not in effect and will not be
+		Unknown         bool         // it may be in the log or may still be appended
+		Lagging         int          // number of processes that are not known to have applied it
+		Domain          string       // the withdrawn or returned failure domain; empty for a note
+		Sidecars        int          // number of known sidecars in Domain
+		Elapsed         timer.Millis // time until the outcome was known
+		PropagationTime timer.Millis // time until every known process had applied it; 0 if that was not awaited or did not happen in time
+		Findings        []Finding
+		Differences     []Difference
 	}
 
-	// Record is a note in the history. Refused is the reason for which the note was rejected when the log was read; it is
+	// HistoryRecord is a note in the history. Refused is the reason for which the note was rejected when the log was read; it is
 	// empty for a note that was applied.
-	Record struct {
+	HistoryRecord struct {
 		Offset  uint64
 		Refused string
 		Note    configurer.Note
@@ -78,13 +78,13 @@
 	n, parsed := configurer.ParseNote(body)
 	findings := make([]Finding, 0, len(parsed))
 	for _, f := range parsed {
-		findings = append(findings, Finding{Place: placeOrBody(f.Place), Reason: f.Text})
+		findings = append(findings, Finding{Place: placeOrBody(f.Location), Reason: f.Message})
 	}
 	return n, findings
 }
 
 // EncodeHistory encodes records as a JSON array.
-func EncodeHistory(records []Record) ([]byte, error) {
+func EncodeHistory(records []HistoryRecord) ([]byte, error) {
 	wire := make([]recordWire, 0, len(records))
 	for _, r := range records {
 		wire = append(wire, recordWire{Offset: r.Offset, Refused: r.Refused, Note: configurer.FormatNote(r.Note)})
@@ -94,7 +94,7 @@
 
 // EncodePublication encodes a publication as JSON. The offset is included only if the change is in the log.
 func EncodePublication(p Publication) ([]byte, error) {
-	w := publicationWire{ID: p.ID, TookMs: int64(p.Took), InForceMs: int64(p.InForce), Lagging: p.Lagging}
+	w := publicationWire{ID: p.ID, TookMs: int64(p.Elapsed), InForceMs: int64(p.PropagationTime), Lagging: p.Lagging}
 	if p.Domain != "" {
 		w.Domain, w.Sidecars = p.Domain, &p.Sidecars
 	}
--- a/server/server.go
+++ b/server/server.go
@@ -46,7 +46,7 @@
 
 		// Publish, History, Withdraw, Return and Status implement the operator API.
 		Publish  func(ctx context.Context, n configurer.Note, dryRun bool) (Publication, error)
-		History  func(ctx context.Context, limit int) ([]Record, error)
+		History  func(ctx context.Context, limit int) ([]HistoryRecord, error)
 		Withdraw func(ctx context.Context, handleDomain, author string) (Publication, error)
 		Return   func(ctx context.Context, handleDomain, author string) (Publication, error)
 		Status   func(ctx context.Context) (State, error)
@@ -56,9 +56,9 @@
 		Metrics func(w io.Writer)
 		// Ready reports whether the process accepts jobs. If it is nil, the process is always ready.
 		Ready func() bool
-		// Observe is called after each request. It may be nil.
-		Observe func(call string, handleStatus int, took timer.Millis)
-		Clock   timer.Clock
+		// OnResponse is called after each request. It may be nil.
+		OnResponse func(call string, handleStatus int, took timer.Millis)
+		Clock      timer.Clock
 		// Token is the bearer token of operators. If it is empty, all requests to the operator API are rejected.
 		Token string
 
@@ -108,13 +108,13 @@
 	})
 }
 
-// observeRequest returns a handler that also reports the status and the duration of the request to Observe.
+// observeRequest returns a handler that also reports the status and the duration of the request to OnResponse.
 func (s *Server) observeRequest(call string, h iris.Handler) iris.Handler {
 	return func(c iris.Context) {
 		started := s.Clock.Now()
 		h(c)
-		if s.Observe != nil {
-			s.Observe(call, c.GetStatusCode(), s.Clock.Now()-started)
+		if s.OnResponse != nil {
+			s.OnResponse(call, c.GetStatusCode(), s.Clock.Now()-started)
 		}
 	}
 }
@@ -171,7 +171,7 @@
 	s.writeAnswer(c, req.Job.Key, checkAnswer(s.Submit(ctx, req.Job), req.Job))
 }
 
-func (s *Server) handleGet(c iris.Context)    { s.handleByKey(c, s.Get, Status) }
+func (s *Server) handleGet(c iris.Context)    { s.handleByKey(c, s.Get, HTTPStatus) }
 func (s *Server) handleCancel(c iris.Context) { s.handleByKey(c, s.Cancel, cancelStatus) }
 
 func (s *Server) handleByKey(c iris.Context, call func(context.Context, string) encoder.Answer, status func(encoder.Answer) int) {
@@ -196,11 +196,11 @@
 	if a.State == encoder.JobFailed && a.Code == encoder.CodeCanceled {
 		return http.StatusOK
 	}
-	return Status(a)
+	return HTTPStatus(a)
 }
 
 func (s *Server) writeAnswer(c iris.Context, key string, a encoder.Answer) {
-	s.writeAnswerStatus(c, key, a, Status(a))
+	s.writeAnswerStatus(c, key, a, HTTPStatus(a))
 }
 
 func (s *Server) writeAnswerStatus(c iris.Context, key string, a encoder.Answer, status int) {
--- a/server/server_test.go
+++ b/server/server_test.go
@@ -194,7 +194,7 @@
 		{"complete without results", encoder.Answer{State: encoder.JobComplete}, 500, unknown, ""},
 		{"no state", encoder.Answer{}, 500, unknown, ""},
 		{"answer of another submission", encoder.Answer{Key: "other", State: encoder.JobRunning}, 500, unknown, ""},
-		{"task failed", failed(encoder.CodeTask, encoder.OutcomeRan), 500, ran, ""},
+		{"task failed", failed(encoder.CodeTaskFailed, encoder.OutcomeRan), 500, ran, ""},
 		{"unknown", failed(encoder.CodeUnknown, encoder.OutcomeUnknown), 500, unknown, ""},
 		{"outcome missing", failed(encoder.CodeOverload, 0), 500, unknown, ""},
 		{"deadline", failed(encoder.CodeDeadline, encoder.OutcomeRan), 504, ran, ""},
@@ -329,7 +329,7 @@
 		allowNonLoopback bool
 		allowed          bool
 	}{{"127.0.0.1:0", false, true}, {"0.0.0.0:0", false, false}, {"[::]:0", false, false}, {"localhost:0", true, false}} {
-		l := &Listener{Guarded: tc.allowNonLoopback}
+		l := &Listener{AllowNonLoopback: tc.allowNonLoopback}
 		_, err := l.Listen(context.Background(), tc.address)
 		if (err == nil) != tc.allowed {
 			t.Errorf("%s guarded %t: got %v, want success %t", tc.address, tc.allowNonLoopback, err, tc.allowed)
--- a/server/state.go
+++ b/server/state.go
@@ -48,10 +48,10 @@
 		Running            uint32
 		Connected          bool
 		Leaving            bool
-		Silent             timer.Millis // time since its session ended
+		DisconnectedFor    timer.Millis // time since its session ended
 	}
 
-	// DomainState is the state of a failure domain. InForce is set if the domain is in service.
+	// DomainState is the state of a failure domain. PropagationTime is set if the domain is in service.
 	DomainState struct {
 		Name        string
 		InForce     bool
@@ -146,7 +146,7 @@
 	for _, c := range s.Sidecars {
 		w.Sidecars = append(w.Sidecars, sidecarStateWire{
 			ID: c.ID, Domain: c.Domain, Worker: c.Worker, Slots: c.Slots, Credits: c.Credits, Running: c.Running,
-			Connected: c.Connected, Leaving: c.Leaving, SilentMs: int64(c.Silent),
+			Connected: c.Connected, Leaving: c.Leaving, SilentMs: int64(c.DisconnectedFor),
 		})
 	}
 	for _, d := range s.Domains {
--- a/soaker/faults.go
+++ b/soaker/faults.go
@@ -100,7 +100,7 @@
 // inject injects faults until faultCtx is canceled.
 func (s *soak) inject(faultCtx, ctx context.Context) { //nolint:revive // the two contexts are equals
 	for faultCtx.Err() == nil {
-		pause := time.Duration(float64(s.plan.FaultEvery) * (0.2 + 1.6*s.random.Float64()))
+		pause := time.Duration(float64(s.plan.FaultInterval) * (0.2 + 1.6*s.random.Float64()))
 		f, pick := faults[s.random.IntN(len(faults))], s.random.IntN(1<<20)
 		length := time.Duration(200+s.random.IntN(3500)) * time.Millisecond
 		select {
--- a/soaker/soak.go
+++ b/soaker/soak.go
@@ -47,10 +47,10 @@
 		Seed          uint64
 		Entries       int           // default 3
 		Sidecars      int           // default 6
-		Length        time.Duration // time during which jobs are submitted and faults injected; default 20 s
+		Duration      time.Duration // time during which jobs are submitted and faults injected; default 20 s
 		JobsPerSecond int           // default 30
-		FaultEvery    time.Duration // mean time between faults; default 700 ms
-		Logs          string        // directory for the output of the processes; not written if empty
+		FaultInterval time.Duration // mean time between faults; default 700 ms
+		LogDir        string        // directory for the output of the processes; not written if empty
 	}
 
 	// Report is the result of a run.
@@ -113,14 +113,14 @@
 	if p.Sidecars == 0 {
 		p.Sidecars = 6
 	}
-	if p.Length == 0 {
-		p.Length = 20 * time.Second
+	if p.Duration == 0 {
+		p.Duration = 20 * time.Second
 	}
 	if p.JobsPerSecond == 0 {
 		p.JobsPerSecond = 30
 	}
-	if p.FaultEvery == 0 {
-		p.FaultEvery = 700 * time.Millisecond
+	if p.FaultInterval == 0 {
+		p.FaultInterval = 700 * time.Millisecond
 	}
 	return p
 }
@@ -139,7 +139,7 @@
 		return nil, err
 	}
 	s.runWorkload(ctx)
-	if p.Logs != "" {
+	if p.LogDir != "" {
 		if err := s.writeLogs(); err != nil {
 			return nil, err
 		}
@@ -274,7 +274,7 @@
 
 // runWorkload submits jobs while faults are injected, then submits the final jobs once all faults have ended.
 func (s *soak) runWorkload(ctx context.Context) {
-	faultCtx, cancel := context.WithTimeout(ctx, s.plan.Length)
+	faultCtx, cancel := context.WithTimeout(ctx, s.plan.Duration)
 	defer cancel()
 	var callers sync.WaitGroup
 	callers.Go(func() { s.sendJobs(faultCtx, ctx, &callers) })
@@ -323,11 +323,11 @@
 }
 
 func (s *soak) writeLogs() error {
-	if err := os.MkdirAll(s.plan.Logs, 0o750); err != nil {
+	if err := os.MkdirAll(s.plan.LogDir, 0o750); err != nil {
 		return trace.ConvertSystemError(err)
 	}
 	for _, n := range s.nodes {
-		path := filepath.Join(s.plan.Logs, fmt.Sprintf("%d-%s.log", s.plan.Seed, n.name))
+		path := filepath.Join(s.plan.LogDir, fmt.Sprintf("%d-%s.log", s.plan.Seed, n.name))
 		if err := os.WriteFile(path, []byte(n.current().Tail(1<<20)), 0o600); err != nil {
 			return trace.ConvertSystemError(err)
 		}
--- a/soaker/soak_test.go
+++ b/soaker/soak_test.go
@@ -35,7 +35,7 @@
 		t.Run(strconv.FormatUint(c.seed, 10), func(t *testing.T) {
 			t.Parallel()
 			logs := t.TempDir()
-			r, err := Run(t.Context(), Plan{Logs: logs, Program: filepath.Join(directory, "platformnode"), Seed: c.seed, Length: 8 * time.Second, FaultEvery: 500 * time.Millisecond})
+			r, err := Run(t.Context(), Plan{LogDir: logs, Program: filepath.Join(directory, "platformnode"), Seed: c.seed, Duration: 8 * time.Second, FaultInterval: 500 * time.Millisecond})
 			if err != nil {
 				t.Fatal(err)
 			}
--- a/starter/census.go
+++ b/starter/census.go
@@ -55,7 +55,7 @@
 func (r *row) censusStatus() (status encoder.Status, reason string) {
 	status, _, reason, _ = r.resultFields()
 	if status == encoder.StatusDone {
-		status = encoder.StatusKept
+		status = encoder.StatusRetained
 	}
 	return status, reason
 }
--- a/starter/core.go
+++ b/starter/core.go
@@ -15,7 +15,7 @@
 const (
 	// EffectSend sends a message on a session.
 	EffectSend EffectKind = iota + 1
-	// EffectRun runs a task on the backend server. Core.Ended must be called once for each run.
+	// EffectRun runs a task on the backend server. Core.RunEnded must be called once for each run.
 	EffectRun
 	// EffectCancel cancels a running task on a best-effort basis.
 	EffectCancel
@@ -69,10 +69,10 @@
 
 	// Outcome is the result of a run.
 	Outcome struct {
-		Status encoder.Status
-		Body   []byte
-		Reason string
-		Ran    timer.Millis
+		Status  encoder.Status
+		Body    []byte
+		Reason  string
+		RunTime timer.Millis
 	}
 
 	// Core is the state machine of a sidecar. It does no I/O. It is not safe for concurrent use, and the time that is
@@ -284,7 +284,7 @@
 	if r.Epoch <= c.roster.Epoch {
 		return
 	}
-	owner, _ := elector.Home(r, c.ID)
+	owner, _ := elector.SidecarOwner(r, c.ID)
 	c.roster, c.cellOwner = r, owner.Member
 	for _, e := range c.entries {
 		if !c.isRosterMember(e) {
@@ -297,7 +297,7 @@
 
 // isRosterMember reports whether the roster contains e with the same incarnation.
 func (c *Core) isRosterMember(e *entry) bool {
-	found, ok := elector.Find(c.roster, e.member.ID)
+	found, ok := elector.FindEntry(c.roster, e.member.ID)
 	return ok && found.Member == e.member
 }
 
--- a/starter/core_bench_test.go
+++ b/starter/core_bench_test.go
@@ -16,7 +16,7 @@
 	for i := range n {
 		k := encoder.TaskKey{Job: "team-1/submission-" + strconv.Itoa(i/20), Index: uint32(i % 20)}
 		c.Receive(1000, session, &encoder.Start{Task: k, Epoch: 5, Owner: owner})
-		c.Ended(1000, k, done)
+		c.RunEnded(1000, k, done)
 		c.Receive(1000, session, &encoder.Collected{Tasks: []encoder.TaskKey{k}})
 	}
 }
--- a/starter/core_test.go
+++ b/starter/core_test.go
@@ -56,7 +56,7 @@
 func sidecarIDInCell(r encoder.Roster, t encoder.TaskKey) string {
 	owner, _ := elector.Owner(r, t.Job)
 	for i := range 1000 {
-		if h, _ := elector.Home(r, fmt.Sprint("s", i)); h.Member == owner.Member {
+		if h, _ := elector.SidecarOwner(r, fmt.Sprint("s", i)); h.Member == owner.Member {
 			return fmt.Sprint("s", i)
 		}
 	}
@@ -117,7 +117,7 @@
 	cancel := &encoder.Cancel{Tasks: []encoder.TaskKey{task(0)}}
 	end := func(c *Core, s encoder.Status) {
 		c.Receive(1000, session(c), own(c))
-		c.Ended(1000, task(0), Outcome{Status: s, Body: []byte("x")})
+		c.RunEnded(1000, task(0), Outcome{Status: s, Body: []byte("x")})
 	}
 	tests := []struct {
 		name   string
@@ -154,7 +154,7 @@
 			want: "[run]"},
 		{name: "lease expired", at: 3000, want: "[refuse 5 epoch 5]"},
 		{name: "unconfirmed pong", at: 3000, pong: func(p *encoder.Pong) { p.Confirmed = false }, want: "[refuse 5 epoch 5]"},
-		{name: "lease renewed", at: 3000, pong: func(p *encoder.Pong) { p.Age = 900 }, want: "[run]"},
+		{name: "lease renewed", at: 3000, pong: func(p *encoder.Pong) { p.ConfirmationAge = 900 }, want: "[run]"},
 		{name: "attestation of an older offset", at: 3000,
 			pong: func(p *encoder.Pong) { p.LogReachable, p.ConfigOffset = false, 9 }, want: "[refuse 5 epoch 5]"},
 		{name: "leaving", before: func(c *Core) { c.SetLeaving(1000, true) }, want: "[refuse 6 epoch 5]"},
--- a/starter/freshness.go
+++ b/starter/freshness.go
@@ -52,14 +52,14 @@
 		e.domainReport = domainReport{m.Sequence, m.ConfigOffset, m.DomainInForce}
 	}
 	c.updateDomain()
-	if !m.Confirmed || m.Age < 0 || m.Roster.Epoch == 0 {
+	if !m.Confirmed || m.ConfirmationAge < 0 || m.Roster.Epoch == 0 {
 		return
 	}
 	// An attested outage means that no newer epoch or offset can exist, so a known newer one invalidates it.
 	if !m.LogReachable && (m.Roster.Epoch < c.roster.Epoch || m.ConfigOffset < c.configOffset) {
 		return
 	}
-	until := sent.sentAt - m.Age + leaseDuration
+	until := sent.sentAt - m.ConfirmationAge + leaseDuration
 	if until > c.leaseEnd && until > now {
 		c.leaseEnd = until
 		c.leaseState = nextState(leaseChart, c.leaseState, eventRenew)
--- a/starter/gate.go
+++ b/starter/gate.go
@@ -131,8 +131,8 @@
 	a.start.Payload = nil // only the effect needs it
 }
 
-// Ended reports the end of a run that was requested by EffectRun.
-func (c *Core) Ended(now timer.Millis, task encoder.TaskKey, o Outcome) []Effect {
+// RunEnded reports the end of a run that was requested by EffectRun.
+func (c *Core) RunEnded(now timer.Millis, task encoder.TaskKey, o Outcome) []Effect {
 	c.beginCall(now)
 	a, ok := c.running[task]
 	if !ok {
@@ -143,7 +143,7 @@
 	if o.Status == encoder.StatusNotStarted {
 		a.state = nextState(attemptChart, a.state, eventNotStarted)
 		c.started.remove(task)
-		r = row{status: o.Status, result: &taskResult{reason: o.Reason, runTime: o.Ran}}
+		r = row{status: o.Status, result: &taskResult{reason: o.Reason, runTime: o.RunTime}}
 	} else {
 		a.state = nextState(attemptChart, a.state, eventEnd)
 		r = c.started.end(now, task, a.state, o)
@@ -213,7 +213,7 @@
 // sendResult sends the recorded outcome of a task with the credits granted along with it.
 func (c *Core) sendResult(e *entry, task encoder.TaskKey, r *row, credits uint32) {
 	status, body, reason, runTime := r.resultFields()
-	c.send(e, &encoder.Result{Task: task, Status: status, Body: body, Reason: reason, Ran: runTime, Credits: credits})
+	c.send(e, &encoder.Result{Task: task, Status: status, Body: body, Reason: reason, RunTime: runTime, Credits: credits})
 }
 
 // sendRefusal refuses a start.
--- a/starter/property_test.go
+++ b/starter/property_test.go
@@ -117,7 +117,7 @@
 	}
 	md.roster = r
 	for _, s := range md.sessions {
-		if e, ok := elector.Find(r, s.member.ID); !ok || e.Member != s.member {
+		if e, ok := elector.FindEntry(r, s.member.ID); !ok || e.Member != s.member {
 			s.voidCredits()
 		}
 	}
@@ -170,7 +170,7 @@
 		return
 	}
 	m := encoder.Pong{
-		Sequence: s.lastPing.sequence, Confirmed: !md.chance(15, "unconfirmed"), Age: timer.Millis(rapid.IntRange(0, 900).Draw(md.T, "age")),
+		Sequence: s.lastPing.sequence, Confirmed: !md.chance(15, "unconfirmed"), ConfirmationAge: timer.Millis(rapid.IntRange(0, 900).Draw(md.T, "age")),
 		Roster: md.roster, ConfigOffset: max(md.configOffset, 1) - 1 + rapid.Uint64Range(0, 2).Draw(md.T, "offset"),
 		DomainInForce: !md.chance(15, "withdrawn"), LogReachable: !md.chance(20, "outage"),
 	}
@@ -186,8 +186,8 @@
 		md.domainReports[from] = domainReport{m.Sequence, m.ConfigOffset, m.DomainInForce}
 	}
 	if m.Confirmed && (m.LogReachable || m.ConfigOffset == md.configOffset && m.Roster.Epoch == md.roster.Epoch) {
-		md.leaseEnd = max(md.leaseEnd, sent-m.Age+leaseDuration)
-		md.outageUntil[from] = max(md.outageUntil[from], sent-m.Age+leaseDuration)
+		md.leaseEnd = max(md.leaseEnd, sent-m.ConfirmationAge+leaseDuration)
+		md.outageUntil[from] = max(md.outageUntil[from], sent-m.ConfirmationAge+leaseDuration)
 		if m.LogReachable {
 			md.outageUntil[from] = 0
 		}
@@ -220,7 +220,7 @@
 			if status == encoder.StatusNotStarted {
 				md.runCount[t] = 0
 			}
-			md.applyEffects(md.core.Ended(md.now, t, Outcome{Status: status, Body: fmt.Append(nil, t)}), nil)
+			md.applyEffects(md.core.RunEnded(md.now, t, Outcome{Status: status, Body: fmt.Append(nil, t)}), nil)
 			return
 		}
 	}
--- a/starter/results_test.go
+++ b/starter/results_test.go
@@ -13,7 +13,7 @@
 func runAndEnd(c *Core, now timer.Millis, body []byte, tasks ...encoder.TaskKey) {
 	for _, t := range tasks {
 		c.Receive(now, ownerSession(c, t), ownerStart(c, t))
-		c.Ended(now, t, Outcome{Status: encoder.StatusDone, Body: body})
+		c.RunEnded(now, t, Outcome{Status: encoder.StatusDone, Body: body})
 	}
 }
 
@@ -39,7 +39,7 @@
 			refused = m.Task == task(8) && m.Reason == encoder.RefusalStaleEpoch && m.Epoch == 6
 		}
 		if m, ok := e.Message.(*encoder.CensusReply); ok {
-			if n := len(encoder.Append(nil, m)); n > encoder.MaxFrame || !refused || last || m.Epoch != 6 {
+			if n := len(encoder.Append(nil, m)); n > encoder.MaxFrameSize || !refused || last || m.Epoch != 6 {
 				t.Errorf("invalid reply part: %d bytes, epoch %d, sent after the refusal: %v, sent after the last part: %v", n, m.Epoch, refused, last)
 			}
 			last = m.Last
@@ -79,11 +79,11 @@
 	for _, tt := range []struct{ got, want string }{
 		{fmt.Sprint(summarize(c.Connected(1000, 9, ack))), "[result 1 x]"},
 		{fmt.Sprint(summarize(c.Receive(1000, s, ownerStart(c, task(3))))), "[]"},
-		{fmt.Sprint(summarize(c.Ended(1000, task(1), Outcome{Status: encoder.StatusNotStarted}))), "[]"},
+		{fmt.Sprint(summarize(c.RunEnded(1000, task(1), Outcome{Status: encoder.StatusNotStarted}))), "[]"},
 		{fmt.Sprint(summarize(c.Receive(1000, 9, ownerStart(c, task(1))))), "[run]"},
 		{fmt.Sprint(summarize(c.Receive(1000, 9, ownerStart(c, task(2))))), "[refuse 3 epoch 5]"},
 		{fmt.Sprint(summarize(c.Receive(1000, 9, &encoder.Cancel{Tasks: []encoder.TaskKey{task(2)}}))), "[cancel]"},
-		{fmt.Sprint(summarize(c.Ended(1000, task(2), Outcome{Status: encoder.StatusNotStarted}))), "[result 4 ]"},
+		{fmt.Sprint(summarize(c.RunEnded(1000, task(2), Outcome{Status: encoder.StatusNotStarted}))), "[result 4 ]"},
 		{fmt.Sprint(summarize(c.SetLeaving(1000, true)), summarize(c.SetLeaving(1000, false))), "[] [reset reset reset]"},
 	} {
 		if tt.got != tt.want {
@@ -101,7 +101,7 @@
 		c.Receive(1000, ownerSession(c, task(i)), ownerStart(c, task(i)))
 	}
 	own := Outcome{Status: encoder.StatusDone, Body: []byte("own")}
-	if got, want := fmt.Sprint(summarize(c.Ended(1000, task(5), own))), "[run result 1 own]"; got != want {
+	if got, want := fmt.Sprint(summarize(c.RunEnded(1000, task(5), own))), "[run result 1 own]"; got != want {
 		t.Errorf("got %s, want %s", got, want)
 	}
 }
@@ -154,7 +154,7 @@
 		{func() []Effect { return c.Receive(1000, s, &encoder.Release{Credits: 3}) }, ""},
 		{func() []Effect { return pong(other, 10, true) }, fmt.Sprintf("grant %d 1,", s)},
 		{func() []Effect { return c.Receive(1000, s, ownerStart(c, task(0))) }, ""},
-		{func() []Effect { return c.Ended(1000, task(0), Outcome{Status: encoder.StatusDone}) }, "with result 3,"},
+		{func() []Effect { return c.RunEnded(1000, task(0), Outcome{Status: encoder.StatusDone}) }, "with result 3,"},
 		{func() []Effect { return pong(s, 11, false) }, fmt.Sprintf("recall %d 3,", s)},
 		// Starts in flight are refused and spend the recalled credits.
 		{func() []Effect { runAndEnd(c, 1000, nil, task(1), task(2), task(3)); return nil }, ""},
--- a/starter/runner.go
+++ b/starter/runner.go
@@ -86,7 +86,7 @@
 		return notStarted(errors.New("the right to start ended before the request was sent"))
 	}
 	o, reusable := roundTrip(conn, req)
-	o.Ran = r.clock.Now() - startTime
+	o.RunTime = r.clock.Now() - startTime
 	if reusable {
 		r.releaseConn(conn)
 	} else {
--- a/starter/sidecar.go
+++ b/starter/sidecar.go
@@ -101,8 +101,8 @@
 	defer s.runner.close()
 	s.node.Hello = s.hello
 	s.node.TLS = s.TLS
-	s.node.OnUp = func(n *messenger.Session) { s.enqueue(ctx, event{kind: eventConnected, session: n}) }
-	s.node.OnDown = func(n *messenger.Session, err error) {
+	s.node.OnConnect = func(n *messenger.Session) { s.enqueue(ctx, event{kind: eventConnected, session: n}) }
+	s.node.OnDisconnect = func(n *messenger.Session, err error) {
 		s.enqueue(ctx, event{kind: eventDisconnected, session: n, err: err})
 	}
 	s.node.OnMessage = func(n *messenger.Session, m encoder.Message) {
@@ -206,7 +206,7 @@
 		if e.outcome.Status == encoder.StatusNotStarted {
 			s.health.recheck()
 		}
-		s.applyEffects(ctx, s.core.Ended(now, e.task, e.outcome))
+		s.applyEffects(ctx, s.core.RunEnded(now, e.task, e.outcome))
 	case eventHealthChanged:
 		s.wasHealthy, s.backendErr = true, e.err
 		if e.err != nil {
--- a/starter/sidecar_test.go
+++ b/starter/sidecar_test.go
@@ -33,7 +33,7 @@
 	f.node.Accept = func(*encoder.Hello) (encoder.HelloAck, error) {
 		return encoder.HelloAck{Member: member, Roster: *f.roster.Load()}, nil
 	}
-	f.node.OnUp = func(s *messenger.Session) { f.sessions <- s }
+	f.node.OnConnect = func(s *messenger.Session) { f.sessions <- s }
 	f.node.OnMessage = func(s *messenger.Session, m encoder.Message) {
 		if p, ok := m.(*encoder.Ping); ok {
 			s.Send(validPong(p.Sequence, *f.roster.Load()))
@@ -41,7 +41,7 @@
 		}
 		f.messages <- m
 	}
-	f.node.Silence = timer.Minute
+	f.node.IdleTimeout = timer.Minute
 	address, err := f.node.Listen(t.Context(), "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -71,7 +71,7 @@
 	// The clock is stopped and the timeouts are long, so that no lease, session or health check expires on a loaded
 	// machine.
 	s.Clock.NowFunc = func() timer.Millis { return timer.Minute }
-	s.node.Silence = timer.Minute
+	s.node.IdleTimeout = timer.Minute
 	u, _ := url.Parse(base)
 	s.health = newHealthChecker(u)
 	s.health.client.Timeout = 0
@@ -85,7 +85,7 @@
 	for i, tt := range []struct{ payload, want string }{
 		{`{"echo":"hello"}`, "1 hello"}, {`{"fail":true}`, "2 "}, {`{"echo":"hello"}`, "3 "}, {strings.Repeat("x", MaxBody+1), "2 "},
 	} {
-		backend.SetTruncated(i == 2)
+		backend.SetTruncateResponses(i == 2)
 		key := encoder.TaskKey{Job: "job", Index: uint32(i)}
 		for range 2 { // the second start must get the same answer without running the task again
 			session.Send(&encoder.Start{
@@ -215,8 +215,8 @@
 		{"healthy", false, false, true}, {"leaving", true, false, false}, {"back", false, false, true},
 		{"one timeout", false, true, true}, {"two timeouts", false, true, false}, {"responsive again", false, false, true},
 	} {
-		backend.SetLeaving(tt.leaving)
-		backend.SetFrozen(tt.frozen)
+		backend.SetDraining(tt.leaving)
+		backend.SetUnresponsive(tt.frozen)
 		// A frozen backend server does not answer, so a short timeout suffices.
 		h.client.Timeout = map[bool]time.Duration{true: time.Millisecond}[tt.frozen]
 		if err := h.check(t.Context()); (err == nil) != tt.want {
--- a/starter/table.go
+++ b/starter/table.go
@@ -91,7 +91,7 @@
 	j := t.jobs[k.Job]
 	r := j.findRow(k.Index)
 	r.status, r.state = o.Status, state
-	r.result = &taskResult{body: o.Body, reason: o.Reason, runTime: o.Ran}
+	r.result = &taskResult{body: o.Body, reason: o.Reason, runTime: o.RunTime}
 	t.resultBytes += r.result.size()
 	t.uncollected++
 	t.ended = append(t.ended, endedTask{j, k.Index, now})
--- a/submitter/callers.go
+++ b/submitter/callers.go
@@ -5,8 +5,8 @@
 
 	"github.com/gravitational/trace"
 
-	"github.com/crocuslb/crocuslb/archiver"
 	"github.com/crocuslb/crocuslb/marshaler"
+	"github.com/crocuslb/crocuslb/projector"
 	"github.com/crocuslb/crocuslb/router"
 	"github.com/crocuslb/crocuslb/timer"
 )
@@ -148,15 +148,15 @@
 	return Answer{Kind: AnswerPending}
 }
 
-func stateAnswer(state archiver.State) AnswerKind {
+func stateAnswer(state projector.State) AnswerKind {
 	switch state {
-	case archiver.Succeeded:
+	case projector.Succeeded:
 		return AnswerDone
-	case archiver.Failed:
+	case projector.Failed:
 		return AnswerFailed
-	case archiver.Cancelled:
+	case projector.Cancelled:
 		return AnswerCancelled
-	case archiver.Open:
+	case projector.Open:
 	}
 	return AnswerRunning
 }
@@ -177,7 +177,7 @@
 	if len(j.durability.cancelRequests) > 1 {
 		return
 	}
-	if archiver.StateOf(j.durability.record) == archiver.Open {
+	if projector.StateOf(j.durability.record) == projector.Open {
 		j.durability.record.Cancelled = true
 	}
 	j.durability.pendingWrites++
--- a/submitter/durable.go
+++ b/submitter/durable.go
@@ -4,8 +4,8 @@
 	"maps"
 	"slices"
 
-	"github.com/crocuslb/crocuslb/archiver"
 	"github.com/crocuslb/crocuslb/marshaler"
+	"github.com/crocuslb/crocuslb/projector"
 	"github.com/crocuslb/crocuslb/timer"
 )
 
@@ -56,7 +56,7 @@
 	// finishedJob is a durable job that has ended.
 	finishedJob struct {
 		record *marshaler.JobRecord
-		state  archiver.State
+		state  projector.State
 		since  timer.Millis
 		offset uint64 // offset of its latest full record
 	}
@@ -211,7 +211,7 @@
 // recordOf returns the record of a new job.
 func recordOf(j *Job) *marshaler.JobRecord {
 	return &marshaler.JobRecord{
-		ID: j.ID, Queue: j.Queue.Name, Service: j.Queue.Service, Attempts: j.Queue.Attempts, Priority: j.Queue.Priority, Spec: j.Spec,
+		ID: j.ID, Queue: j.Queue.Name, Service: j.Queue.Service, Attempts: j.Queue.MaxAttempts, Priority: j.Queue.Priority, Spec: j.Spec,
 		Steps: j.Steps,
 	}
 }
--- a/submitter/durable_sim_test.go
+++ b/submitter/durable_sim_test.go
@@ -6,8 +6,8 @@
 	"strings"
 	"testing"
 
-	"github.com/crocuslb/crocuslb/archiver"
 	"github.com/crocuslb/crocuslb/marshaler"
+	"github.com/crocuslb/crocuslb/projector"
 	"github.com/crocuslb/crocuslb/timer"
 )
 
@@ -276,13 +276,13 @@
 			return
 		}
 		o.callStore(writer, func() bool { return true }, func(bool) {
-			var a archiver.Archive
+			var a projector.Projection
 			for _, body := range store.logs[p] {
-				if err := a.Add(body); err != nil {
+				if err := a.Apply(body); err != nil {
 					o.w.t.Errorf("record of partition %d: %v", p, err)
 				}
 			}
-			o.e.core.AcquirePartition(o.w.now, marshaler.Partition{Number: p, Epoch: writer.epoch, Previous: a.Previous()}, a.Jobs())
+			o.e.core.AcquirePartition(o.w.now, marshaler.Partition{Number: p, Epoch: writer.epoch, Previous: a.PreviousEpoch()}, a.Jobs())
 			o.e.core.Flush(o.w.now)
 		})
 	})
--- a/submitter/ends.go
+++ b/submitter/ends.go
@@ -3,8 +3,8 @@
 import (
 	"slices"
 
-	"github.com/crocuslb/crocuslb/archiver"
 	"github.com/crocuslb/crocuslb/marshaler"
+	"github.com/crocuslb/crocuslb/projector"
 )
 
 // onDurableEnd handles the end of a run of a durable job. The sidecar lists it until it is acknowledged.
@@ -71,7 +71,7 @@
 	j.durability.recordingEnds[key] = true
 	j.durability.pendingWrites++
 	end := &marshaler.EndRecord{Run: o.Run, Status: o.Status}
-	archiver.AddEnd(j.durability.record, end)
+	projector.ApplyEnd(j.durability.record, end)
 	s.appendRecord(j, marshaler.Append(nil, end), func(uint64) {
 		delete(j.durability.recordingEnds, key)
 		j.durability.pendingWrites--
@@ -100,7 +100,7 @@
 	}
 	j.avoidSidecar(sc.name)
 	t.failures++
-	if t.failures >= max(j.Queue.Attempts, 1) {
+	if t.failures >= max(j.Queue.MaxAttempts, 1) {
 		t.state = taskAborted
 		return
 	}
@@ -123,8 +123,8 @@
 
 // finishDurable removes a durable job from the active jobs once its final state is in the store.
 func (s *Submitter) finishDurable(j *job) {
-	state := archiver.StateOf(j.durability.record)
-	if s.jobs[j.ID] != j || j.durability.pendingWrites > 0 || state == archiver.Open {
+	state := projector.StateOf(j.durability.record)
+	if s.jobs[j.ID] != j || j.durability.pendingWrites > 0 || state == projector.Open {
 		return
 	}
 	s.durable.finished[j.ID] = &finishedJob{record: j.durability.record, state: state, since: s.now, offset: j.durability.offset}
--- a/submitter/kind.go
+++ b/submitter/kind.go
@@ -54,7 +54,7 @@
 		return "tasks that last or fill are not supported"
 	case k.Gang:
 		return "tasks that work only together are not supported"
-	case j.Queue.Advised:
+	case j.Queue.UsesAdvice:
 		return "queues with an advice service are not supported"
 	}
 	return ""
--- a/submitter/placement.go
+++ b/submitter/placement.go
@@ -245,7 +245,7 @@
 	case marshaler.StatusFailed:
 		j.avoidSidecar(sc.name)
 		t.failures++
-		if t.failures >= j.Queue.Attempts {
+		if t.failures >= j.Queue.MaxAttempts {
 			t.state = taskDone
 			s.finish(j, Answer{Kind: AnswerFailed, Reason: "a task failed as often as its queue allows"})
 			return
--- a/submitter/recovery.go
+++ b/submitter/recovery.go
@@ -1,8 +1,8 @@
 package submitter
 
 import (
-	"github.com/crocuslb/crocuslb/archiver"
 	"github.com/crocuslb/crocuslb/marshaler"
+	"github.com/crocuslb/crocuslb/projector"
 	"github.com/crocuslb/crocuslb/router"
 	"github.com/crocuslb/crocuslb/timer"
 )
@@ -17,7 +17,7 @@
 	s.durable.owned[p.number] = p
 	open := 0
 	for _, record := range jobs {
-		if state := archiver.StateOf(record); state != archiver.Open {
+		if state := projector.StateOf(record); state != projector.Open {
 			s.durable.finished[record.ID] = &finishedJob{record: record, state: state, since: now}
 			continue
 		}
@@ -42,7 +42,7 @@
 	return &job{
 		Job: Job{
 			ID: record.ID, Kind: Kind{Durable: true}, Spec: record.Spec, Steps: record.Steps,
-			Queue: router.Queue{Name: record.Queue, Service: record.Service, Attempts: record.Attempts, Priority: record.Priority},
+			Queue: router.Queue{Name: record.Queue, Service: record.Service, MaxAttempts: record.Attempts, Priority: record.Priority},
 		},
 		steps:      newSteps(record.Steps),
 		durability: durableState{record: record, recordingEnds: map[endKey]bool{}},
--- a/submitter/sessions.go
+++ b/submitter/sessions.go
@@ -33,7 +33,7 @@
 	sc.session++
 	sc.link, sc.incarnation, sc.domain, sc.lastReceived, sc.lastSent, sc.clockAt, sc.subscribed = link, h.Incarnation, h.Domain, now, 0, 0, false
 	s.report(Event{Kind: "sidecarUp", Peer: h.Name})
-	s.relay.Up(now, h.Name)
+	s.relay.OnConnect(now, h.Name)
 	if len(s.durable.owned) > 0 {
 		link.Send(&marshaler.Claim{Partitions: s.ownedPartitions()})
 	}
@@ -59,7 +59,7 @@
 	// Two entries may dial each other at the same time. The newest session is used for sending; both are read.
 	p.hello, p.link, p.lastReceived, p.leaving, p.suspect = h, link, s.now, false, false
 	s.report(Event{Kind: "entryUp", Peer: h.Name})
-	s.relay.Up(s.now, h.Name)
+	s.relay.OnConnect(s.now, h.Name)
 	p.send(s.now, s.newHeartbeat())
 	if s.durable.inUse {
 		p.send(s.now, &marshaler.OwnedPartitions{Partitions: s.ownedPartitions()})
@@ -89,7 +89,7 @@
 // placing entry.
 func (s *Submitter) onPeerLost(p *peer, cause string) {
 	p.link, p.ownedEpochs, p.waitingJobs = nil, nil, nil
-	s.relay.Down(p.hello.Name)
+	s.relay.OnDisconnect(p.hello.Name)
 	s.report(Event{Kind: "entryLost", Peer: p.hello.Name, Detail: cause})
 	s.placer.RemoveEntry(p.hello.Name)
 	s.rerouteRequests(p.hello.Name)
@@ -100,7 +100,7 @@
 // runExpiry.
 func (s *Submitter) onSidecarLost(sc *sidecar, cause string) {
 	sc.link, sc.clockAt = nil, 0
-	s.relay.Down(sc.name)
+	s.relay.OnDisconnect(sc.name)
 	if !sc.runsUnconfirmed {
 		sc.runsUnconfirmed, sc.runsExpireAt = true, sc.heartbeatDueSince()+runExpiry
 	}
@@ -302,7 +302,7 @@
 
 // sendSidecarHeartbeat sends a heartbeat, and the configuration if the sidecar has had an older one for a while.
 func (s *Submitter) sendSidecarHeartbeat(sc *sidecar) {
-	if sc.offset < s.snapshot.Offset && s.relay.Due(s.now, s.Name, sc.name, sc.offset == 0) {
+	if sc.offset < s.snapshot.Offset && s.relay.ShouldSend(s.now, s.Name, sc.name, sc.offset == 0) {
 		sc.link.Send(&marshaler.Configuration{Body: s.snapshot.Append(nil)})
 	}
 	sc.lastSent = s.now
@@ -310,7 +310,7 @@
 }
 
 func (s *Submitter) sendPeerHeartbeat(p *peer) {
-	if p.offset < s.snapshot.Offset && s.relay.Due(s.now, s.Name, p.hello.Name, p.offset == 0) {
+	if p.offset < s.snapshot.Offset && s.relay.ShouldSend(s.now, s.Name, p.hello.Name, p.offset == 0) {
 		p.link.Send(&marshaler.Configuration{Body: s.snapshot.Append(nil)})
 	}
 	p.send(s.now, s.newHeartbeat())
--- a/submitter/submitter.go
+++ b/submitter/submitter.go
@@ -215,7 +215,7 @@
 func (s *Submitter) SetSnapshot(now timer.Millis, snapshot router.Snapshot) {
 	s.setNow(now)
 	s.snapshot = snapshot
-	s.relay.Changed(now)
+	s.relay.OnConfigurationChanged(now)
 	s.sendAllHeartbeats()
 }
 
@@ -271,7 +271,7 @@
 
 // expectedResponse returns the response time that the job's queue promises for its estimated run time.
 func (j *Job) expectedResponse() timer.Millis {
-	return timer.Millis(j.Queue.Stretch*float64(j.criticalPath())) + j.Queue.Target
+	return timer.Millis(j.Queue.Stretch*float64(j.criticalPath())) + j.Queue.TargetRuntime
 }
 
 // StartWaitLimit returns how long a job may wait for its first start, given its caller's deadline; 0 means unset.
--- a/watcher/process.go
+++ b/watcher/process.go
@@ -110,9 +110,9 @@
 	}
 }
 
-// Refused returns the number of datagrams that were dropped because they were malformed, had an invalid MAC, or found the
+// DroppedDatagrams returns the number of datagrams that were dropped because they were malformed, had an invalid MAC, or found the
 // receive queue full.
-func (p *Process) Refused() uint64 { return p.rejected.Load() }
+func (p *Process) DroppedDatagrams() uint64 { return p.rejected.Load() }
 
 // receiveLoop verifies and queues datagrams until the socket is closed.
 func (p *Process) receiveLoop(received chan<- receivedPacket) {
