--- a/appender/client_test.go
+++ b/appender/client_test.go
@@ -331,8 +331,8 @@
 	}
 }
 
-// TestGap guards against a RecordBuffer that grows without bound or returns records that are not contiguous.
-func TestGap(t *testing.T) {
+// TestRecordBuffer guards against a RecordBuffer that grows without bound or returns records that are not contiguous.
+func TestRecordBuffer(t *testing.T) {
 	var g appender.RecordBuffer
 	for offset := uint64(10); offset < 40; offset++ {
 		g.Add(appender.Record{Offset: offset, Body: make([]byte, appender.MaxBodyLen)})
--- a/consumer/consumer_test.go
+++ b/consumer/consumer_test.go
@@ -9,8 +9,8 @@
 	"github.com/gravitational/trace"
 )
 
-// TestFollow guards against changes that are missed or applied twice when the store fails or its records expire.
-func TestFollow(t *testing.T) {
+// TestConsume guards against changes that are missed or applied twice when the store fails or its records expire.
+func TestConsume(t *testing.T) {
 	type step struct {
 		call string // newest or read
 		page Page
--- a/placer/placer_test.go
+++ b/placer/placer_test.go
@@ -407,8 +407,8 @@
 	}
 }
 
-// TestLeave guards against requests that remain queued at an entry that shuts down.
-func TestLeave(t *testing.T) {
+// TestRejectAll guards against requests that remain queued at an entry that shuts down.
+func TestRejectAll(t *testing.T) {
 	s := newSimulation(1, 1)
 	var moved []string
 	s.p.Reject = func(_ string, r marshaler.Reject) {
--- a/projector/projector_test.go
+++ b/projector/projector_test.go
@@ -18,9 +18,9 @@
 	return &marshaler.EndRecord{Run: marshaler.RunKey{Job: "job", Index: marshaler.TaskIndex(step, index), Attempt: attempt}, Status: s}
 }
 
-// TestArchive checks the state computed from a job's records. A wrong state would make a new owner regard an unfinished
+// TestProjection checks the state computed from a job's records. A wrong state would make a new owner regard an unfinished
 // job as finished, or run a finished job again.
-func TestArchive(t *testing.T) {
+func TestProjection(t *testing.T) {
 	done, failed := marshaler.StatusDone, marshaler.StatusFailed
 	cases := []struct {
 		name     string
--- a/recoverer/recoverer_test.go
+++ b/recoverer/recoverer_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// TestCatch guards against panics that are not recovered, and against errors that omit the panic value.
-func TestCatch(t *testing.T) {
+// TestCall guards against panics that are not recovered, and against errors that omit the panic value.
+func TestCall(t *testing.T) {
 	var none map[string]int
 	cases := []struct {
 		name string
--- a/runner/durable_test.go
+++ b/runner/durable_test.go
@@ -46,9 +46,9 @@
 	}
 }
 
-// TestKept submits durable jobs to entries that do not own them, and guards against entries that report different
+// TestDurableJobs submits durable jobs to entries that do not own them, and guards against entries that report different
 // states.
-func TestKept(t *testing.T) {
+func TestDurableJobs(t *testing.T) {
 	tc := newTestCluster(t, 3, 3)
 	if got := tc.state(tc.entryAddresses[0], durableJobID(0)); got != "410 {}" {
 		t.Errorf("before the first durable job: got %s, want 410", got)
@@ -94,9 +94,9 @@
 	})
 }
 
-// TestKeptHandover guards against lost durable jobs and repeated tasks when the store rebalances the partitions and an
+// TestDurableJobHandover guards against lost durable jobs and repeated tasks when the store rebalances the partitions and an
 // entry stops while jobs are running.
-func TestKeptHandover(t *testing.T) {
+func TestDurableJobHandover(t *testing.T) {
 	tc := newTestCluster(t, 3, 3)
 	tc.submitDurableJob(tc.entryAddresses[0], durableJobID(99), "10")
 	for i := range 30 {
--- a/runner/path_test.go
+++ b/runner/path_test.go
@@ -336,8 +336,8 @@
 	tc.eventually("each entry connected to the others", func() bool { return strings.Count(tc.logs.String(), "entry: entryUp") >= 12 })
 }
 
-// TestStoreAway guards against restartable jobs that fail while the store is unavailable.
-func TestStoreAway(t *testing.T) {
+// TestStoreUnavailable guards against restartable jobs that fail while the store is unavailable.
+func TestStoreUnavailable(t *testing.T) {
 	tc := newTestCluster(t, 2, 3)
 	tc.store.SetFaults(platformtest.StoreFaults{Unresponsive: true})
 	for i := range 20 {
@@ -372,8 +372,8 @@
 	}
 }
 
-// TestRecall guards against sidecars that stay unusable after a restart until their backend server announces itself.
-func TestRecall(t *testing.T) {
+// TestRestoreBackend guards against sidecars that stay unusable after a restart until their backend server announces itself.
+func TestRestoreBackend(t *testing.T) {
 	tc := newTestCluster(t, 1, 1)
 	tc.eventually("descriptor in the store", func() bool {
 		page, err := newStore(tc.address(250, 7000), 0).ReadLatest(tc.ctx, platform.TopicBackends)
@@ -388,9 +388,9 @@
 	})
 }
 
-// TestLeavingIsKept guards against a sidecar that acknowledges the draining of its backend server while the store is
+// TestDrainingIsStored guards against a sidecar that acknowledges the draining of its backend server while the store is
 // unavailable, and therefore uses the backend server again after a restart.
-func TestLeavingIsKept(t *testing.T) {
+func TestDrainingIsStored(t *testing.T) {
 	tc := newTestCluster(t, 1, 1)
 	tc.eventually("descriptor in the store", func() bool {
 		page, err := newStore(tc.address(250, 7000), 0).ReadLatest(tc.ctx, platform.TopicBackends)
--- a/submitter/callers_test.go
+++ b/submitter/callers_test.go
@@ -7,9 +7,9 @@
 	"github.com/crocuslb/crocuslb/timer"
 )
 
-// TestDoubtfulCall guards against telling a caller that its durable job did not run when an entry that received it, and
+// TestUnansweredCall guards against telling a caller that its durable job did not run when an entry that received it, and
 // was lost before it answered, may have stored it.
-func TestDoubtfulCall(t *testing.T) {
+func TestUnansweredCall(t *testing.T) {
 	cases := []struct {
 		name   string
 		lost   bool // the first owner is lost after it received the job
--- a/submitter/durable_sim_test.go
+++ b/submitter/durable_sim_test.go
@@ -453,10 +453,10 @@
 	return ids
 }
 
-// TestKeptFaults injects faults into entries, sidecars, backend servers, sessions and the store. It guards against
+// TestDurableJobFaults injects faults into entries, sidecars, backend servers, sessions and the store. It guards against
 // tasks of durable jobs that run twice at once or after their success was recorded, accepted jobs that are lost, and
 // refused jobs that run.
-func TestKeptFaults(t *testing.T) {
+func TestDurableJobFaults(t *testing.T) {
 	common := commonFaults(2500, 3000, 4000)
 	kinds := []fault{
 		{"none", func(*simulation) {}}, common["entry killed"], common["sidecar killed"], common["entry paused"], common["sidecar paused"],
--- a/submitter/durable_test.go
+++ b/submitter/durable_test.go
@@ -6,8 +6,8 @@
 	"github.com/crocuslb/crocuslb/marshaler"
 )
 
-// TestFoundEnd guards against an entry that mishandles ends found by a restarted sidecar, whatever job they belong to.
-func TestFoundEnd(t *testing.T) {
+// TestEndFoundAfterRestart guards against an entry that mishandles ends found by a restarted sidecar, whatever job they belong to.
+func TestEndFoundAfterRestart(t *testing.T) {
 	cases := []struct {
 		name   string
 		job    string
--- a/submitter/outcome_test.go
+++ b/submitter/outcome_test.go
@@ -185,8 +185,8 @@
 	}
 }
 
-// TestHeld guards against a start that is considered lost because the sidecar listed its runs before the start arrived.
-func TestHeld(t *testing.T) {
+// TestActiveRunsBeforeStart guards against a start that is considered lost because the sidecar listed its runs before the start arrived.
+func TestActiveRunsBeforeStart(t *testing.T) {
 	cases := []struct {
 		name    string
 		session uint64 // session of the list; the start was sent on session 1
--- a/submitter/startwait_test.go
+++ b/submitter/startwait_test.go
@@ -8,9 +8,9 @@
 	"github.com/crocuslb/crocuslb/timer"
 )
 
-// TestPatience guards against refusing callers that could still be served within their deadline, and against waits that
+// TestStartWait guards against refusing callers that could still be served within their deadline, and against waits that
 // leave no time for the run.
-func TestPatience(t *testing.T) {
+func TestStartWait(t *testing.T) {
 	cases := []struct {
 		name             string
 		deadline, waited timer.Millis
--- a/submitter/steps_test.go
+++ b/submitter/steps_test.go
@@ -62,8 +62,8 @@
 	}
 }
 
-// TestRepeat guards against a job that waits forever because the placing entry has lost its request.
-func TestRepeat(t *testing.T) {
+// TestRepeatedRequest guards against a job that waits forever because the placing entry has lost its request.
+func TestRepeatedRequest(t *testing.T) {
 	cases := []struct {
 		name   string
 		begun  bool
--- a/submitter/suspect_test.go
+++ b/submitter/suspect_test.go
@@ -8,9 +8,9 @@
 	"github.com/crocuslb/crocuslb/timer"
 )
 
-// TestSuspect guards against jobs that wait for a lost placing entry until its session times out, and against
+// TestSuspectedEntry guards against jobs that wait for a lost placing entry until its session times out, and against
 // entries that are excluded for good although they are only slow.
-func TestSuspect(t *testing.T) {
+func TestSuspectedEntry(t *testing.T) {
 	s := &Submitter{Name: "entry-c", Incarnation: 3, Weight: 1}
 	now := timer.Millis(1000)
 	s.SetSnapshot(now, testSnapshot())
--- a/supervisor/durable_test.go
+++ b/supervisor/durable_test.go
@@ -92,9 +92,9 @@
 	}
 }
 
-// TestVoid guards against void ends that are acknowledged to the backend server before its lease has expired, and against a
+// TestVoidEnds guards against void ends that are acknowledged to the backend server before its lease has expired, and against a
 // lease that is renewed meanwhile.
-func TestVoid(t *testing.T) {
+func TestVoidEnds(t *testing.T) {
 	f := newDurableFixture()
 	f.now += 1500 // the lease of a previous incarnation of this process has expired
 	f.list(nil)
@@ -151,9 +151,9 @@
 	}
 }
 
-// TestStale guards against ends that a new owner counts although an intermediate owner, or a lost one, may have restarted
+// TestStaleEnds guards against ends that a new owner counts although an intermediate owner, or a lost one, may have restarted
 // the task.
-func TestStale(t *testing.T) {
+func TestStaleEnds(t *testing.T) {
 	cases := []struct {
 		name   string
 		next   marshaler.Partition
--- a/watcher/core_test.go
+++ b/watcher/core_test.go
@@ -172,9 +172,9 @@
 
 func (f rapidReporter) Errorf(format string, args ...any) { f.t.Errorf(format, args...) }
 
-// TestNoFalseDeath guards against false positives: a member whose packets all arrive in time must never be declared dead,
+// TestNoFalseFailure guards against false positives: a member whose packets all arrive in time must never be declared dead,
 // even when other members crash or an observer pauses.
-func TestNoFalseDeath(t *testing.T) {
+func TestNoFalseFailure(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		size := rapid.IntRange(4, 10).Draw(t, "size")
 		n := newNetwork(testing.TB(nil), size, rapid.Uint64().Draw(t, "seed"))
