--- a/appender/client.go
+++ b/appender/client.go
@@ -208,7 +208,7 @@
 	defer readBackTimer.Stop()
 	go func() { attemptResult <- c.appendWithRetry(ctx, k, body) }()
 	startReadBack := func() {
-		// HasRecords connections may have stalled; the read-back needs a new one.
+		// Open connections may have stalled; the read-back needs a new one.
 		c.httpClient().CloseIdleConnections()
 		readBackResult, startedAfterFailure = make(chan appendResult, 1), attemptErr != nil
 		go func(done chan<- appendResult) { done <- c.findRecord(ctx, k, searchStart, true) }(readBackResult)
--- a/messenger/session.go
+++ b/messenger/session.go
@@ -308,7 +308,7 @@
 }
 
 // read delivers messages until the stream ends. When the peer has closed its side, read closes this side after flushing
-// the queue, and waits until the peer closes the connection.
+// the queue, and waits until the peer closes the connection, so that the last messages arrive.
 func (s *Session) read() (quic.ApplicationErrorCode, error) {
 	for {
 		frame, control, err := s.reader.next()
--- a/reporter/reporter.go
+++ b/reporter/reporter.go
@@ -45,7 +45,7 @@
 	}
 
 	// Reporter counts observations in a ring of 60 buckets that covers the long window. The zero value is ready to use.
-	// SetGauge Objectives before the first call. The methods are safe for concurrent use.
+	// Set Objectives before the first call. The methods are safe for concurrent use.
 	Reporter struct {
 		Objectives Objectives
 
