--- a/marshaler/append.go
+++ b/marshaler/append.go
@@ -146,7 +146,7 @@
 	dst = appender.AppendUint(dst, 11, m.Step)
 	dst = appender.AppendString(dst, 12, m.Label)
 	dst = appender.AppendString(dst, 13, m.Rack)
-	dst = appender.AppendUint(dst, 14, m.MaxPerServer)
+	dst = appender.AppendUint(dst, 14, m.ServerTaskLimit)
 	for _, name := range m.Placed {
 		dst = appendBytes(dst, 15, []byte(name))
 	}
--- a/marshaler/decode.go
+++ b/marshaler/decode.go
@@ -271,7 +271,7 @@
 	case 13:
 		return f.StoreString(&m.Rack, MaxNameLen)
 	case 14:
-		return f.StoreUint(&m.MaxPerServer)
+		return f.StoreUint(&m.ServerTaskLimit)
 	case 15:
 		return appendDecodedText(f, &m.Placed)
 	case 16:
--- a/marshaler/durable.go
+++ b/marshaler/durable.go
@@ -30,8 +30,8 @@
 		Label string
 		// Rack is the rack on which the tasks run fastest; empty for none.
 		Rack string
-		// MaxPerServer is the maximum number of tasks of the step on one backend server; 0 means no limit.
-		MaxPerServer uint64
+		// ServerTaskLimit is the maximum number of tasks of the step on one backend server; 0 means no limit.
+		ServerTaskLimit uint64
 	}
 
 	// JobRecord is the complete state of a durable job in the store. It is written when the job is accepted, and again
--- a/marshaler/durablecodec.go
+++ b/marshaler/durablecodec.go
@@ -87,7 +87,7 @@
 	}
 	b = appender.AppendString(b, 5, s.Label)
 	b = appender.AppendString(b, 6, s.Rack)
-	return appender.AppendUint(b, 7, s.MaxPerServer)
+	return appender.AppendUint(b, 7, s.ServerTaskLimit)
 }
 
 func appendPartitions(dst []byte, list []Partition) []byte {
@@ -213,7 +213,7 @@
 	case 6:
 		return f.StoreString(&s.Rack, MaxNameLen)
 	case 7:
-		return f.StoreUint(&s.MaxPerServer)
+		return f.StoreUint(&s.ServerTaskLimit)
 	}
 	return nil
 }
--- a/marshaler/messages.go
+++ b/marshaler/messages.go
@@ -176,10 +176,10 @@
 		Step      uint64   // index of the step within the job
 		Label     string   // required label of the backend server; empty for none
 		Rack      string   // rack on which the tasks run fastest; empty for none
-		// MaxPerServer is the maximum number of tasks of the step on one backend server; 0 means no limit. Placed lists the
+		// ServerTaskLimit is the maximum number of tasks of the step on one backend server; 0 means no limit. Placed lists the
 		// sidecars of tasks that are already placed, with one element per task.
-		MaxPerServer uint64
-		Placed       []string
+		ServerTaskLimit uint64
+		Placed          []string
 		// MaxWait is the maximum time that the request may wait when the expected response time can no longer be met. It is
 		// at least Slack; 0 means Slack.
 		MaxWait timer.Millis
--- a/placer/constraints.go
+++ b/placer/constraints.go
@@ -20,7 +20,7 @@
 }
 
 func newConstraints(a *marshaler.ResourceRequest) placementConstraints {
-	c := placementConstraints{label: a.Label, rack: a.Rack, perServer: int(a.MaxPerServer)}
+	c := placementConstraints{label: a.Label, rack: a.Rack, perServer: int(a.ServerTaskLimit)}
 	if c.perServer > 0 {
 		c.placed = map[string]int{}
 		for _, name := range a.Placed {
--- a/placer/constraints_test.go
+++ b/placer/constraints_test.go
@@ -21,10 +21,10 @@
 		{"label of no worker", marshaler.ResourceRequest{Tasks: 1, Label: "none"}, nil, true},
 		{"rack", marshaler.ResourceRequest{Tasks: 2, Rack: "r2"}, []string{"c", "c"}, false},
 		{"rack too small for all", marshaler.ResourceRequest{Tasks: 4, Rack: "r2"}, []string{"a", "c", "c", "c"}, false},
-		{"one on each server", marshaler.ResourceRequest{Tasks: 3, MaxPerServer: 1}, []string{"a", "b", "c"}, false},
-		{"one on each server, more tasks than servers", marshaler.ResourceRequest{Tasks: 5, MaxPerServer: 1}, []string{"a", "b", "c"}, false},
-		{"one on each server, two placed", marshaler.ResourceRequest{Tasks: 2, MaxPerServer: 1, Placed: []string{"a", "b"}}, []string{"c"}, false},
-		{"two on each server, one placed", marshaler.ResourceRequest{Tasks: 4, MaxPerServer: 2, Placed: []string{"a"}, Label: "small"}, []string{"a", "c", "c"}, false},
+		{"one on each server", marshaler.ResourceRequest{Tasks: 3, ServerTaskLimit: 1}, []string{"a", "b", "c"}, false},
+		{"one on each server, more tasks than servers", marshaler.ResourceRequest{Tasks: 5, ServerTaskLimit: 1}, []string{"a", "b", "c"}, false},
+		{"one on each server, two placed", marshaler.ResourceRequest{Tasks: 2, ServerTaskLimit: 1, Placed: []string{"a", "b"}}, []string{"c"}, false},
+		{"two on each server, one placed", marshaler.ResourceRequest{Tasks: 4, ServerTaskLimit: 2, Placed: []string{"a"}, Label: "small"}, []string{"a", "c", "c"}, false},
 	}
 	for _, c := range cases {
 		var got []string
--- a/router/codec.go
+++ b/router/codec.go
@@ -18,14 +18,14 @@
 func (s *Snapshot) Append(b []byte) []byte {
 	b = appender.AppendUint(b, 1, s.Offset)
 	b = appender.AppendUint(b, 2, s.Version)
-	b = appender.AppendUint(b, 3, s.Limits.MaxHeaderBytes)
-	b = appender.AppendUint(b, 4, s.Limits.MaxBodyBytes)
+	b = appender.AppendUint(b, 3, s.Limits.HeaderBytesLimit)
+	b = appender.AppendUint(b, 4, s.Limits.BodyBytesLimit)
 	for i := range s.queues {
 		b = appendMessage(b, 5, s.queues[i].append(nil))
 	}
 	for _, v := range s.services {
 		body := appender.AppendString(nil, 1, v.Name)
-		body = appender.AppendUint(body, 2, protowire.EncodeBool(v.AdmissionControl))
+		body = appender.AppendUint(body, 2, protowire.EncodeBool(v.EnforcesCapacity))
 		body = appender.AppendUint(body, 3, protowire.EncodeBool(v.Standby))
 		b = appendMessage(b, 6, body)
 	}
@@ -49,9 +49,9 @@
 		case 2:
 			return f.StoreUint(&s.Version)
 		case 3:
-			return f.StoreUint(&s.Limits.MaxHeaderBytes)
+			return f.StoreUint(&s.Limits.HeaderBytesLimit)
 		case 4:
-			return f.StoreUint(&s.Limits.MaxBodyBytes)
+			return f.StoreUint(&s.Limits.BodyBytesLimit)
 		case 5:
 			q, err := decodeQueue(f)
 			queues = append(queues, q)
@@ -77,12 +77,12 @@
 func (q *Queue) append(b []byte) []byte {
 	b = appender.AppendString(b, 1, q.Name)
 	b = appender.AppendString(b, 2, q.Host)
-	b = appender.AppendString(b, 3, q.PathPrefix)
+	b = appender.AppendString(b, 3, q.URLPrefix)
 	b = appender.AppendString(b, 4, q.Service)
 	b = appender.AppendUint(b, 5, q.Priority)
-	b = appender.AppendUint(b, 6, q.MaxAttempts)
+	b = appender.AppendUint(b, 6, q.AttemptLimit)
 	b = appender.AppendUint(b, 7, math.Float64bits(q.Stretch))
-	b = appender.AppendUint(b, 8, uint64(q.TargetRuntime))
+	b = appender.AppendUint(b, 8, uint64(q.ResponseAllowance))
 	return appender.AppendUint(b, 9, protowire.EncodeBool(q.UsesAdvice))
 }
 
@@ -99,13 +99,13 @@
 		case 2:
 			return f.StoreString(&q.Host, maxTextLen)
 		case 3:
-			return f.StoreString(&q.PathPrefix, maxTextLen)
+			return f.StoreString(&q.URLPrefix, maxTextLen)
 		case 4:
 			return f.StoreString(&q.Service, maxTextLen)
 		case 5:
 			return f.StoreUint(&q.Priority)
 		case 6:
-			return f.StoreUint(&q.MaxAttempts)
+			return f.StoreUint(&q.AttemptLimit)
 		case 7:
 			return f.StoreUint(&stretch)
 		case 8:
@@ -115,7 +115,7 @@
 		}
 		return nil
 	})
-	q.Stretch, q.TargetRuntime, q.UsesAdvice = math.Float64frombits(stretch), timer.Millis(target), advised != 0
+	q.Stretch, q.ResponseAllowance, q.UsesAdvice = math.Float64frombits(stretch), timer.Millis(target), advised != 0
 	return q, err
 }
 
@@ -136,7 +136,7 @@
 		}
 		return nil
 	})
-	v.AdmissionControl, v.Standby = guarded != 0, standby != 0
+	v.EnforcesCapacity, v.Standby = guarded != 0, standby != 0
 	return v, err
 }
 
--- a/router/snapshot.go
+++ b/router/snapshot.go
@@ -21,16 +21,16 @@
 type (
 	// Queue is a route for jobs: requests to a host with a path prefix, and the service that runs their tasks.
 	Queue struct {
-		Name        string
-		Host        string
-		PathPrefix  string // path prefix, ends in a slash
-		Service     string
-		Priority    uint64 // 0 is the highest priority
-		MaxAttempts uint64 // number of failed attempts of one task after which the job fails; 0 means 1
-		// Stretch and TargetRuntime determine the response time that callers expect: Stretch times the duration of the
-		// critical path, plus TargetRuntime.
-		Stretch       float64
-		TargetRuntime timer.Millis
+		Name         string
+		Host         string
+		URLPrefix    string // path prefix, ends in a slash
+		Service      string
+		Priority     uint64 // 0 is the highest priority
+		AttemptLimit uint64 // number of failed attempts of one task after which the job fails; 0 means 1
+		// Stretch and ResponseAllowance determine the response time that callers expect: Stretch times the duration of the
+		// critical path, plus ResponseAllowance.
+		Stretch           float64
+		ResponseAllowance timer.Millis
 		// UsesAdvice is set if an advice service selects the backend servers that may run a step. Such queues are not
 		// supported.
 		UsesAdvice bool
@@ -39,16 +39,16 @@
 	// Service is a group of equivalent backend servers.
 	Service struct {
 		Name string
-		// AdmissionControl is set if the backend servers reject requests that exceed their capacity.
-		AdmissionControl bool
+		// EnforcesCapacity is set if the backend servers reject requests that exceed their capacity.
+		EnforcesCapacity bool
 		// Standby is set if the backend servers are switched off.
 		Standby bool
 	}
 
 	// Limits are the maximum sizes of callers' requests.
 	Limits struct {
-		MaxHeaderBytes uint64
-		MaxBodyBytes   uint64
+		HeaderBytesLimit uint64
+		BodyBytesLimit   uint64
 	}
 
 	// Snapshot is the configuration at an offset of the store. The zero value has no configuration.
@@ -86,8 +86,8 @@
 // Match returns the queue of the host with the longest matching path prefix, and the rest of the path.
 func (s *Snapshot) Match(host, path string) (q Queue, rest string, ok bool) {
 	for i := range s.queues {
-		if s.queues[i].Host == host && strings.HasPrefix(path, s.queues[i].PathPrefix) {
-			return s.queues[i], path[len(s.queues[i].PathPrefix):], true
+		if s.queues[i].Host == host && strings.HasPrefix(path, s.queues[i].URLPrefix) {
+			return s.queues[i], path[len(s.queues[i].URLPrefix):], true
 		}
 	}
 	return q, "", false
@@ -103,15 +103,15 @@
 	s.queues = slices.Clone(queues)
 	for i := range s.queues {
 		q := &s.queues[i]
-		if q.MaxAttempts == 0 {
-			q.MaxAttempts = defaultAttempts
+		if q.AttemptLimit == 0 {
+			q.AttemptLimit = defaultAttempts
 		}
 		if q.Stretch <= 0 {
 			q.Stretch = defaultStretch
 		}
 	}
 	// Sorted by descending length, so that the first match has the longest prefix.
-	slices.SortStableFunc(s.queues, func(a, b Queue) int { return len(b.PathPrefix) - len(a.PathPrefix) })
+	slices.SortStableFunc(s.queues, func(a, b Queue) int { return len(b.URLPrefix) - len(a.URLPrefix) })
 	s.services = make(map[string]Service, len(services))
 	for _, v := range services {
 		s.services[v.Name] = v
--- a/router/snapshot_test.go
+++ b/router/snapshot_test.go
@@ -6,9 +6,9 @@
 )
 
 var testQueues = []Queue{
-	{Name: "a", Host: "h", PathPrefix: "/a/", Service: "s", Priority: 2, MaxAttempts: 3, Stretch: 1.5, TargetRuntime: 60},
-	{Name: "ab", Host: "h", PathPrefix: "/a/b/", Service: "s", MaxAttempts: 1, Stretch: 2},
-	{Name: "other", Host: "o", PathPrefix: "/a/", Service: "t", MaxAttempts: 1, Stretch: 2, UsesAdvice: true},
+	{Name: "a", Host: "h", URLPrefix: "/a/", Service: "s", Priority: 2, AttemptLimit: 3, Stretch: 1.5, ResponseAllowance: 60},
+	{Name: "ab", Host: "h", URLPrefix: "/a/b/", Service: "s", AttemptLimit: 1, Stretch: 2},
+	{Name: "other", Host: "o", URLPrefix: "/a/", Service: "t", AttemptLimit: 1, Stretch: 2, UsesAdvice: true},
 }
 
 // TestMatch checks that requests are routed to the queue with the longest matching prefix on their host, if any.
@@ -29,9 +29,9 @@
 // TestForward checks that versions and offsets never decrease, that changes return copies, and the differences between
 // versions.
 func TestForward(t *testing.T) {
-	s := Snapshot{}.WithConfiguration(5, testQueues, nil, Limits{MaxBodyBytes: 1}).WithOffset(9)
+	s := Snapshot{}.WithConfiguration(5, testQueues, nil, Limits{BodyBytesLimit: 1}).WithOffset(9)
 	s = s.WithConfiguration(4, nil, nil, Limits{}).WithOffset(3)
-	if s.Version != 5 || len(s.Queues()) != 3 || s.Offset != 9 || s.Limits.MaxBodyBytes != 1 {
+	if s.Version != 5 || len(s.Queues()) != 3 || s.Offset != 9 || s.Limits.BodyBytesLimit != 1 {
 		t.Errorf("got version %d, %d queues, offset %d, want 5, 3 and 9", s.Version, len(s.Queues()), s.Offset)
 	}
 	older := s
@@ -40,7 +40,7 @@
 	if older.DomainWithdrawn("north") || !s.DomainWithdrawn("north") || returned.DomainWithdrawn("north") {
 		t.Error("WithDomain modified its receiver, want a copy")
 	}
-	next := s.WithConfiguration(6, append([]Queue{{Name: "new", PathPrefix: "/n/"}}, testQueues[1:]...), nil, Limits{})
+	next := s.WithConfiguration(6, append([]Queue{{Name: "new", URLPrefix: "/n/"}}, testQueues[1:]...), nil, Limits{})
 	if got, want := next.ChangesSince(&s), (Change{Added: []string{"new"}, Withdrawn: []string{"a"}}); !reflect.DeepEqual(got, want) {
 		t.Errorf("got %+v, want %+v", got, want)
 	}
@@ -49,7 +49,7 @@
 // TestCodec checks that snapshots survive a round trip, so that forwarding loses no part of the configuration, and that
 // truncated encodings are rejected.
 func TestCodec(t *testing.T) {
-	want := Snapshot{}.WithConfiguration(5, testQueues, []Service{{Name: "s", AdmissionControl: true}, {Name: "t", Standby: true}}, Limits{MaxHeaderBytes: 2, MaxBodyBytes: 3}).
+	want := Snapshot{}.WithConfiguration(5, testQueues, []Service{{Name: "s", EnforcesCapacity: true}, {Name: "t", Standby: true}}, Limits{HeaderBytesLimit: 2, BodyBytesLimit: 3}).
 		WithDomain("north", true).WithOffset(17)
 	got, err := Decode(want.Append(nil))
 	if err != nil || !reflect.DeepEqual(got, want) {
--- a/submitter/durable.go
+++ b/submitter/durable.go
@@ -211,7 +211,7 @@
 // recordOf returns the record of a new job.
 func recordOf(j *Job) *marshaler.JobRecord {
 	return &marshaler.JobRecord{
-		ID: j.ID, Queue: j.Queue.Name, Service: j.Queue.Service, Attempts: j.Queue.MaxAttempts, Priority: j.Queue.Priority, Spec: j.Spec,
+		ID: j.ID, Queue: j.Queue.Name, Service: j.Queue.Service, Attempts: j.Queue.AttemptLimit, Priority: j.Queue.Priority, Spec: j.Spec,
 		Steps: j.Steps,
 	}
 }
--- a/submitter/ends.go
+++ b/submitter/ends.go
@@ -100,7 +100,7 @@
 	}
 	j.avoidSidecar(sc.name)
 	t.failures++
-	if t.failures >= max(j.Queue.MaxAttempts, 1) {
+	if t.failures >= max(j.Queue.AttemptLimit, 1) {
 		t.state = taskAborted
 		return
 	}
--- a/submitter/kind.go
+++ b/submitter/kind.go
@@ -26,11 +26,11 @@
 
 // Kind holds the features that a job requests beyond restartable tasks.
 type Kind struct {
-	Durable       bool // the job and its state survive the loss of its entry
-	Recurring     bool // recurs at scheduled times
-	LongRunning   bool // tasks are long-running: they run until the job is cancelled
-	SpareCapacity bool // tasks use only capacity that no other task needs
-	Gang          bool // gang scheduling: tasks only work if all of them run
+	Durable        bool // the job and its state survive the loss of its entry
+	Recurring      bool // recurs at scheduled times
+	UntilCancelled bool // tasks run until the job is cancelled
+	SpareCapacity  bool // tasks use only capacity that no other task needs
+	Coscheduled    bool // gang scheduling: tasks only work if all of them run
 }
 
 // invalidReason returns why a job is invalid, or "". An invalid job must not be forwarded to other entries.
@@ -50,9 +50,9 @@
 	switch {
 	case k.Recurring:
 		return "jobs that repeat are not supported"
-	case k.LongRunning, k.SpareCapacity:
+	case k.UntilCancelled, k.SpareCapacity:
 		return "tasks that last or fill are not supported"
-	case k.Gang:
+	case k.Coscheduled:
 		return "tasks that work only together are not supported"
 	case j.Queue.UsesAdvice:
 		return "queues with an advice service are not supported"
--- a/submitter/outcome_test.go
+++ b/submitter/outcome_test.go
@@ -137,7 +137,7 @@
 		ok   bool
 	}{
 		{"restartable", Kind{}, true}, {"repeats", Kind{Recurring: true}, false},
-		{"lasts", Kind{LongRunning: true}, false}, {"fills", Kind{SpareCapacity: true}, false}, {"together", Kind{Gang: true}, false},
+		{"lasts", Kind{UntilCancelled: true}, false}, {"fills", Kind{SpareCapacity: true}, false}, {"together", Kind{Coscheduled: true}, false},
 	}
 	for _, c := range cases {
 		f := newFixture()
--- a/submitter/placement.go
+++ b/submitter/placement.go
@@ -51,7 +51,7 @@
 	m := &marshaler.ResourceRequest{
 		Job: j.ID, Step: uint64(step), Service: j.Queue.Service, Queue: j.Queue.Name, Tasks: uint64(tasks), Resources: st.Resources, Estimate: st.Estimate,
 		Slack: max(j.targetStart-s.now, 0), MaxWait: max(j.latestStart-s.now, 0), Priority: j.Queue.Priority, Started: j.committed(), Avoid: j.avoidedSidecars,
-		Label: st.Label, Rack: st.Rack, MaxPerServer: st.MaxPerServer, Placed: st.assignedSidecars(),
+		Label: st.Label, Rack: st.Rack, ServerTaskLimit: st.ServerTaskLimit, Placed: st.assignedSidecars(),
 	}
 	at := s.placingEntry()
 	if st.requested > 0 && at != st.requestedFrom {
@@ -245,7 +245,7 @@
 	case marshaler.StatusFailed:
 		j.avoidSidecar(sc.name)
 		t.failures++
-		if t.failures >= j.Queue.MaxAttempts {
+		if t.failures >= j.Queue.AttemptLimit {
 			t.state = taskDone
 			s.finish(j, Answer{Kind: AnswerFailed, Reason: "a task failed as often as its queue allows"})
 			return
--- a/submitter/recovery.go
+++ b/submitter/recovery.go
@@ -42,7 +42,7 @@
 	return &job{
 		Job: Job{
 			ID: record.ID, Kind: Kind{Durable: true}, Spec: record.Spec, Steps: record.Steps,
-			Queue: router.Queue{Name: record.Queue, Service: record.Service, MaxAttempts: record.Attempts, Priority: record.Priority},
+			Queue: router.Queue{Name: record.Queue, Service: record.Service, AttemptLimit: record.Attempts, Priority: record.Priority},
 		},
 		steps:      newSteps(record.Steps),
 		durability: durableState{record: record, recordingEnds: map[endKey]bool{}},
--- a/submitter/sim_test.go
+++ b/submitter/sim_test.go
@@ -462,10 +462,10 @@
 	})
 }
 
-var testQueue = router.Queue{Name: "q", Host: "h", PathPrefix: "/q/", Service: "svc", MaxAttempts: 3, Stretch: 1.6, TargetRuntime: 60}
+var testQueue = router.Queue{Name: "q", Host: "h", URLPrefix: "/q/", Service: "svc", AttemptLimit: 3, Stretch: 1.6, ResponseAllowance: 60}
 
 func testSnapshot() router.Snapshot {
-	return router.Snapshot{}.WithConfiguration(1, []router.Queue{testQueue}, []router.Service{{Name: "svc", AdmissionControl: true}}, router.Limits{}).WithOffset(1)
+	return router.Snapshot{}.WithConfiguration(1, []router.Queue{testQueue}, []router.Service{{Name: "svc", EnforcesCapacity: true}}, router.Limits{}).WithOffset(1)
 }
 
 // call executes a call to the backend server, loses its answer, or executes it seconds late.
--- a/submitter/steps.go
+++ b/submitter/steps.go
@@ -42,7 +42,7 @@
 // assignedSidecars returns the sidecar of each running task of a step that has a limit of tasks per backend server. A
 // sidecar occurs once for each task.
 func (st *step) assignedSidecars() (names []string) {
-	if st.MaxPerServer == 0 {
+	if st.ServerTaskLimit == 0 {
 		return nil
 	}
 	for i := range st.tasks {
--- a/submitter/submitter.go
+++ b/submitter/submitter.go
@@ -271,7 +271,7 @@
 
 // expectedResponse returns the response time that the job's queue promises for its estimated run time.
 func (j *Job) expectedResponse() timer.Millis {
-	return timer.Millis(j.Queue.Stretch*float64(j.criticalPath())) + j.Queue.TargetRuntime
+	return timer.Millis(j.Queue.Stretch*float64(j.criticalPath())) + j.Queue.ResponseAllowance
 }
 
 // StartWaitLimit returns how long a job may wait for its first start, given its caller's deadline; 0 means unset.
