--- a/auditor/auditor.go
+++ b/auditor/auditor.go
@@ -1,5 +1,5 @@
-// Package auditor reads the logs of an installation and tells which jobs were lost or late, by cause, and what could have
-// done better.
+// Package auditor reads the logs of an installation and reports the jobs that were lost or late, grouped by cause, with
+// a possible improvement for each cause.
 package auditor
 
 import (
@@ -13,49 +13,50 @@
 	"github.com/gravitational/trace"
 )
 
-// maxLine is the longest log line, in bytes, that is read.
+// maxLine is the maximum length of a log line in bytes.
 const maxLine = 1 << 20
 
 type (
-	// Auditor gathers what the logs say of each job. The zero value is ready to use.
+	// Auditor collects the log events of each job. The zero value is ready to use.
 	Auditor struct {
 		jobs  map[string]*job
-		order []string // identifiers of jobs, by their first line
+		order []string // job IDs in order of their first log line
 		lines int
 	}
 
-	// Loss is a cause, with the jobs that it cost.
+	// Loss is a cause with the jobs that were lost or late because of it.
 	Loss struct {
-		Cause  string
-		Better string // what could have done better
-		Jobs   int
-		// Late says that the jobs were done, later than expected by their estimated run time. Estimates are rough, so
-		// some of them were as fast as could be.
+		Cause       string
+		Improvement string // what could have avoided the loss
+		Jobs        int
+		// Late reports that the jobs completed, but later than their estimated run time implies. Estimates are rough,
+		// so some of these jobs could not have completed sooner.
 		Late   bool
-		First  string // identifier of the first job
+		First  string // ID of the first job
 		Queues map[string]int
 	}
 
-	// Report is the outcome of an audit. Losses come with the largest first, jobs that were late behind those that were lost.
+	// Report is the result of an audit. Losses are sorted by descending number of jobs; lost jobs precede late ones.
 	Report struct {
 		Lines  int
 		Jobs   int
-		Done   int // in time
+		Done   int // completed in time
 		Losses []Loss
 	}
 
-	// job is what is known of a job. A later answer replaces an earlier one: callers send jobs again.
+	// job is the state of a job according to the logs. A later answer replaces an earlier one, because callers resubmit
+	// jobs.
 	job struct {
-		queue   string
-		done    bool
-		late    bool
-		answer  string // of the latest answer that is not "done"
-		requeue string // how the latest repeated attempt had ended
-		granted bool
+		queue         string
+		done          bool
+		late          bool
+		answerDetail  string // detail of the latest answer other than "done"
+		requeueDetail string // end of the attempt before the latest requeue
+		granted       bool
 	}
 
-	// line is a log line as far as it matters here.
-	line struct {
+	// logLine holds the fields of a log logLine that the audit uses.
+	logLine struct {
 		Message    string `json:"message"`
 		Job        string `json:"job"`
 		Queue      string `json:"queue"`
@@ -65,21 +66,21 @@
 	}
 )
 
-// Read takes log lines of any number of processes. What stands before the first brace of a line is left out, and lines
-// without a job are skipped.
+// Read reads log lines, which may come from several processes. It ignores the text before the first brace of a line and
+// skips lines without a job.
 func (a *Auditor) Read(r io.Reader) error {
 	s := bufio.NewScanner(r)
 	s.Buffer(make([]byte, 64<<10), maxLine)
 	for s.Scan() {
 		a.lines++
 		text := s.Text()
-		begin := strings.IndexByte(text, '{')
-		if begin < 0 {
+		start := strings.IndexByte(text, '{')
+		if start < 0 {
 			continue
 		}
-		var l line
-		if json.Unmarshal([]byte(text[begin:]), &l) == nil && l.Job != "" {
-			a.add(&l)
+		var l logLine
+		if json.Unmarshal([]byte(text[start:]), &l) == nil && l.Job != "" {
+			a.addLine(&l)
 		}
 	}
 	if err := s.Err(); err != nil {
@@ -88,12 +89,12 @@
 	return nil
 }
 
-func (a *Auditor) add(l *line) {
-	what, ok := strings.CutPrefix(l.Message, "entry: ")
+func (a *Auditor) addLine(l *logLine) {
+	event, ok := strings.CutPrefix(l.Message, "entry: ")
 	if !ok {
 		return
 	}
-	// A request that is refused before it is understood is logged with its path, which ends with the identifier.
+	// A request that is refused before it is parsed is logged with its path, whose last segment is the job ID.
 	id := l.Job[strings.LastIndexByte(l.Job, '/')+1:]
 	j := a.jobs[id]
 	if j == nil {
@@ -107,23 +108,23 @@
 	if l.Queue != "" {
 		j.queue = l.Queue
 	}
-	switch what {
+	switch event {
 	case "grant":
 		j.granted = true
 	case "requeue":
-		j.requeue = l.Detail
+		j.requeueDetail = l.Detail
 	case "refuse", "unanswered":
-		j.answer = l.Detail
+		j.answerDetail = l.Detail
 	case "answer":
 		if strings.HasPrefix(l.Detail, "done") {
 			j.done, j.late = true, l.ExpectedMs > 0 && l.TookMs > l.ExpectedMs
 		} else {
-			j.answer = l.Detail
+			j.answerDetail = l.Detail
 		}
 	}
 }
 
-// Report returns what was gathered.
+// Report returns the audit of the lines read so far.
 func (a *Auditor) Report() Report {
 	r := Report{Lines: a.lines, Jobs: len(a.jobs)}
 	byCause := map[string]*Loss{}
@@ -136,7 +137,7 @@
 		c := causeOf(j)
 		l := byCause[c.cause]
 		if l == nil {
-			l = &Loss{Cause: c.cause, Better: c.better, Late: j.done, First: id, Queues: map[string]int{}}
+			l = &Loss{Cause: c.cause, Improvement: c.improvement, Late: j.done, First: id, Queues: map[string]int{}}
 			byCause[c.cause] = l
 		}
 		l.Jobs++
@@ -159,13 +160,13 @@
 	return r
 }
 
-// String returns the report as a Markdown table.
+// String formats the report as a Markdown table.
 func (r Report) String() string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "%d jobs in %d lines, %d done in time\n\n", r.Jobs, r.Lines, r.Done)
-	b.WriteString("| jobs | cause | what could have done better | first one |\n|---|---|---|---|\n")
+	b.WriteString("| jobs | cause | possible improvement | first job |\n|---|---|---|---|\n")
 	for _, l := range r.Losses {
-		fmt.Fprintf(&b, "| %d | %s | %s | %s |\n", l.Jobs, l.Cause, l.Better, l.First)
+		fmt.Fprintf(&b, "| %d | %s | %s | %s |\n", l.Jobs, l.Cause, l.Improvement, l.First)
 	}
 	return b.String()
 }
--- a/auditor/auditor_test.go
+++ b/auditor/auditor_test.go
@@ -5,12 +5,12 @@
 	"testing"
 )
 
-// TestCauses guards against lost jobs that are counted under a wrong cause, or not at all.
+// TestCauses guards against lost jobs that are counted under a wrong cause or not counted.
 func TestCauses(t *testing.T) {
 	cases := []struct {
 		name  string
 		lines []string
-		want  string // cause; empty for done in time
+		want  string // cause; empty when the job completed in time
 	}{
 		{"done", []string{`entry: answer","detail":"done ","tookMs":100,"expectedMs":150`}, ""},
 		{"done after a repeated request", []string{`entry: answer","detail":"gaveUp deadline passed"`, `entry: answer","detail":"done "`}, ""},
@@ -18,7 +18,7 @@
 		{"late after a stall", []string{`entry: requeue","detail":"stalled no progress"`, `entry: answer","detail":"done ","tookMs":200,"expectedMs":150`},
 			"late by its estimated run time: a task stood still on its worker"},
 		{"refused", []string{`entry: answer","detail":"notRun no room in time"`}, "refused: no room within the caller's patience"},
-		{"refused before it was understood", []string{`entry: refuse","detail":"callers no configuration yet"`}, "refused: the entry had no configuration"},
+		{"refused before it was parsed", []string{`entry: refuse","detail":"callers no configuration yet"`}, "refused: the entry had no configuration"},
 		{"deadline", []string{`entry: grant","detail":""`, `entry: answer","detail":"gaveUp deadline passed"`}, "deadline passed"},
 		{"deadline after a lost sidecar", []string{`entry: requeue","detail":"lost sidecar was lost"`, `entry: answer","detail":"gaveUp deadline passed"`},
 			"deadline passed, after a sidecar was lost with a task"},
@@ -48,7 +48,7 @@
 	}
 }
 
-// TestReport guards against tables that hide the largest cause.
+// TestReport guards against a wrong order of causes: the report must list the most frequent cause first.
 func TestReport(t *testing.T) {
 	var a Auditor
 	lines := `{"message":"entry: answer","job":"a","queue":"q","detail":"notRun queue is too long"}
@@ -64,7 +64,7 @@
 	}
 	want := `6 jobs in 7 lines, 0 done in time
 
-| jobs | cause | what could have done better | first one |
+| jobs | cause | possible improvement | first job |
 |---|---|---|---|
 | 2 | refused: no room within the caller's patience | capacity; the order of the queue | b |
 | 1 | refused on arrival: the queue was too long | capacity; the order of the queue | a |
--- a/comparer/comparer.go
+++ b/comparer/comparer.go
@@ -1,5 +1,4 @@
-// Package comparer compares the worth of days as the users' bench prints it with the best figures so far, for regression
-// runs.
+// Package comparer compares scores printed by the users' benchmark with the best scores so far, to detect regressions.
 package comparer
 
 import (
@@ -13,39 +12,39 @@
 	"github.com/gravitational/trace"
 )
 
-// Tolerance is the difference of a day's worth that is noise.
+// Tolerance is the largest decrease of a day's worth that counts as noise.
 const Tolerance = 0.03
 
 type (
-	// Scores is the worth of each day of a site, by name.
+	// Scores holds the worth of each day of a site by the day's name.
 	Scores struct {
 		Site   string
 		Days   map[string]float64
-		Passed bool // the site's gate
+		Passed bool // whether the site passed the gate
 	}
 
-	// Best has the best worth of each day so far, by site and day.
+	// Best holds the best worth so far by site and day.
 	Best map[string]map[string]float64
 )
 
 const (
-	headLine   = "score on the standard days of "
-	passedLine = "GATE passed"
-	drawnDay   = "fresh-" // drawn anew in each score, so there is nothing to compare it with
-	// Positions of the columns of a day's line: name, machines, score, worth.
+	scorePrefix      = "score on the standard days of "
+	gatePassedPrefix = "GATE passed"
+	randomDayPrefix  = "fresh-" // generated anew for each score, so there is no earlier figure to compare with
+	// Column positions in the line of a day. The columns are name, machines, score and worth.
 	dayColumn, machinesColumn, worthColumn = 0, 1, 3
 )
 
-// ReadScores reads what a score of one site printed.
+// ReadScores parses the benchmark output for one site.
 func ReadScores(r io.Reader) (s Scores, err error) {
 	s.Days = map[string]float64{}
 	lines := bufio.NewScanner(r)
 	for lines.Scan() {
 		text := lines.Text()
-		if site, ok := strings.CutPrefix(text, headLine); ok {
+		if site, ok := strings.CutPrefix(text, scorePrefix); ok {
 			s.Site, _, _ = strings.Cut(site, " ")
 		}
-		s.Passed = s.Passed || strings.HasPrefix(text, passedLine)
+		s.Passed = s.Passed || strings.HasPrefix(text, gatePassedPrefix)
 		if day, worth, ok := parseDay(text); ok {
 			s.Days[day] = worth
 		}
@@ -54,7 +53,7 @@
 		return s, trace.Wrap(err)
 	}
 	if s.Site == "" || len(s.Days) == 0 {
-		return s, trace.BadParameter("the input has no score: want a line %q and a line for each day", headLine+"SITE")
+		return s, trace.BadParameter("the input has no score: want a line %q and a line for each day", scorePrefix+"SITE")
 	}
 	return s, nil
 }
@@ -65,10 +64,10 @@
 		return "", 0, false
 	}
 	worth, err := strconv.ParseFloat(columns[worthColumn], 64)
-	return columns[dayColumn], worth, err == nil && !strings.HasPrefix(columns[dayColumn], drawnDay)
+	return columns[dayColumn], worth, err == nil && !strings.HasPrefix(columns[dayColumn], randomDayPrefix)
 }
 
-// ReadBest reads lines of a site, a day and its best worth. Empty lines and those that begin with # are left out.
+// ReadBest reads lines with a site, a day and its best worth. It skips empty lines and lines that begin with #.
 func ReadBest(r io.Reader) (Best, error) {
 	b := Best{}
 	lines := bufio.NewScanner(r)
@@ -83,7 +82,7 @@
 		}
 		worth, err := strconv.ParseFloat(columns[2], 64)
 		if err != nil {
-			return nil, trace.BadParameter("line %d: worth %q is no number", n, columns[2])
+			return nil, trace.BadParameter("line %d: worth %q is not a number", n, columns[2])
 		}
 		if b[columns[0]] == nil {
 			b[columns[0]] = map[string]float64{}
@@ -93,15 +92,15 @@
 	return b, trace.Wrap(lines.Err())
 }
 
-// Compare returns what is worse than the best so far by more than Tolerance, one text a finding. Days that are missing in
-// the scores are findings, too.
+// Compare returns one finding for each day whose worth is below the best by more than Tolerance or missing from the
+// scores, and one if the gate was not passed.
 func (b Best) Compare(s Scores) (findings []string) {
 	if !s.Passed {
-		findings = append(findings, fmt.Sprintf("%s: the gate is not passed", s.Site))
+		findings = append(findings, fmt.Sprintf("%s: the gate was not passed", s.Site))
 	}
 	best := b[s.Site]
 	if best == nil {
-		return append(findings, fmt.Sprintf("%s: there are no figures to compare with", s.Site))
+		return append(findings, fmt.Sprintf("%s: there are no best scores to compare with", s.Site))
 	}
 	var days []string
 	for day := range best {
@@ -112,7 +111,7 @@
 		worth, ok := s.Days[day]
 		switch {
 		case !ok:
-			findings = append(findings, fmt.Sprintf("%s %s: not played", s.Site, day))
+			findings = append(findings, fmt.Sprintf("%s %s: missing from the scores", s.Site, day))
 		case worth < best[day]-Tolerance:
 			findings = append(findings, fmt.Sprintf("%s %s: worth %.3f, best so far %.3f", s.Site, day, worth, best[day]))
 		}
--- a/comparer/comparer_test.go
+++ b/comparer/comparer_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-const printed = `built in 2.6 s; 30363 lines in 198 files
+const scoreOutput = `built in 2.6 s; 30363 lines in 198 files
 7 days, 4 at a time
 score on the standard days of some-site (set 03843676): 0.853
 day                  own/srv  score  worth served refused failed  weakest part
@@ -16,7 +16,7 @@
 GATE passed
 `
 
-// TestCompare guards against regressions that pass.
+// TestCompare guards against regressions that are not reported.
 func TestCompare(t *testing.T) {
 	cases := []struct {
 		name    string
@@ -24,12 +24,12 @@
 		best    string
 		want    []string
 	}{
-		{"as good", printed, "some-site quiet-1 0.963\nsome-site trouble-1 0.700", nil},
-		{"within the noise", printed, "some-site trouble-1 0.715", nil},
-		{"worse", printed, "# best\n\nsome-site trouble-1 0.716", []string{"some-site trouble-1: worth 0.685, best so far 0.716"}},
-		{"day is missing", printed, "some-site scale-1 0.8", []string{"some-site scale-1: not played"}},
-		{"gate", strings.Replace(printed, "passed", "failed", 1), "some-site quiet-1 0.9", []string{"some-site: the gate is not passed"}},
-		{"unknown site", printed, "other quiet-1 0.9", []string{"some-site: there are no figures to compare with"}},
+		{"as good", scoreOutput, "some-site quiet-1 0.963\nsome-site trouble-1 0.700", nil},
+		{"within the noise", scoreOutput, "some-site trouble-1 0.715", nil},
+		{"worse", scoreOutput, "# best\n\nsome-site trouble-1 0.716", []string{"some-site trouble-1: worth 0.685, best so far 0.716"}},
+		{"day is missing", scoreOutput, "some-site scale-1 0.8", []string{"some-site scale-1: missing from the scores"}},
+		{"gate", strings.Replace(scoreOutput, "passed", "failed", 1), "some-site quiet-1 0.9", []string{"some-site: the gate was not passed"}},
+		{"unknown site", scoreOutput, "other quiet-1 0.9", []string{"some-site: there are no best scores to compare with"}},
 	}
 	for _, c := range cases {
 		s, err := ReadScores(strings.NewReader(c.printed))
@@ -46,7 +46,7 @@
 	}
 }
 
-// TestMalformed guards against input that is taken for a score without days.
+// TestMalformed guards against malformed input that is accepted as an empty set of scores.
 func TestMalformed(t *testing.T) {
 	if _, err := ReadScores(strings.NewReader("fleetbench: no such site\n")); err == nil {
 		t.Error("got no error for an output without a score, want one")
--- a/driver/bench_test.go
+++ b/driver/bench_test.go
@@ -16,15 +16,15 @@
 	"github.com/crocuslb/crocuslb/timer"
 )
 
-// BenchmarkEntry runs an entry with its HTTP interface and stand-ins in this process, so that a profile shows all of
-// them. Idle submits nothing.
+// BenchmarkEntry runs an entry, its HTTP server and simulated sidecars in this process, so that a profile covers all of
+// them. The idle case submits no jobs.
 func BenchmarkEntry(b *testing.B) {
 	for _, c := range []struct {
 		name        string
 		connections int
 	}{{"idle", 0}, {"saturated", 32}} {
 		b.Run(c.name, func(b *testing.B) {
-			url := benchEntry(b)
+			url := startBenchEntry(b)
 			if c.connections == 0 {
 				for b.Loop() {
 					time.Sleep(time.Second)
@@ -34,41 +34,41 @@
 			b.ResetTimer()
 			l := Load{Prefix: "b", Length: timer.Minute, Jobs: b.N, Connections: c.connections, Tasks: 100, Payload: 64, URLs: []string{url}}
 			if s, err := l.Run(b.Context()); err != nil || s.Failed > 0 {
-				b.Fatal(s.Reason, err)
+				b.Fatal(s.FailureReason, err)
 			}
 		})
 	}
 }
 
-func benchEntry(b *testing.B) string {
+func startBenchEntry(b *testing.B) string {
 	platform := httptest.NewServer(&emulator.Log{})
 	b.Cleanup(platform.Close)
-	quiet := &log.Logger{Handler: discard.Default}
-	quic, err := freeAddress()
+	discardLogger := &log.Logger{Handler: discard.Default}
+	quicAddress, err := freeUDPAddress()
 	if err != nil {
 		b.Fatal(err)
 	}
-	e := &dispatcher.Entry{ID: "entry-0", Listen: quic, Domain: "domain-0", Log: &appender.Client{URL: platform.URL}, Logger: quiet}
+	e := &dispatcher.Entry{ID: "entry-0", Listen: quicAddress, Domain: "domain-0", Log: &appender.Client{URL: platform.URL}, Logger: discardLogger}
 	go func() { _ = e.Run(b.Context()) }()
 	h, err := (&server.Server{Submit: e.Submit, Get: e.Get, Cancel: e.Cancel}).Handler()
 	if err != nil {
 		b.Fatal(err)
 	}
-	web := httptest.NewServer(h)
-	b.Cleanup(web.Close)
+	httpServer := httptest.NewServer(h)
+	b.Cleanup(httpServer.Close)
 	for i := range 8 {
-		(&StandIn{ID: standInName(i), Slots: 500}).Connect(b.Context(), []string{quic})
+		(&SimulatedSidecar{ID: simulatedSidecarID(i), Slots: 500}).Connect(b.Context(), []string{quicAddress})
 	}
 	for n := 0; ; n++ {
-		w := Load{Seed: uint64(n), Prefix: "w", Length: timer.Minute, Jobs: 8, Connections: 8, Tasks: 100, URLs: []string{web.URL}}
-		if s, err := w.Run(b.Context()); err == nil && s.Failed == 0 {
-			return web.URL
+		warmUp := Load{Seed: uint64(n), Prefix: "w", Length: timer.Minute, Jobs: 8, Connections: 8, Tasks: 100, URLs: []string{httpServer.URL}}
+		if s, err := warmUp.Run(b.Context()); err == nil && s.Failed == 0 {
+			return httpServer.URL
 		}
-		time.Sleep(readyPause)
+		time.Sleep(readyRetryInterval)
 	}
 }
 
-func freeAddress() (string, error) {
+func freeUDPAddress() (string, error) {
 	c, err := net.ListenPacket("udp", "127.0.0.1:0")
 	if err != nil {
 		return "", err
--- a/driver/driver_test.go
+++ b/driver/driver_test.go
@@ -10,7 +10,8 @@
 	"time"
 )
 
-// TestLoad guards the counts: each job is sent once under its own key, and an answer without all results is no success.
+// TestLoad guards against wrong counts: each job must be sent once under its own key, and a response that lacks results
+// must count as a failure.
 func TestLoad(t *testing.T) {
 	var mu sync.Mutex
 	keys := map[string]int{}
@@ -30,19 +31,19 @@
 		clear(keys)
 		l := Load{Seed: 3, Prefix: "k", Length: 60_000, Jobs: 40, Rate: rate, Connections: 4, Tasks: 2, URLs: []string{s.URL}}
 		got, err := l.Run(t.Context())
-		if err != nil || len(got.Responses) != 39 || got.Failed != 1 || got.Dropped != 0 || len(keys) != 40 {
+		if err != nil || len(got.Latencies) != 39 || got.Failed != 1 || got.Dropped != 0 || len(keys) != 40 {
 			t.Errorf("rate %v: got %d complete, %d failed, %d dropped, %d keys, %v; want 39, 1, 0, 40",
-				rate, len(got.Responses), got.Failed, got.Dropped, len(keys), err)
+				rate, len(got.Latencies), got.Failed, got.Dropped, len(keys), err)
 		}
 	}
 }
 
-// TestParseUsage guards the positions of the fields when the name of the program looks like fields.
+// TestParseUsage guards against shifted fields when the program name contains spaces or parentheses.
 func TestParseUsage(t *testing.T) {
 	const rest = " S 1 2 3 4 5 6 7 8 9 10 150 50 0 0 20 0 9 0 100 4096 3 0"
 	got, err := parseUsage("12 (a) b (c))" + rest)
-	if err != nil || got.Processor != 2*time.Second || got.Resident == 0 {
-		t.Errorf("got %+v, %v; want 2 s and some memory", got, err)
+	if err != nil || got.CPUTime != 2*time.Second || got.ResidentBytes == 0 {
+		t.Errorf("got %+v, %v; want 2 s and non-zero memory", got, err)
 	}
 	for _, bad := range []string{"", "12 (a) S 1 2", strings.Replace("1 (a)"+rest, "150", "x", 1)} {
 		if _, err := parseUsage(bad); err == nil {
@@ -51,7 +52,7 @@
 	}
 }
 
-// TestCheck guards the bounds of a run, all findings of which are reported at once.
+// TestCheck guards the limits of a plan. All violations must be reported together.
 func TestCheck(t *testing.T) {
 	good := Plan{
 		Load: Load{Length: 1000, Jobs: 1, Connections: 1, Tasks: 1}, Entries: 1, StandIns: 1, Slots: 8,
@@ -69,10 +70,10 @@
 	}
 }
 
-// TestQuantiles guards the subtraction of the run time and the order of samples.
+// TestQuantiles guards against unsorted samples and a run time that is not subtracted.
 func TestQuantiles(t *testing.T) {
-	got := quantiles([]time.Duration{52 * time.Millisecond, 51 * time.Millisecond, 53 * time.Millisecond}, 50*time.Millisecond)
-	if want := "p50 2.00 ms, p99 2.00 ms, p99.9 2.00 ms, highest 3.00 ms"; got != want {
+	got := formatQuantiles([]time.Duration{52 * time.Millisecond, 51 * time.Millisecond, 53 * time.Millisecond}, 50*time.Millisecond)
+	if want := "p50 2.00 ms, p99 2.00 ms, p99.9 2.00 ms, max 3.00 ms"; got != want {
 		t.Errorf("got %q, want %q", got, want)
 	}
 }
--- a/driver/load.go
+++ b/driver/load.go
@@ -15,99 +15,99 @@
 )
 
 const (
-	// waitForAnswer also bounds how long a run goes on after its last arrival.
-	waitForAnswer = 10 * timer.Second
-	// maxBacklog bounds the arrivals that wait for a free connection.
+	// responseTimeout also limits how long a run continues after the last arrival.
+	responseTimeout = 10 * timer.Second
+	// maxBacklog limits the number of arrivals that wait for a free connection.
 	maxBacklog = 10_000
-	// payloadFrame is the size of a payload beside its filling.
-	payloadFrame = 24
+	// payloadOverhead is the size of a payload without its padding.
+	payloadOverhead = 24
 )
 
 type (
-	// Load submits equal jobs to one or more entries. Set the fields before Run.
+	// Load submits identical jobs to one or more entries. Set the fields before Run.
 	Load struct {
 		Seed        uint64
-		Prefix      string // of the submission keys
+		Prefix      string // prefix of the submission keys
 		Length      timer.Millis
-		Jobs        int     // bound on the number of jobs
-		Rate        float64 // arrivals a second, at random times; 0 lets each connection submit when it is answered
+		Jobs        int     // maximum number of jobs
+		Rate        float64 // mean arrivals per second, exponentially spaced; 0 runs a closed loop on each connection
 		Connections int
-		Tasks       int          // of each job
-		RunTime     timer.Millis // of each task
-		Payload     int          // bytes of each task, about
-		URLs        []string     // of the entries, used in turn
+		Tasks       int          // tasks per job
+		RunTime     timer.Millis // run time of each task
+		Payload     int          // approximate payload size of each task in bytes
+		URLs        []string     // entry URLs, used round-robin
 	}
 
-	// Samples is what the callers saw.
-	Samples struct {
-		Responses []time.Duration // of complete jobs, from the arrival
-		Failed    int
-		Dropped   int           // arrivals beyond the backlog
-		Took      time.Duration // from the first arrival to the last answer
-		Reason    string        // of one failure
+	// LoadResult holds the measurements of the HTTP client.
+	LoadResult struct {
+		Latencies     []time.Duration // from the arrival to the response, complete jobs only
+		Failed        int
+		Dropped       int           // arrivals that found the backlog full
+		Elapsed       time.Duration // from the start of the run to the last response
+		FailureReason string        // reason of an arbitrary failure
 	}
 
 	arrival struct {
-		number int
-		due    time.Time // zero when the job is due as soon as a connection is free
+		index int
+		due   time.Time // zero if the job is due as soon as a connection is free
 	}
 )
 
-// Run submits jobs until the time or the number of jobs is reached, and waits for the answers.
-func (l Load) Run(ctx context.Context) (Samples, error) {
-	payload := fmt.Appendf(nil, `{"runMs":%d,"echo":"%s"}`, l.RunTime, bytes.Repeat([]byte("x"), max(1, l.Payload-payloadFrame)))
+// Run submits jobs until Length has passed or Jobs is reached, and waits for the responses.
+func (l Load) Run(ctx context.Context) (LoadResult, error) {
+	payload := fmt.Appendf(nil, `{"runMs":%d,"echo":"%s"}`, l.RunTime, bytes.Repeat([]byte("x"), max(1, l.Payload-payloadOverhead)))
 	j := encoder.Job{Team: "load", Tasks: make([]encoder.JobTask, l.Tasks)}
 	for i := range j.Tasks {
 		j.Tasks[i] = encoder.JobTask{Kind: "quote", Payload: payload, RunTime: l.RunTime}
 	}
-	body, err := server.EncodeJob(j, waitForAnswer)
+	body, err := server.EncodeJob(j, responseTimeout)
 	if err != nil {
-		return Samples{}, err
+		return LoadResult{}, err
 	}
 	transport := &http.Transport{MaxIdleConnsPerHost: l.Connections, MaxConnsPerHost: l.Connections}
 	defer transport.CloseIdleConnections()
-	caller := &http.Client{Transport: transport}
+	client := &http.Client{Transport: transport}
 	backlog := maxBacklog
 	if l.Rate == 0 {
 		backlog = 0
 	}
 	arrivals := make(chan arrival, backlog)
-	samples := make([]Samples, l.Connections)
-	begun := time.Now()
-	var callers sync.WaitGroup
-	for i := range samples {
-		callers.Go(func() {
+	results := make([]LoadResult, l.Connections)
+	start := time.Now()
+	var workers sync.WaitGroup
+	for i := range results {
+		workers.Go(func() {
 			for a := range arrivals {
-				l.submit(ctx, caller, a, body, &samples[i])
+				l.submit(ctx, client, a, body, &results[i])
 			}
 		})
 	}
-	var total Samples
-	total.Dropped = l.arrive(ctx, begun, arrivals)
+	var total LoadResult
+	total.Dropped = l.generateArrivals(ctx, start, arrivals)
 	close(arrivals)
-	callers.Wait()
-	total.Took = time.Since(begun)
-	for _, s := range samples {
-		total.Responses = append(total.Responses, s.Responses...)
+	workers.Wait()
+	total.Elapsed = time.Since(start)
+	for _, s := range results {
+		total.Latencies = append(total.Latencies, s.Latencies...)
 		total.Failed += s.Failed
-		if s.Reason != "" {
-			total.Reason = s.Reason
+		if s.FailureReason != "" {
+			total.FailureReason = s.FailureReason
 		}
 	}
 	return total, nil
 }
 
-// arrive produces the arrivals and returns how many found the backlog full.
-func (l Load) arrive(ctx context.Context, begun time.Time, arrivals chan<- arrival) (dropped int) {
+// generateArrivals sends the arrivals to the channel and returns the number dropped because the backlog was full.
+func (l Load) generateArrivals(ctx context.Context, start time.Time, arrivals chan<- arrival) (dropped int) {
 	r := rand.New(rand.NewPCG(l.Seed, 0))
-	end := begun.Add(l.Length.Duration())
-	due := begun
+	end := start.Add(l.Length.Duration())
+	due := start
 	for n := 0; n < l.Jobs && ctx.Err() == nil; n++ {
 		if l.Rate == 0 {
 			if !time.Now().Before(end) {
 				return dropped
 			}
-			arrivals <- arrival{number: n}
+			arrivals <- arrival{index: n}
 			continue
 		}
 		due = due.Add(time.Duration(r.ExpFloat64() / l.Rate * float64(time.Second)))
@@ -116,7 +116,7 @@
 		}
 		time.Sleep(time.Until(due))
 		select {
-		case arrivals <- arrival{number: n, due: due}:
+		case arrivals <- arrival{index: n, due: due}:
 		default:
 			dropped++
 		}
@@ -124,17 +124,17 @@
 	return dropped
 }
 
-func (l Load) submit(ctx context.Context, caller *http.Client, a arrival, body []byte, s *Samples) {
+func (l Load) submit(ctx context.Context, httpClient *http.Client, a arrival, body []byte, result *LoadResult) {
 	if a.due.IsZero() {
 		a.due = time.Now()
 	}
-	c := server.Client{URL: l.URLs[a.number%len(l.URLs)], HTTP: caller}
-	got, err := c.Submit(ctx, fmt.Sprintf("%s-%d-%d", l.Prefix, l.Seed, a.number), body)
-	took := time.Since(a.due)
+	c := server.Client{URL: l.URLs[a.index%len(l.URLs)], HTTP: httpClient}
+	got, err := c.Submit(ctx, fmt.Sprintf("%s-%d-%d", l.Prefix, l.Seed, a.index), body)
+	latency := time.Since(a.due)
 	if err == nil && got.Status == http.StatusOK && bytes.Count(got.Body, []byte(`{"body":`)) == l.Tasks {
-		s.Responses = append(s.Responses, took)
+		result.Latencies = append(result.Latencies, latency)
 		return
 	}
-	s.Failed++
-	s.Reason = fmt.Sprintf("status %d, %.200s %v", got.Status, got.Body, err)
+	result.Failed++
+	result.FailureReason = fmt.Sprintf("status %d, %.200s %v", got.Status, got.Body, err)
 }
--- a/driver/run.go
+++ b/driver/run.go
@@ -1,4 +1,4 @@
-// Package driver loads a fleet of processes on loopback with jobs and measures latency, processor time and memory.
+// Package driver runs load tests against a fleet of processes on loopback and measures latency, CPU time and memory.
 package driver
 
 import (
@@ -20,27 +20,27 @@
 )
 
 const (
-	readyTimeout = 60 * time.Second
-	readyPause   = 100 * time.Millisecond
-	// directCalls is the number of calls that are sent straight to a backend server for comparison.
-	directCalls  = 100
-	maxRate      = 1e6
-	startedTotal = "crocuslb_started_tasks_total "
+	readyTimeout       = 60 * time.Second
+	readyRetryInterval = 100 * time.Millisecond
+	// directRequests is the number of requests sent directly to a backend server as a baseline.
+	directRequests     = 100
+	maxRate            = 1e6
+	startedTasksMetric = "crocuslb_started_tasks_total "
 )
 
-// Plan describes a run. Every field of Load but Prefix and URLs is to be set.
+// Plan describes a load test. Set every field of Load except Prefix and URLs.
 type Plan struct {
 	Load
 
-	Directory string // holds the built programs
+	Directory string // directory of the built programs
 	Entries   int
-	Backends  int  // backend servers with real sidecars
-	StandIns  int  // sidecars in this process, without backend servers; at most one of the two may be set
-	Slots     int  // of each sidecar
+	Backends  int  // number of backend servers, each with a sidecar process
+	StandIns  int  // number of simulated sidecars in this process; must be 0 if Backends is set
+	Slots     int  // slots per sidecar
 	Other     bool // send the jobs to an entry that is not the owner
 }
 
-// Check returns an error that lists what is wrong with the plan.
+// Check validates the plan and returns all violations in one error.
 func (p Plan) Check() error {
 	var errs []error
 	for _, c := range []struct {
@@ -69,12 +69,12 @@
 		errs = append(errs, trace.BadParameter("backends and stand-ins cannot be mixed"))
 	}
 	if p.Other && p.Entries == 1 {
-		errs = append(errs, trace.BadParameter("a single entry is the owner of every key"))
+		errs = append(errs, trace.BadParameter("-other needs two or more entries: a single entry owns every key"))
 	}
 	return trace.NewAggregate(errs...)
 }
 
-// Run launches the fleet, sends the load and returns the measurements.
+// Run launches the fleet, applies the load and returns the measurements.
 func Run(ctx context.Context, p Plan) (*Report, error) {
 	if err := p.Check(); err != nil {
 		return nil, err
@@ -86,13 +86,13 @@
 	if err := f.Launch(ctx); err != nil {
 		return nil, err
 	}
-	if err := p.standIns(ctx, f); err != nil {
+	if err := p.connectSimulatedSidecars(ctx, f); err != nil {
 		return nil, err
 	}
-	if err := p.ready(ctx, f); err != nil {
+	if err := p.awaitReady(ctx, f); err != nil {
 		return nil, err
 	}
-	owner, err := ownerOf(ctx, f)
+	owner, err := findOwner(ctx, f)
 	if err != nil {
 		return nil, err
 	}
@@ -102,30 +102,30 @@
 		p.URLs[0] = f.EntryURL((owner + 1) % p.Entries)
 	}
 	if p.Backends > 0 {
-		if r.Direct, err = p.direct(ctx, f.BackendURL(0)); err != nil {
+		if r.DirectLatencies, err = p.measureDirect(ctx, f.BackendURL(0)); err != nil {
 			return nil, err
 		}
 	}
-	before, err := p.usage(f)
+	before, err := p.processUsage(f)
 	if err != nil {
 		return nil, err
 	}
 	p.Prefix = "load"
-	if r.Samples, err = p.Run(ctx); err != nil {
+	if r.Result, err = p.Run(ctx); err != nil {
 		return nil, err
 	}
-	if r.Usage, err = p.usage(f); err != nil {
+	if r.Usage, err = p.processUsage(f); err != nil {
 		return nil, err
 	}
 	for name, u := range before {
 		after := r.Usage[name]
-		after.Processor -= u.Processor
+		after.CPUTime -= u.CPUTime
 		r.Usage[name] = after
 	}
 	return r, nil
 }
 
-func (p Plan) standIns(ctx context.Context, f *launcher.Fleet) error {
+func (p Plan) connectSimulatedSidecars(ctx context.Context, f *launcher.Fleet) error {
 	keys, err := f.Keys()
 	if err != nil {
 		return err
@@ -135,93 +135,93 @@
 		entries = append(entries, f.EntryAddress(i))
 	}
 	for i := range p.StandIns {
-		s := &StandIn{ID: standInName(i), Slots: uint32(p.Slots), RunTime: p.RunTime, TLS: keys}
+		s := &SimulatedSidecar{ID: simulatedSidecarID(i), Slots: uint32(p.Slots), RunTime: p.RunTime, TLS: keys}
 		s.Connect(ctx, entries)
 	}
 	return nil
 }
 
-// ready warms the fleet up: it repeats a small load until no job of it fails.
-func (p Plan) ready(ctx context.Context, f *launcher.Fleet) error {
+// awaitReady repeats a small load until none of its jobs fails.
+func (p Plan) awaitReady(ctx context.Context, f *launcher.Fleet) error {
 	ctx, cancel := context.WithTimeout(ctx, readyTimeout)
 	defer cancel()
-	w := p.Load
-	w.Rate, w.Jobs, w.RunTime = 0, p.Connections, min(p.RunTime, 1)
+	warmUp := p.Load
+	warmUp.Rate, warmUp.Jobs, warmUp.RunTime = 0, p.Connections, min(p.RunTime, 1)
 	for i := range p.Entries {
-		w.URLs = append(w.URLs, f.EntryURL(i))
+		warmUp.URLs = append(warmUp.URLs, f.EntryURL(i))
 	}
 	for n := 0; ; n++ {
-		w.Prefix = "warm" + strconv.Itoa(n)
-		s, err := w.Run(ctx)
+		warmUp.Prefix = "warm" + strconv.Itoa(n)
+		result, err := warmUp.Run(ctx)
 		if err != nil {
 			return err
 		}
-		if s.Failed == 0 {
+		if result.Failed == 0 {
 			return nil
 		}
 		if ctx.Err() != nil {
-			return trace.LimitExceeded("the fleet was not ready: %s", s.Reason)
+			return trace.LimitExceeded("fleet not ready before the timeout: %s", result.FailureReason)
 		}
-		time.Sleep(readyPause)
+		time.Sleep(readyRetryInterval)
 	}
 }
 
-// ownerOf returns the entry that started the most tasks.
-func ownerOf(ctx context.Context, f *launcher.Fleet) (int, error) {
-	owner, most := 0, -1
+// findOwner returns the index of the entry that started the most tasks.
+func findOwner(ctx context.Context, f *launcher.Fleet) (int, error) {
+	owner, maxStarts := 0, -1
 	for i := range f.Entries {
-		q, err := http.NewRequestWithContext(ctx, http.MethodGet, f.EntryURL(i)+"/metrics", nil)
+		request, err := http.NewRequestWithContext(ctx, http.MethodGet, f.EntryURL(i)+"/metrics", nil)
 		if err != nil {
 			return 0, trace.Wrap(err)
 		}
-		q.Header.Set("Authorization", "Bearer "+launcher.Token)
-		a, err := http.DefaultClient.Do(q)
+		request.Header.Set("Authorization", "Bearer "+launcher.Token)
+		response, err := http.DefaultClient.Do(request)
 		if err != nil {
 			return 0, trace.Wrap(err)
 		}
-		body, err := io.ReadAll(a.Body)
-		if err = trace.NewAggregate(err, a.Body.Close()); err != nil {
+		body, err := io.ReadAll(response.Body)
+		if err = trace.NewAggregate(err, response.Body.Close()); err != nil {
 			return 0, err
 		}
 		for line := range strings.Lines(string(body)) {
-			if text, ok := strings.CutPrefix(line, startedTotal); ok {
-				if n, err := strconv.Atoi(strings.TrimSpace(text)); err == nil && n > most {
-					owner, most = i, n
+			if value, ok := strings.CutPrefix(line, startedTasksMetric); ok {
+				if n, err := strconv.Atoi(strings.TrimSpace(value)); err == nil && n > maxStarts {
+					owner, maxStarts = i, n
 				}
 			}
 		}
 	}
-	if most < 0 {
-		return 0, trace.NotFound("no entry reports the number of tasks that it started")
+	if maxStarts < 0 {
+		return 0, trace.NotFound("no entry exports the metric crocuslb_started_tasks_total")
 	}
 	return owner, nil
 }
 
-// direct measures calls to a backend server without the path.
-func (p Plan) direct(ctx context.Context, url string) ([]time.Duration, error) {
-	var list []time.Duration
-	for range directCalls {
-		q, err := http.NewRequestWithContext(ctx, http.MethodPost, url+"/run/quote",
+// measureDirect measures requests sent to a backend server without an entry or a sidecar in between.
+func (p Plan) measureDirect(ctx context.Context, url string) ([]time.Duration, error) {
+	var latencies []time.Duration
+	for range directRequests {
+		request, err := http.NewRequestWithContext(ctx, http.MethodPost, url+"/run/quote",
 			bytes.NewReader(fmt.Appendf(nil, `{"runMs":%d,"echo":"x"}`, p.RunTime)))
 		if err != nil {
 			return nil, trace.Wrap(err)
 		}
-		begun := time.Now()
-		a, err := http.DefaultClient.Do(q)
+		start := time.Now()
+		response, err := http.DefaultClient.Do(request)
 		if err != nil {
 			return nil, trace.Wrap(err)
 		}
-		_, err = io.Copy(io.Discard, a.Body)
-		if err = trace.NewAggregate(err, a.Body.Close()); err != nil {
+		_, err = io.Copy(io.Discard, response.Body)
+		if err = trace.NewAggregate(err, response.Body.Close()); err != nil {
 			return nil, err
 		}
-		list = append(list, time.Since(begun))
+		latencies = append(latencies, time.Since(start))
 	}
-	return list, nil
+	return latencies, nil
 }
 
-// usage returns the usage of each process of the product by name.
-func (p Plan) usage(f *launcher.Fleet) (map[string]Usage, error) {
+// processUsage returns the resource usage of each entry and sidecar process by name.
+func (p Plan) processUsage(f *launcher.Fleet) (map[string]Usage, error) {
 	var names []string
 	for i := range p.Entries {
 		names = append(names, launcher.EntryName(i))
@@ -229,15 +229,15 @@
 	for i := range p.Backends {
 		names = append(names, launcher.SidecarName(i))
 	}
-	list := map[string]Usage{}
+	usage := map[string]Usage{}
 	for _, name := range names {
 		u, err := readUsage(f.Process(name).PID())
 		if err != nil {
 			return nil, trace.Wrap(err, "usage of %s", name)
 		}
-		list[name] = u
+		usage[name] = u
 	}
-	return list, nil
+	return usage, nil
 }
 
-func sortedNames(list map[string]Usage) []string { return slices.Sorted(maps.Keys(list)) }
+func sortedNames(usage map[string]Usage) []string { return slices.Sorted(maps.Keys(usage)) }
--- a/driver/usage.go
+++ b/driver/usage.go
@@ -11,19 +11,18 @@
 )
 
 const (
-	// clockTicks is the unit of processor times in /proc, in ticks a second. Linux fixes it for user programs.
-	clockTicks = 100
-	// The fields are counted from the one after the program's name.
-	userField, systemField, residentField = 11, 12, 21
+	// ticksPerSecond is the unit of CPU times in /proc. Linux fixes it at 100 for user space (USER_HZ).
+	ticksPerSecond = 100
+	// Indexes of the fields of /proc/PID/stat, counted from the field after the program name.
+	utimeField, stimeField, rssField = 11, 12, 21
 )
 
-// Usage is what one process has used.
+// Usage is the resource usage of a process.
 type Usage struct {
-	Processor time.Duration // user and system time, in steps of 10 ms
-	Resident  int64         // bytes of memory
+	CPUTime       time.Duration // user and system time, in steps of 10 ms
+	ResidentBytes int64         // resident memory
 }
 
-// readUsage reads the usage of a process.
 func readUsage(pid int) (Usage, error) {
 	b, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
 	if err != nil {
@@ -32,19 +31,19 @@
 	return parseUsage(string(b))
 }
 
-// parseUsage parses /proc/PID/stat. The name of the program may contain spaces and parentheses.
+// parseUsage parses the contents of /proc/PID/stat. The program name may contain spaces and parentheses.
 func parseUsage(stat string) (Usage, error) {
 	fields := strings.Fields(stat[strings.LastIndexByte(stat, ')')+1:])
-	if len(fields) <= residentField {
-		return Usage{}, trace.BadParameter("the process status has %d fields", len(fields))
+	if len(fields) <= rssField {
+		return Usage{}, trace.BadParameter("process status has only %d fields after the program name", len(fields))
 	}
-	var n [3]int64
-	for i, f := range []int{userField, systemField, residentField} {
+	var values [3]int64
+	for i, f := range []int{utimeField, stimeField, rssField} {
 		v, err := strconv.ParseInt(fields[f], 10, 64)
 		if err != nil {
 			return Usage{}, trace.BadParameter("field %d of the process status: %v", f, err)
 		}
-		n[i] = v
+		values[i] = v
 	}
-	return Usage{Processor: time.Duration(n[0]+n[1]) * time.Second / clockTicks, Resident: n[2] * int64(os.Getpagesize())}, nil
+	return Usage{CPUTime: time.Duration(values[0]+values[1]) * time.Second / ticksPerSecond, ResidentBytes: values[2] * int64(os.Getpagesize())}, nil
 }
--- a/loader/file.go
+++ b/loader/file.go
@@ -7,17 +7,18 @@
 	"github.com/gravitational/trace"
 )
 
-const maxFile = 256 << 10 // bytes of a settings file
+const maxFileBytes = 256 << 10
 
-// ReadFile reads a settings file: one NAME=value pair on each line, with the names of the environment variables. Empty
-// lines and lines that begin with # are skipped. A line without = is a finding of Load, which names it.
+// ReadFile reads a settings file with one NAME=value pair per line, where NAME is that of the environment variable with
+// or without its prefix. Empty lines and lines that begin with # are skipped. Lines without = are passed on to Load, which
+// reports them.
 func ReadFile(path string) ([]string, error) {
 	data, err := os.ReadFile(path) //nolint:gosec // the path is the operator's own setting
 	if err != nil {
 		return nil, trace.ConvertSystemError(err)
 	}
-	if len(data) > maxFile {
-		return nil, trace.LimitExceeded("settings file %s has %d bytes, more than %d", path, len(data), maxFile)
+	if len(data) > maxFileBytes {
+		return nil, trace.LimitExceeded("settings file %s has %d bytes, want at most %d", path, len(data), maxFileBytes)
 	}
 	var pairs []string
 	for line := range strings.Lines(string(data)) {
--- a/loader/report.go
+++ b/loader/report.go
@@ -7,10 +7,10 @@
 	"text/tabwriter"
 )
 
-const hidden = "(not shown)"
+const redacted = "(not shown)"
 
 type (
-	settingWire struct {
+	settingJSON struct {
 		Name     string  `json:"name"`
 		Variable string  `json:"variable"`
 		Unit     string  `json:"unit"`
@@ -22,26 +22,26 @@
 		Secret   bool    `json:"secret,omitempty"`
 	}
 
-	valueWire struct {
+	valueJSON struct {
 		Name   string `json:"name"`
 		Value  string `json:"value"`
 		Unit   string `json:"unit"`
 		Source string `json:"source"`
 	}
 
-	findingWire struct {
+	findingJSON struct {
 		Place  string `json:"place"`
 		Reason string `json:"reason"`
 	}
 
-	checkWire struct {
+	checkJSON struct {
 		Valid    bool          `json:"valid"`
-		Findings []findingWire `json:"findings"`
-		Values   []valueWire   `json:"values"`
+		Findings []findingJSON `json:"findings"`
+		Values   []valueJSON   `json:"values"`
 	}
 )
 
-// Text returns the settings as a table with flags, variables, units, defaults and meanings.
+// Text returns the settings as a table with flags, variables, units, defaults and descriptions.
 func (s Set) Text() string {
 	var b bytes.Buffer
 	w := tabwriter.NewWriter(&b, 0, 4, 2, ' ', 0)
@@ -54,7 +54,7 @@
 			value = "no default"
 		}
 		if st.Min != 0 || st.Max != 0 {
-			value += ", " + number(st.Min) + ".." + number(st.Max)
+			value += ", " + formatNumber(st.Min) + ".." + formatNumber(st.Max)
 		}
 		_, _ = fmt.Fprintf(w, "  -%s\t%s\t%s\t%s\t%s\n", st.Name, st.Unit, value, st.Variable(), st.Meaning)
 	}
@@ -64,9 +64,9 @@
 
 // JSON returns the settings as a JSON array.
 func (s Set) JSON() ([]byte, error) {
-	rows := make([]settingWire, 0, len(s.Settings))
+	rows := make([]settingJSON, 0, len(s.Settings))
 	for _, st := range s.Settings {
-		rows = append(rows, settingWire{
+		rows = append(rows, settingJSON{
 			Name: st.Name, Variable: st.Variable(), Unit: st.Unit.String(), Default: st.Default, Meaning: st.Meaning,
 			Min: st.Min, Max: st.Max, Required: st.Required, Secret: st.Secret,
 		})
@@ -74,8 +74,8 @@
 	return json.MarshalIndent(rows, "", "  ")
 }
 
-// CheckText returns the findings, or the values with their sources when there are none. Secrets are not shown.
-func (s Set) CheckText(l Loaded) string {
+// CheckText returns the findings, or the values with their sources if there are none. Secrets are redacted.
+func (s Set) CheckText(l LoadResult) string {
 	var b bytes.Buffer
 	if len(l.Findings) > 0 {
 		_, _ = fmt.Fprintf(&b, "%d findings in the settings:\n", len(l.Findings))
@@ -85,33 +85,33 @@
 		return b.String()
 	}
 	w := tabwriter.NewWriter(&b, 0, 4, 2, ' ', 0)
-	for _, v := range s.values(l) {
+	for _, v := range s.valuesJSON(l) {
 		_, _ = fmt.Fprintf(w, "%s\t%s\t%s\tfrom %s\n", v.Name, v.Value, v.Unit, v.Source)
 	}
 	_ = w.Flush()
 	return b.String()
 }
 
-// CheckJSON returns what CheckText does as JSON.
-func (s Set) CheckJSON(l Loaded) ([]byte, error) {
-	out := checkWire{Valid: len(l.Findings) == 0, Findings: []findingWire{}, Values: []valueWire{}}
+// CheckJSON returns the findings and, if there are none, the values with their sources as JSON. Secrets are redacted.
+func (s Set) CheckJSON(l LoadResult) ([]byte, error) {
+	out := checkJSON{Valid: len(l.Findings) == 0, Findings: []findingJSON{}, Values: []valueJSON{}}
 	for _, f := range l.Findings {
-		out.Findings = append(out.Findings, findingWire(f))
+		out.Findings = append(out.Findings, findingJSON(f))
 	}
 	if out.Valid {
-		out.Values = s.values(l)
+		out.Values = s.valuesJSON(l)
 	}
 	return json.MarshalIndent(out, "", "  ")
 }
 
-func (s Set) values(l Loaded) []valueWire {
-	rows := make([]valueWire, 0, len(s.Settings))
+func (s Set) valuesJSON(l LoadResult) []valueJSON {
+	rows := make([]valueJSON, 0, len(s.Settings))
 	for _, st := range s.Settings {
 		value := l.Values.Text(st.Name)
 		if st.Secret && value != "" {
-			value = hidden
+			value = redacted
 		}
-		rows = append(rows, valueWire{Name: st.Name, Value: value, Unit: st.Unit.String(), Source: l.Values.Source(st.Name)})
+		rows = append(rows, valueJSON{Name: st.Name, Value: value, Unit: st.Unit.String(), Source: l.Values.Source(st.Name)})
 	}
 	return rows
 }
--- a/loader/set.go
+++ b/loader/set.go
@@ -10,39 +10,40 @@
 )
 
 type (
-	// Finding is one fault in the settings.
+	// Finding is a problem with a setting.
 	Finding struct {
 		Place  string // flag, variable or declaration
 		Reason string
 	}
 
-	// Set is the settings of one subcommand.
+	// Set holds the settings of one subcommand.
 	Set struct {
 		Settings []Setting
-		// Known lists further settings of other subcommands, whose variables are allowed to be set.
+		// Known lists settings of other subcommands. Their environment variables are ignored, not reported.
 		Known []Setting
 		Rules []Rule
 	}
 
-	// Rule checks several values together. It is skipped when one of the named values is unsound by itself, so that
-	// no finding is a consequence of another.
+	// Rule validates several values together. It is skipped if one of the named values is invalid by itself, so that
+	// one mistake does not cause several findings.
 	Rule struct {
 		Names []string
 		Check func(v Values) []Finding
 	}
 
-	// Loaded is the outcome of Load. Values must not be used when there are findings.
-	Loaded struct {
+	// LoadResult is the result of Load. Values must not be used if there are findings.
+	LoadResult struct {
 		Values   Values
-		Args     []string // arguments that are no flags
+		Args     []string // positional arguments
 		Help     bool     // -h or -help was given
 		Findings []Finding
 	}
 
-	// given is a flag.Value that records texts and refuses nothing, so that the flag package goes on to the end.
-	given struct {
-		texts    []string
-		isSwitch bool
+	// recordedFlag is a flag.Value that records its values and accepts all of them, so that the flag package parses all
+	// arguments.
+	recordedFlag struct {
+		values []string
+		isBool bool
 	}
 )
 
@@ -50,90 +51,90 @@
 func (f Finding) String() string { return f.Place + ": " + f.Reason }
 
 // String implements flag.Value.
-func (g *given) String() string { return strings.Join(g.texts, " ") }
+func (g *recordedFlag) String() string { return strings.Join(g.values, " ") }
 
 // Set implements flag.Value.
-func (g *given) Set(text string) error {
-	g.texts = append(g.texts, text)
+func (g *recordedFlag) Set(text string) error {
+	g.values = append(g.values, text)
 	return nil
 }
 
-// IsBoolFlag makes the flag package accept the flag without a value.
-func (g *given) IsBoolFlag() bool { return g.isSwitch }
+// IsBoolFlag tells the flag package whether the flag may be given without a value.
+func (g *recordedFlag) IsBoolFlag() bool { return g.isBool }
 
-// Load reads args and environ (NAME=value pairs). Flags win over variables, variables over defaults. It never stops at
-// the first finding.
-func (s Set) Load(args, environ []string) Loaded {
-	out := Loaded{Findings: s.Declared()}
-	if len(out.Findings) > 0 {
-		return out
+// Load parses args and environ (NAME=value pairs). Flags override variables, and variables override defaults. It reports
+// all findings, not only the first.
+func (s Set) Load(args, environ []string) LoadResult {
+	result := LoadResult{Findings: s.Declared()}
+	if len(result.Findings) > 0 {
+		return result
 	}
-	flags := make(map[string]*given, len(s.Settings))
+	flags := make(map[string]*recordedFlag, len(s.Settings))
 	fs := flag.NewFlagSet("", flag.ContinueOnError)
 	fs.SetOutput(io.Discard)
-	for _, st := range s.Settings {
-		g := &given{isSwitch: st.Unit == UnitSwitch}
-		flags[st.Name] = g
-		fs.Var(g, st.Name, st.Meaning)
+	for _, setting := range s.Settings {
+		recorded := &recordedFlag{isBool: setting.Unit == UnitSwitch}
+		flags[setting.Name] = recorded
+		fs.Var(recorded, setting.Name, setting.Meaning)
 	}
-	out.parse(fs, args)
-	variables := s.variables(&out, environ)
-	unsound := map[string]bool{}
-	out.Values = Values{texts: map[string]string{}, sources: map[string]string{}}
-	for _, st := range s.Settings {
-		text, place := st.Default, "default"
-		if t, ok := variables[st.Variable()]; ok {
-			text, place = t, st.Variable()
+	result.parse(fs, args)
+	variables := s.variables(&result, environ)
+	invalid := map[string]bool{}
+	result.Values = Values{values: map[string]string{}, sources: map[string]string{}}
+	for _, setting := range s.Settings {
+		text, place := setting.Default, "default"
+		if t, ok := variables[setting.Variable()]; ok {
+			text, place = t, setting.Variable()
 		}
-		if g := flags[st.Name]; len(g.texts) > 0 {
-			text, place = g.texts[0], "-"+st.Name
-			if len(g.texts) > 1 {
-				out.add(place, "is given %d times", len(g.texts))
-				unsound[st.Name] = true
+		if recorded := flags[setting.Name]; len(recorded.values) > 0 {
+			text, place = recorded.values[0], "-"+setting.Name
+			if len(recorded.values) > 1 {
+				result.addFinding(place, "the flag is given %d times", len(recorded.values))
+				invalid[setting.Name] = true
 			}
 		}
-		out.Values.texts[st.Name], out.Values.sources[st.Name] = text, place
-		if err := st.check(text); err != nil {
+		result.Values.values[setting.Name], result.Values.sources[setting.Name] = text, place
+		if err := setting.check(text); err != nil {
 			if place == "default" {
-				place = "-" + st.Name + " or " + st.Variable()
+				place = "-" + setting.Name + " or " + setting.Variable()
 			}
-			out.add(place, "%s", err.Error())
-			unsound[st.Name] = true
+			result.addFinding(place, "%s", err.Error())
+			invalid[setting.Name] = true
 		}
 	}
 	for _, rule := range s.Rules {
-		if !slices.ContainsFunc(rule.Names, func(n string) bool { return unsound[n] }) {
-			out.Findings = append(out.Findings, rule.Check(out.Values)...)
+		if !slices.ContainsFunc(rule.Names, func(n string) bool { return invalid[n] }) {
+			result.Findings = append(result.Findings, rule.Check(result.Values)...)
 		}
 	}
-	return out
+	return result
 }
 
-// Declared checks the declarations themselves: names that are doubled or malformed.
+// Declared validates the declarations: duplicate or malformed names and missing descriptions.
 func (s Set) Declared() []Finding {
-	var out Loaded
+	var result LoadResult
 	seen := map[string]bool{}
-	for _, st := range s.Settings {
-		place := "declaration of " + st.Name
-		if st.Name == "" || strings.ContainsFunc(st.Name, func(r rune) bool { return r < '0' || r > 'z' || r > '9' && r < 'A' || r > 'Z' && r < 'a' }) {
-			out.add(place, "the name is not camelCase")
+	for _, setting := range s.Settings {
+		place := "declaration of " + setting.Name
+		if setting.Name == "" || strings.ContainsFunc(setting.Name, func(r rune) bool { return r < '0' || r > 'z' || r > '9' && r < 'A' || r > 'Z' && r < 'a' }) {
+			result.addFinding(place, "the name is not camelCase")
 		}
-		if seen[st.Variable()] {
-			out.add(place, "the name is declared twice")
+		if seen[setting.Variable()] {
+			result.addFinding(place, "the name is declared more than once")
 		}
-		seen[st.Variable()] = true
-		if st.Meaning == "" {
-			out.add(place, "the meaning is missing")
+		seen[setting.Variable()] = true
+		if setting.Meaning == "" {
+			result.addFinding(place, "the description is missing")
 		}
 	}
-	return out.Findings
+	return result.Findings
 }
 
-// variables returns the variables of the set and reports unknown ones.
-func (s Set) variables(out *Loaded, environ []string) map[string]string {
+// variables returns the values of the set's environment variables and reports unknown ones.
+func (s Set) variables(result *LoadResult, environ []string) map[string]string {
 	known := map[string]bool{}
-	for _, st := range slices.Concat(s.Settings, s.Known) {
-		known[st.Variable()] = true
+	for _, setting := range slices.Concat(s.Settings, s.Known) {
+		known[setting.Variable()] = true
 	}
 	found := map[string]string{}
 	for _, pair := range environ {
@@ -142,7 +143,7 @@
 			continue
 		}
 		if !known[name] {
-			out.add(name, "the variable names no setting")
+			result.addFinding(name, "unknown variable")
 			continue
 		}
 		found[name] = value
@@ -150,8 +151,8 @@
 	return found
 }
 
-// parse reads all flags, also those after other arguments, and goes on after a flag that it does not know.
-func (l *Loaded) parse(fs *flag.FlagSet, args []string) {
+// parse parses all flags, including those after positional arguments, and continues after unknown flags.
+func (l *LoadResult) parse(fs *flag.FlagSet, args []string) {
 	for len(args) > 0 {
 		err := fs.Parse(args)
 		rest := fs.Args()
@@ -161,22 +162,22 @@
 			continue
 		}
 		if err != nil {
-			syntax := strings.HasPrefix(err.Error(), "bad flag syntax")
-			if syntax { // the flag package leaves the argument in place
+			badSyntax := strings.HasPrefix(err.Error(), "bad flag syntax")
+			if badSyntax { // the flag package does not consume the argument
 				args, rest = rest, rest[1:]
 			}
-			bad := args[len(args)-len(rest)-1]
-			place, _, hasValue := strings.Cut(bad, "=")
-			reason := "the flag names no setting"
+			argument := args[len(args)-len(rest)-1]
+			place, _, hasValue := strings.Cut(argument, "=")
+			reason := "unknown flag"
 			switch {
-			case syntax:
+			case badSyntax:
 				reason = "is not a flag"
 			case fs.Lookup(strings.TrimLeft(place, "-")) != nil:
 				reason = "the value is missing"
 			case !hasValue && len(rest) > 0 && !strings.HasPrefix(rest[0], "-"):
-				rest = rest[1:] // most likely the value of the unknown flag
+				rest = rest[1:] // probably the value of the unknown flag
 			}
-			l.add(place, "%s", reason)
+			l.addFinding(place, "%s", reason)
 			args = rest
 			continue
 		}
@@ -192,6 +193,6 @@
 	}
 }
 
-func (l *Loaded) add(place, format string, args ...any) {
+func (l *LoadResult) addFinding(place, format string, args ...any) {
 	l.Findings = append(l.Findings, Finding{Place: place, Reason: fmt.Sprintf(format, args...)})
 }
--- a/loader/set_test.go
+++ b/loader/set_test.go
@@ -30,7 +30,8 @@
 	}}},
 }
 
-// A finding that is lost lets a process start with settings that its operator did not mean.
+// TestLoadFindings guards against missed findings, which let a process start with settings that the operator did not
+// intend.
 func TestLoadFindings(t *testing.T) {
 	tests := []struct {
 		name    string
@@ -38,15 +39,15 @@
 		environ []string
 		want    []string // places, in order
 	}{
-		{name: "defaults are sound"},
+		{name: "valid defaults"},
 		{name: "unknown flag", args: "-slot 5", want: []string{"-slot"}},
 		{name: "unknown flag with =", args: "-slot=5 -slots 0", want: []string{"-slot", "-slots"}},
 		{name: "unknown variable", environ: []string{"CROCUSLB_SLOT=5", "OTHER=1"}, want: []string{"CROCUSLB_SLOT"}},
 		{name: "variable of another subcommand", environ: []string{"CROCUSLB_ELSEWHERE=5"}},
-		{name: "bad variable", environ: []string{"CROCUSLB_SLOTS=x"}, want: []string{"CROCUSLB_SLOTS"}},
-		{name: "flag hides bad variable", args: "-slots 5", environ: []string{"CROCUSLB_SLOTS=x"}},
+		{name: "invalid variable", environ: []string{"CROCUSLB_SLOTS=x"}, want: []string{"CROCUSLB_SLOTS"}},
+		{name: "flag overrides invalid variable", args: "-slots 5", environ: []string{"CROCUSLB_SLOTS=x"}},
 		{name: "wrong unit", args: "-drainMs 5kg", want: []string{"-drainMs"}},
-		{name: "duration is no number", args: "-drainMs ms", want: []string{"-drainMs"}},
+		{name: "duration is not a number", args: "-drainMs ms", want: []string{"-drainMs"}},
 		{name: "negative duration", args: "-drainMs=-5", want: []string{"-drainMs"}},
 		{name: "duration out of range", args: "-drainMs 2m", want: []string{"-drainMs"}},
 		{name: "count with unit", args: "-slots 5ms", want: []string{"-slots"}},
@@ -66,11 +67,11 @@
 		{name: "switch with another word", args: "-json=maybe", want: []string{"-json"}},
 		{name: "missing value", args: "-slots", want: []string{"-slots"}},
 		{name: "given twice", args: "-slots 5 -slots 6", want: []string{"-slots"}},
-		{name: "no flag", args: "-=5", want: []string{"-"}},
+		{name: "not a flag", args: "-=5", want: []string{"-"}},
 		{name: "rule", args: "-slots 64 -drainMs 0", want: []string{"-slots"}},
-		{name: "rule is skipped for an unsound value", args: "-slots 64 -drainMs 0kg", want: []string{"-drainMs"}},
+		{name: "rule is skipped for an invalid value", args: "-slots 64 -drainMs 0kg", want: []string{"-drainMs"}},
 		{
-			name: "all together", args: "-nothing -slots 0 word -target 2", environ: []string{"CROCUSLB_X=1", "CROCUSLB_RATIO=y"},
+			name: "several findings", args: "-nothing -slots 0 word -target 2", environ: []string{"CROCUSLB_X=1", "CROCUSLB_RATIO=y"},
 			want: []string{"-nothing", "CROCUSLB_X", "-slots", "-target", "CROCUSLB_RATIO"},
 		},
 	}
@@ -98,7 +99,7 @@
 		t.Errorf("got arguments %q, want %q", got, want)
 	}
 	if v.Millis("drainMs") != 1500*timer.Millis(1) || v.Count("slots") != 9 || !v.Switch("json") || len(v.List("kinds")) != 2 {
-		t.Errorf("got %v, want drainMs 1500, slots 9, json true and two kinds", v.texts)
+		t.Errorf("got %v, want drainMs 1500, slots 9, json true and two kinds", v.values)
 	}
 	for name, want := range map[string]string{"drainMs": "-drainMs", "slots": "CROCUSLB_SLOTS", "target": "default"} {
 		if got := v.Source(name); got != want {
@@ -107,17 +108,17 @@
 	}
 }
 
-// A declaration that two settings share would make one of them unreachable.
+// TestDeclared guards against two settings with the same name, one of which could not be set.
 func TestDeclared(t *testing.T) {
 	tests := []struct {
 		name     string
 		settings []Setting
 		want     int
 	}{
-		{"sound", []Setting{{Name: "aB", Meaning: "m"}}, 0},
-		{"doubled", []Setting{{Name: "aB", Meaning: "m"}, {Name: "aB", Meaning: "m"}}, 1},
-		{"no camelCase", []Setting{{Name: "a-b", Meaning: "m"}}, 1},
-		{"no meaning", []Setting{{Name: "a"}}, 1},
+		{"valid", []Setting{{Name: "aB", Meaning: "m"}}, 0},
+		{"duplicate", []Setting{{Name: "aB", Meaning: "m"}, {Name: "aB", Meaning: "m"}}, 1},
+		{"not camelCase", []Setting{{Name: "a-b", Meaning: "m"}}, 1},
+		{"no description", []Setting{{Name: "a"}}, 1},
 	}
 	for _, tc := range tests {
 		if got := (Set{Settings: tc.settings}).Load(nil, nil).Findings; len(got) != tc.want {
@@ -126,7 +127,7 @@
 	}
 }
 
-// Reports are kept in files and tickets, so a secret must not be in them.
+// TestSecretsAreHidden guards against secrets in reports, which end up in files and tickets.
 func TestSecretsAreHidden(t *testing.T) {
 	const value = "do-not-print-this"
 	l := sample.Load([]string{"-secret", value}, nil)
--- a/loader/values.go
+++ b/loader/values.go
@@ -7,25 +7,26 @@
 	"github.com/crocuslb/crocuslb/timer"
 )
 
-// Values holds checked settings. Its methods panic when the name was not declared, which is a bug in the caller.
+// Values holds validated settings. Its methods, except Source, panic if the name is not declared, which is a bug in the
+// caller.
 type Values struct {
-	texts   map[string]string
+	values  map[string]string
 	sources map[string]string
 }
 
-// Text returns the text of a setting.
+// Text returns the value of a setting as text.
 func (v Values) Text(name string) string {
-	t, ok := v.texts[name]
+	t, ok := v.values[name]
 	if !ok {
 		panic("loader: setting " + name + " is not declared")
 	}
 	return t
 }
 
-// Source returns where the value of a setting comes from: its flag, its variable or "default".
+// Source returns the source of a setting's value: its flag, its variable or "default".
 func (v Values) Source(name string) string { return v.sources[name] }
 
-// Millis returns a duration.
+// Millis returns the value of a duration setting.
 func (v Values) Millis(name string) timer.Millis {
 	m, err := ParseMillis(v.Text(name))
 	if err != nil {
@@ -34,7 +35,7 @@
 	return m
 }
 
-// Count returns a whole number.
+// Count returns the value of an integer setting.
 func (v Values) Count(name string) int64 {
 	n, err := strconv.ParseInt(v.Text(name), 10, 64)
 	if err != nil {
@@ -43,7 +44,7 @@
 	return n
 }
 
-// Number returns a share or a ratio.
+// Number returns the value of a share or ratio setting.
 func (v Values) Number(name string) float64 {
 	f, err := strconv.ParseFloat(v.Text(name), 64)
 	if err != nil {
@@ -52,16 +53,16 @@
 	return f
 }
 
-// Switch returns a switch.
+// Switch returns the value of a Boolean setting.
 func (v Values) Switch(name string) bool {
 	b, err := strconv.ParseBool(v.Text(name))
 	return err == nil && b
 }
 
-// List returns the items of a list; it is empty when the setting is.
-func (v Values) List(name string) []string { return split(v.Text(name)) }
+// List returns the items of a list setting; an empty setting has no items.
+func (v Values) List(name string) []string { return splitList(v.Text(name)) }
 
-// Loopback reports whether the address in a setting is empty or on the loopback interface.
+// Loopback reports whether the address in a setting is empty or a loopback address.
 func (v Values) Loopback(name string) bool {
 	if v.Text(name) == "" {
 		return true
--- a/reporter/metrics.go
+++ b/reporter/metrics.go
@@ -10,21 +10,21 @@
 	"github.com/crocuslb/crocuslb/timer"
 )
 
-// Metrics keeps the counters, gauges and histograms of one process. The zero value is ready to use; the methods may be
-// called concurrently. Label values must come from a bounded set.
+// Metrics holds the counters, gauges and histograms of a process. The zero value is ready to use, and the methods are
+// safe for concurrent use. Label values must come from a bounded set.
 type Metrics struct {
 	once sync.Once
 	set  *metrics.Set
 }
 
-// CountCall counts an HTTP call with its status and duration.
+// CountCall records an HTTP request with its status and duration.
 func (m *Metrics) CountCall(call string, status int, took timer.Millis) {
 	s := m.init()
 	s.GetOrCreateCounter(fmt.Sprintf(`crocuslb_http_requests_total{call=%q,status="%d"}`, call, status)).Inc()
 	s.GetOrCreateHistogram(fmt.Sprintf(`crocuslb_http_request_duration_seconds{call=%q}`, call)).Update(took.Duration().Seconds())
 }
 
-// CountJob counts an answered job, its tasks and the bytes of its payloads and results.
+// CountJob records an answered job with the number of its tasks and the sizes of its payloads and results.
 func (m *Metrics) CountJob(state string, tasks, payloadBytes, resultBytes int, took timer.Millis) {
 	s := m.init()
 	s.GetOrCreateCounter(fmt.Sprintf(`crocuslb_jobs_total{state=%q}`, state)).Inc()
@@ -34,37 +34,37 @@
 	s.GetOrCreateHistogram(fmt.Sprintf(`crocuslb_job_response_seconds{state=%q}`, state)).Update(took.Duration().Seconds())
 }
 
-// Count adds one to a counter. The name may carry labels.
+// Count increments a counter. The name may include labels.
 func (m *Metrics) Count(name string) { m.init().GetOrCreateCounter(name).Inc() }
 
-// Observe adds a duration to a histogram. The name ends in _seconds and may carry labels.
+// Observe adds a duration to a histogram. The name must end in _seconds and may include labels.
 func (m *Metrics) Observe(name string, took timer.Millis) {
 	m.init().GetOrCreateHistogram(name).Update(took.Duration().Seconds())
 }
 
-// Gauge adds a gauge that is read at each Write. The name carries its unit as a suffix and may carry labels. A name
-// that exists already is kept.
+// Gauge registers a gauge whose value is read at each Write. The name must have the unit as its suffix and may include
+// labels. If the name is already registered, the existing gauge is kept.
 func (m *Metrics) Gauge(name string, read func() float64) { m.init().GetOrCreateGauge(name, read) }
 
-// Set sets a gauge that Gauge did not add.
+// Set sets a gauge that was not registered with Gauge.
 func (m *Metrics) Set(name string, value float64) { m.init().GetOrCreateGauge(name, nil).Set(value) }
 
-// SetTotal sets a counter to a total that is counted elsewhere. The name ends in _total.
+// SetTotal sets a counter to a total that is counted elsewhere. The name must end in _total.
 func (m *Metrics) SetTotal(name string, total uint64) { m.init().GetOrCreateCounter(name).Set(total) }
 
-// Burn adds gauges for the burn rates and budgets of r, read at the clock's time.
+// Burn registers gauges for the burn rates and remaining error budgets of r.
 func (m *Metrics) Burn(r *Reporter, c timer.Clock) {
 	for i, row := range r.Report(c.Now()).Rows {
-		read := func(pick func(Row) float64) func() float64 {
+		read := func(pick func(ObjectiveStatus) float64) func() float64 {
 			return func() float64 { return pick(r.Report(c.Now()).Rows[i]) }
 		}
-		m.Gauge(fmt.Sprintf(`crocuslb_burn_ratio{objective=%q,window="short"}`, row.Name), read(func(w Row) float64 { return w.BurnShort }))
-		m.Gauge(fmt.Sprintf(`crocuslb_burn_ratio{objective=%q,window="long"}`, row.Name), read(func(w Row) float64 { return w.BurnLong }))
-		m.Gauge(fmt.Sprintf(`crocuslb_budget_left_ratio{objective=%q}`, row.Name), read(func(w Row) float64 { return w.Left }))
+		m.Gauge(fmt.Sprintf(`crocuslb_burn_ratio{objective=%q,window="short"}`, row.Name), read(func(w ObjectiveStatus) float64 { return w.BurnShort }))
+		m.Gauge(fmt.Sprintf(`crocuslb_burn_ratio{objective=%q,window="long"}`, row.Name), read(func(w ObjectiveStatus) float64 { return w.BurnLong }))
+		m.Gauge(fmt.Sprintf(`crocuslb_budget_left_ratio{objective=%q}`, row.Name), read(func(w ObjectiveStatus) float64 { return w.BudgetLeft }))
 	}
 }
 
-// Write writes all metrics and those of the Go runtime in the Prometheus text format.
+// Write writes all metrics and those of the Go runtime and process in the Prometheus text format.
 func (m *Metrics) Write(w io.Writer) {
 	m.init().WritePrometheus(w)
 	metrics.WriteProcessMetrics(w)
--- a/reporter/reporter.go
+++ b/reporter/reporter.go
@@ -1,5 +1,5 @@
-// Package reporter measures service levels against objectives and keeps metrics. The burn core is pure: the time is an
-// argument, and its memory is bounded.
+// Package reporter measures service levels against objectives and keeps metrics. The computation of burn rates takes the
+// time as an argument and uses bounded memory.
 package reporter
 
 import (
@@ -9,10 +9,10 @@
 )
 
 const (
-	response = iota
-	success
-	withdrawal
-	objectives
+	responseObjective = iota
+	successObjective
+	withdrawalObjective
+	objectiveCount
 )
 
 const (
@@ -23,21 +23,20 @@
 )
 
 type (
-	// Objectives are the service levels that are promised. A zero field means its default.
+	// Objectives are the service-level objectives. Zero fields take the default given at the end of each comment.
 	Objectives struct {
-		ResponseRatio    float64      // a job is slow when it takes more than this times the ideal; 1.10
-		ResponseSlack    timer.Millis // added to the limit, since times are measured in whole ms; 2 ms
+		ResponseRatio    float64      // a job is slow if it takes longer than the ideal time multiplied by this, plus the slack; 1.10
+		ResponseSlack    timer.Millis // added to the limit because times are measured in whole ms; 2 ms
 		ResponseTarget   float64      // share of complete jobs that are not slow; 0.99
 		SuccessTarget    float64      // share of jobs that do not fail; 0.999
-		WithdrawalLimit  timer.Millis // time in which a withdrawal is obeyed everywhere; 3,000 ms
-		WithdrawalTarget float64      // share of withdrawals obeyed in time; 0.999
+		WithdrawalLimit  timer.Millis // time within which a withdrawal must apply everywhere; 3,000 ms
+		WithdrawalTarget float64      // share of withdrawals applied in time; 0.999
 		Short            timer.Millis // short window; 5 min
-		Long             timer.Millis // long window, over which the error budget is counted; 60 min
+		Long             timer.Millis // long window, the period of the error budget; 60 min
 	}
 
-	// Observation is one answered job, or one ended task when Task is set. The objectives count jobs only; a task
-	// counts only for its worker and failure domain, which may be empty. Ideal is 0 when unknown; the response time is
-	// not judged then.
+	// Observation is an answered job, or a finished task if Task is set. Objectives count jobs only; a task counts only
+	// for its worker and failure domain, which may be empty. If Ideal is 0 (unknown), the response time is not evaluated.
 	Observation struct {
 		Domain, Worker  string
 		Response, Ideal timer.Millis
@@ -45,34 +44,34 @@
 		Task            bool
 	}
 
-	// Reporter counts observations in a ring of 60 buckets that covers the long window. The zero value is ready to
-	// use. Set Objectives before the first call; the methods may be called concurrently.
+	// Reporter counts observations in a ring of 60 buckets that covers the long window. The zero value is ready to use.
+	// Set Objectives before the first call. The methods are safe for concurrent use.
 	Reporter struct {
 		Objectives Objectives
 
 		mu      sync.Mutex
 		ring    [bucketCount]bucket
-		latest  int64 // number of the newest bucket; time never goes back behind it
-		domains labels
-		workers labels
+		latest  int64 // number of the newest bucket; never decreases, even if the time does
+		domains labelTable
+		workers labelTable
 	}
 
-	count  struct{ bad, total uint32 }
-	tally  [objectives]count
-	bucket struct {
+	eventCount struct{ bad, total uint32 }
+	tally      [objectiveCount]eventCount
+	bucket     struct {
 		number  int64
 		all     tally
 		domains []tally
 		workers []tally
 	}
 
-	labels struct {
+	labelTable struct {
 		ids   map[string]int
 		names []string
 	}
 )
 
-// withDefaults returns o with its zero fields replaced.
+// withDefaults returns o with defaults for its zero fields.
 func (o Objectives) withDefaults() Objectives {
 	for _, f := range []struct {
 		field *float64
@@ -95,57 +94,57 @@
 	return o
 }
 
-// Observe counts an answered job or an ended task at now.
+// Observe records an answered job or a finished task at now.
 func (r *Reporter) Observe(now timer.Millis, v Observation) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	o := r.Objectives.withDefaults()
 	var t tally
-	t[success] = judged(v.Failed)
+	t[successObjective] = newEventCount(v.Failed)
 	if !v.Failed && v.Ideal > 0 {
 		limit := float64(v.Ideal)*o.ResponseRatio + float64(o.ResponseSlack)
-		t[response] = judged(float64(v.Response) > limit)
+		t[responseObjective] = newEventCount(float64(v.Response) > limit)
 	}
 	r.advance(now, o)
 	if !v.Task {
-		r.newest().all.add(t)
+		r.newestBucket().all.add(t)
 	}
-	r.blame(v.Domain, v.Worker, t)
+	r.attribute(v.Domain, v.Worker, t)
 }
 
-// ObserveWithdrawal counts a withdrawal of a failure domain that took the given time to be obeyed everywhere.
+// ObserveWithdrawal records a withdrawal of a failure domain and the time until it applied everywhere.
 func (r *Reporter) ObserveWithdrawal(now timer.Millis, domain string, took timer.Millis) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	o := r.Objectives.withDefaults()
 	var t tally
-	t[withdrawal] = judged(took > o.WithdrawalLimit)
+	t[withdrawalObjective] = newEventCount(took > o.WithdrawalLimit)
 	r.advance(now, o)
-	r.newest().all.add(t)
-	r.blame(domain, "", t)
+	r.newestBucket().all.add(t)
+	r.attribute(domain, "", t)
 }
 
-func judged(bad bool) count {
+func newEventCount(bad bool) eventCount {
 	if bad {
-		return count{bad: 1, total: 1}
+		return eventCount{bad: 1, total: 1}
 	}
-	return count{total: 1}
+	return eventCount{total: 1}
 }
 
-func (r *Reporter) newest() *bucket { return &r.ring[r.latest%bucketCount] }
+func (r *Reporter) newestBucket() *bucket { return &r.ring[r.latest%bucketCount] }
 
-// blame counts t for a failure domain and a worker.
-func (r *Reporter) blame(domain, worker string, t tally) {
-	b := r.newest()
+// attribute adds t to the counts of a failure domain and a worker.
+func (r *Reporter) attribute(domain, worker string, t tally) {
+	b := r.newestBucket()
 	if domain != "" {
-		b.domains = addTo(b.domains, r.label(&r.domains, domain, maxDomains, domainTallies), t)
+		b.domains = addTally(b.domains, r.labelID(&r.domains, domain, maxDomains, domainTallies), t)
 	}
 	if worker != "" {
-		b.workers = addTo(b.workers, r.label(&r.workers, worker, maxWorkers, workerTallies), t)
+		b.workers = addTally(b.workers, r.labelID(&r.workers, worker, maxWorkers, workerTallies), t)
 	}
 }
 
-// advance makes the bucket of now the newest one and clears it when it held an older part of time.
+// advance makes the bucket of now the newest one and clears it if it holds counts of an earlier interval.
 func (r *Reporter) advance(now timer.Millis, o Objectives) {
 	r.latest = max(r.latest, int64(now/(o.Long/bucketCount)))
 	b := &r.ring[r.latest%bucketCount]
@@ -156,8 +155,8 @@
 	}
 }
 
-// live reports whether the bucket belongs to the last n buckets.
-func (r *Reporter) live(b *bucket, n int64) bool {
+// inLastBuckets reports whether b is one of the last n buckets.
+func (r *Reporter) inLastBuckets(b *bucket, n int64) bool {
 	return b.number <= r.latest && b.number > r.latest-n
 }
 
@@ -168,7 +167,7 @@
 	}
 }
 
-func addTo(ts []tally, id int, t tally) []tally {
+func addTally(ts []tally, id int, t tally) []tally {
 	for len(ts) <= id {
 		ts = append(ts, tally{})
 	}
@@ -179,9 +178,9 @@
 func domainTallies(b *bucket) *[]tally { return &b.domains }
 func workerTallies(b *bucket) *[]tally { return &b.workers }
 
-// label returns the number of a name. When the table is full, names without counts in the ring make room; when none
-// do, the name is counted as "(other)".
-func (r *Reporter) label(l *labels, name string, limit int, tallies func(*bucket) *[]tally) int {
+// labelID returns the index of a name. If the table is full, names without counts in the ring are evicted; if there are
+// none, the name is counted as "(other)".
+func (r *Reporter) labelID(l *labelTable, name string, limit int, tallies func(*bucket) *[]tally) int {
 	if id, ok := l.ids[name]; ok {
 		return id
 	}
@@ -200,38 +199,38 @@
 	return l.ids[name]
 }
 
-// compact drops the names without counts and renumbers the rest in every bucket.
-func (r *Reporter) compact(l *labels, tallies func(*bucket) *[]tally) {
+// compact removes the names without counts and renumbers the others in every bucket.
+func (r *Reporter) compact(l *labelTable, tallies func(*bucket) *[]tally) {
 	used := make([]bool, len(l.names))
 	used[0] = true
 	for i := range r.ring {
-		if !r.live(&r.ring[i], bucketCount) {
+		if !r.inLastBuckets(&r.ring[i], bucketCount) {
 			continue
 		}
 		for id, t := range *tallies(&r.ring[i]) {
 			used[id] = used[id] || t != tally{}
 		}
 	}
-	next := labels{ids: map[string]int{}}
-	moved := make([]int, len(l.names))
+	compacted := labelTable{ids: map[string]int{}}
+	newIDs := make([]int, len(l.names))
 	for id, name := range l.names {
 		if used[id] {
-			moved[id] = len(next.names)
-			next.ids[name] = len(next.names)
-			next.names = append(next.names, name)
+			newIDs[id] = len(compacted.names)
+			compacted.ids[name] = len(compacted.names)
+			compacted.names = append(compacted.names, name)
 		}
 	}
 	for i := range r.ring {
 		old := tallies(&r.ring[i])
 		var kept []tally
-		if r.live(&r.ring[i], bucketCount) {
+		if r.inLastBuckets(&r.ring[i], bucketCount) {
 			for id, t := range *old {
 				if used[id] {
-					kept = addTo(kept, moved[id], t)
+					kept = addTally(kept, newIDs[id], t)
 				}
 			}
 		}
 		*old = kept
 	}
-	*l = next
+	*l = compacted
 }
--- a/reporter/reporter_test.go
+++ b/reporter/reporter_test.go
@@ -11,15 +11,15 @@
 	"github.com/crocuslb/crocuslb/timer"
 )
 
-func observe(r *Reporter, at timer.Millis, n int, v Observation) {
+func observeN(r *Reporter, at timer.Millis, n int, v Observation) {
 	for range n {
 		r.Observe(at, v)
 	}
 }
 
-func near(got, want float64) bool { return math.Abs(got-want) < 1e-9 }
+func approxEqual(got, want float64) bool { return math.Abs(got-want) < 1e-9 }
 
-// Burn rates decide whether operators are called, so their arithmetic is checked against figures worked out by hand.
+// TestBurn checks the burn rates, on which alerts are based, against values calculated by hand.
 func TestBurn(t *testing.T) {
 	const m = timer.Minute
 	ok, bad := Observation{Response: 100, Ideal: 100}, Observation{Failed: true}
@@ -27,53 +27,54 @@
 	limit := Observation{Response: 112, Ideal: 100} // 100 * 1.10 + 2
 	tests := []struct {
 		name        string
-		fill        func(r *Reporter)
+		setUp       func(r *Reporter)
 		now         timer.Millis
 		row         int
 		total, bad  uint64
 		short, long float64
 	}{
-		{"nothing", func(*Reporter) {}, 0, success, 0, 0, 0, 0},
-		{"all good", func(r *Reporter) { observe(r, m, 1000, ok) }, m, success, 1000, 0, 0, 0},
-		{"budget used exactly", func(r *Reporter) { observe(r, m, 999, ok); observe(r, m, 1, bad) }, m, success, 1000, 1, 1, 1},
-		{"all failed", func(r *Reporter) { observe(r, m, 5, bad) }, m, success, 5, 5, 1000, 1000},
-		{"at the limit", func(r *Reporter) { observe(r, m, 100, limit) }, m, response, 100, 0, 0, 0},
-		{"slow", func(r *Reporter) { observe(r, m, 98, limit); observe(r, m, 2, slow) }, m, response, 100, 2, 2, 2},
-		{"failed jobs have no response time", func(r *Reporter) { observe(r, m, 9, bad) }, m, response, 0, 0, 0, 0},
-		{"unknown ideal", func(r *Reporter) { observe(r, m, 9, Observation{Response: 9999}) }, m, response, 0, 0, 0, 0},
-		{"left the short window", func(r *Reporter) { observe(r, m, 1, bad); observe(r, 20*m, 999, ok) }, 20 * m, success, 1000, 1, 0, 1},
-		{"left the long window", func(r *Reporter) { observe(r, m, 1, bad) }, 61 * m, success, 0, 0, 0, 0},
-		{"last minute of the long window", func(r *Reporter) { observe(r, m, 1, bad) }, 60 * m, success, 1, 1, 0, 1000},
-		{"a bucket is used again", func(r *Reporter) { observe(r, m, 7, bad); observe(r, 61*m, 1, ok) }, 61 * m, success, 1, 0, 0, 0},
-		{"time goes back", func(r *Reporter) { observe(r, 50*m, 1, ok); observe(r, 10*m, 1, bad) }, 10 * m, success, 2, 1, 500, 500},
-		{"late withdrawal", func(r *Reporter) { r.ObserveWithdrawal(m, "a", 3000); r.ObserveWithdrawal(m, "a", 3001) }, m, withdrawal, 2, 1, 500, 500},
+		{"nothing", func(*Reporter) {}, 0, successObjective, 0, 0, 0, 0},
+		{"all good", func(r *Reporter) { observeN(r, m, 1000, ok) }, m, successObjective, 1000, 0, 0, 0},
+		{"budget used exactly", func(r *Reporter) { observeN(r, m, 999, ok); observeN(r, m, 1, bad) }, m, successObjective, 1000, 1, 1, 1},
+		{"all failed", func(r *Reporter) { observeN(r, m, 5, bad) }, m, successObjective, 5, 5, 1000, 1000},
+		{"at the limit", func(r *Reporter) { observeN(r, m, 100, limit) }, m, responseObjective, 100, 0, 0, 0},
+		{"slow", func(r *Reporter) { observeN(r, m, 98, limit); observeN(r, m, 2, slow) }, m, responseObjective, 100, 2, 2, 2},
+		{"failed jobs have no response time", func(r *Reporter) { observeN(r, m, 9, bad) }, m, responseObjective, 0, 0, 0, 0},
+		{"unknown ideal", func(r *Reporter) { observeN(r, m, 9, Observation{Response: 9999}) }, m, responseObjective, 0, 0, 0, 0},
+		{"outside the short window", func(r *Reporter) { observeN(r, m, 1, bad); observeN(r, 20*m, 999, ok) }, 20 * m, successObjective, 1000, 1, 0, 1},
+		{"outside the long window", func(r *Reporter) { observeN(r, m, 1, bad) }, 61 * m, successObjective, 0, 0, 0, 0},
+		{"last minute of the long window", func(r *Reporter) { observeN(r, m, 1, bad) }, 60 * m, successObjective, 1, 1, 0, 1000},
+		{"bucket is reused", func(r *Reporter) { observeN(r, m, 7, bad); observeN(r, 61*m, 1, ok) }, 61 * m, successObjective, 1, 0, 0, 0},
+		{"time goes backwards", func(r *Reporter) { observeN(r, 50*m, 1, ok); observeN(r, 10*m, 1, bad) }, 10 * m, successObjective, 2, 1, 500, 500},
+		{"late withdrawal", func(r *Reporter) { r.ObserveWithdrawal(m, "a", 3000); r.ObserveWithdrawal(m, "a", 3001) }, m, withdrawalObjective, 2, 1, 500, 500},
 	}
 	for _, tc := range tests {
 		t.Run(tc.name, func(t *testing.T) {
 			var r Reporter
-			tc.fill(&r)
+			tc.setUp(&r)
 			got := r.Report(tc.now).Rows[tc.row]
-			if got.Total != tc.total || got.Bad != tc.bad || !near(got.BurnShort, tc.short) || !near(got.BurnLong, tc.long) || !near(got.Left, 1-tc.long) {
+			if got.Total != tc.total || got.Bad != tc.bad || !approxEqual(got.BurnShort, tc.short) || !approxEqual(got.BurnLong, tc.long) || !approxEqual(got.BudgetLeft, 1-tc.long) {
 				t.Errorf("got %d of %d bad, burn %v and %v, left %v; want %d of %d, %v and %v, left %v",
-					got.Bad, got.Total, got.BurnShort, got.BurnLong, got.Left, tc.bad, tc.total, tc.short, tc.long, 1-tc.long)
+					got.Bad, got.Total, got.BurnShort, got.BurnLong, got.BudgetLeft, tc.bad, tc.total, tc.short, tc.long, 1-tc.long)
 			}
 		})
 	}
 }
 
-// Operators look first at the failure domain and the worker that burn most.
+// TestCulprits guards the order and shares of the failure domains and workers that used most of the error budget.
 func TestCulprits(t *testing.T) {
 	var r Reporter
-	observe(&r, 0, 3, Observation{Domain: "a", Worker: "w1", Failed: true})
-	observe(&r, 0, 1, Observation{Domain: "b", Worker: "w2", Failed: true})
-	observe(&r, 0, 9, Observation{Domain: "c", Worker: "w3"})
-	row := r.Report(0).Rows[success]
+	observeN(&r, 0, 3, Observation{Domain: "a", Worker: "w1", Failed: true})
+	observeN(&r, 0, 1, Observation{Domain: "b", Worker: "w2", Failed: true})
+	observeN(&r, 0, 9, Observation{Domain: "c", Worker: "w3"})
+	row := r.Report(0).Rows[successObjective]
 	if got, want := fmt.Sprint(row.Domains, row.Workers), "[{a 3 3 0.75} {b 1 1 0.25}] [{w1 3 3 0.75} {w2 1 1 0.25}]"; got != want {
 		t.Errorf("got %s, want %s", got, want)
 	}
 }
 
-// Workers come and go for months; the table of names must not grow, and a name that burns must not be lost.
+// TestMemoryIsBounded guards against a table of names that grows as workers come and go, and against the eviction of a
+// name that has bad events.
 func TestMemoryIsBounded(t *testing.T) {
 	var r Reporter
 	for hour := range 4 {
@@ -81,7 +82,7 @@
 		for i := range maxWorkers {
 			r.Observe(at, Observation{Worker: fmt.Sprintf("w%d-%d", hour, i), Failed: i == 7})
 		}
-		row := r.Report(at).Rows[success]
+		row := r.Report(at).Rows[successObjective]
 		if want := fmt.Sprintf("w%d-7", hour); len(r.workers.names) > maxWorkers || len(row.Workers) != 1 || row.Workers[0].Name != want {
 			t.Fatalf("hour %d: got %d names and %v, want at most %d names and %s", hour, len(r.workers.names), row.Workers, maxWorkers, want)
 		}
@@ -90,7 +91,7 @@
 
 func TestWrite(t *testing.T) {
 	r := Reporter{Objectives: Objectives{SuccessTarget: 0.75}}
-	observe(&r, 0, 1, Observation{Domain: "<b>", Failed: true})
+	observeN(&r, 0, 1, Observation{Domain: "<b>", Failed: true})
 	for _, tc := range []struct{ format, want, without string }{
 		{"text", "failure domain <b>: 100%", "NaN"}, {"json", `"budgetLeft":-3,`, "NaN"}, {"html", "<svg", "<b>"},
 	} {
